--- a/src/passlane/bench/registry.py
+++ b/src/passlane/bench/registry.py
@@ -38,48 +38,12 @@
 
 
 EXPERIMENTS: tuple[Experiment, ...] = (
-    Experiment(
-        "scheduling",
-        "passlane.bench.scheduling",
-        "run_all",
-        "program latency and wasted cache against three baselines, all scenarios",
-    ),
-    Experiment(
-        "scheduling-topup",
-        "passlane.bench.scheduling",
-        "run_top_up",
-        "the same for the top-up association alone",
-    ),
-    Experiment(
-        "scheduling-music-house",
-        "passlane.bench.scheduling",
-        "run_music_house",
-        "the same for the music house alone",
-    ),
-    Experiment(
-        "scheduling-quick",
-        "passlane.bench.scheduling",
-        "run_quick",
-        "the same on steady load only, one seed",
-    ),
-    Experiment(
-        "scheduling-sweep",
-        "passlane.bench.scheduling",
-        "run_sweep",
-        "the same on steady load at several rates, one seed",
-    ),
     Experiment(
         "scheduler-cost",
         "passlane.bench.scheduler_cost",
         "run",
         "processor time of the scheduler per call, by calls queued, engines and tenants",
     ),
-    Experiment(
-        "watched-subset",
-        "passlane.bench.watched_subset",
-        "run",
-        "program latency by how many of 48 engines each of 16 nodes watches",
-    ),
     Experiment(
         "scheduler-memory",
         "passlane.bench.scheduler_memory",
