--- a/src/passlane/bench/registry.py
+++ b/src/passlane/bench/registry.py
@@ -38,24 +38,6 @@
 
 
 EXPERIMENTS: tuple[Experiment, ...] = (
-    Experiment(
-        "storage",
-        "passlane.bench.storage",
-        "run",
-        "appends with and without group commit, one replica and three, stalls, restarts",
-    ),
-    Experiment(
-        "storage-state",
-        "passlane.bench.storage",
-        "run_states",
-        "time, stalls of the loop and memory of a snapshot, by the size of the state",
-    ),
-    Experiment(
-        "storage-costs",
-        "passlane.bench.storage_costs",
-        "run",
-        "processor time, disk and memory of an append at leader and follower",
-    ),
     Experiment(
         "configuration",
         "passlane.bench.configuration",
@@ -98,12 +80,6 @@
         "run",
         "bytes and processor time of heartbeats and leases, by the number of nodes",
     ),
-    Experiment(
-        "store-machine",
-        "passlane.bench.store_machine",
-        "run",
-        "processor time of store commands, memory of records, snapshots",
-    ),
     Experiment(
         "fleet-amre",
         "passlane.bench.fleet_run",
