--- a/src/passlane/bench/registry.py
+++ b/src/passlane/bench/registry.py
@@ -38,48 +38,18 @@
 
 
 EXPERIMENTS: tuple[Experiment, ...] = (
-    Experiment(
-        "configuration",
-        "passlane.bench.configuration",
-        "run",
-        "bytes, processor time and memory of changes and documents, over documents",
-    ),
-    Experiment(
-        "transport",
-        "passlane.bench.transport",
-        "run",
-        "processor time and bytes of messages between processes, by their size",
-    ),
-    Experiment(
-        "engine-polling",
-        "passlane.bench.engine_polling",
-        "run",
-        "bytes and processor time of a node for polling engines, by polls a second",
-    ),
     Experiment(
         "node-cost",
         "passlane.bench.node_cost",
         "run",
         "a node's processor time, memory, bytes and added latency, by calls, tokens, history",
     ),
-    Experiment(
-        "configuration-spread",
-        "passlane.bench.configuration_spread",
-        "run",
-        "time until a change is in force on 400 nodes, with nodes lost, frozen and cut off",
-    ),
     Experiment(
         "handover",
         "passlane.bench.handover",
         "run",
         "pause of calls when a node stops or dies: refused, asked again, or held",
     ),
-    Experiment(
-        "membership",
-        "passlane.bench.membership",
-        "run",
-        "bytes and processor time of heartbeats and leases, by the number of nodes",
-    ),
     Experiment(
         "fleet-amre",
         "passlane.bench.fleet_run",
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -239,7 +239,7 @@
         code, report = self.run_json("sim", "run", "--scenario", "none")
         self.assertEqual((code, report["passed"]), (ExitCode.USAGE, False))
         code, report = self.run_json("bench", "list")
-        self.assertIn("configuration", report)
+        self.assertIn("turn-cost", report)
 
     def run_json(self, *words):
         output = io.StringIO()
