--- a/src/passlane/bench/registry.py
+++ b/src/passlane/bench/registry.py
@@ -38,18 +38,6 @@
 
 
 EXPERIMENTS: tuple[Experiment, ...] = (
-    Experiment(
-        "node-cost",
-        "passlane.bench.node_cost",
-        "run",
-        "a node's processor time, memory, bytes and added latency, by calls, tokens, history",
-    ),
-    Experiment(
-        "handover",
-        "passlane.bench.handover",
-        "run",
-        "pause of calls when a node stops or dies: refused, asked again, or held",
-    ),
     Experiment(
         "fleet-amre",
         "passlane.bench.fleet_run",
@@ -62,30 +50,12 @@
         "run_music_house",
         "the music house's processes under load, kills, freezes and restarts",
     ),
-    Experiment(
-        "raft-failover",
-        "passlane.bench.raft_failover",
-        "run",
-        "time without a leader after a loss, and until a lost replica votes again",
-    ),
-    Experiment(
-        "raft-cost",
-        "passlane.bench.raft_cost",
-        "run",
-        "processor time, messages and bytes of an appended command, by group size",
-    ),
     Experiment(
         "turn-cost",
         "passlane.bench.turn_cost",
         "run",
         "processor time of a turn at the store group's leader by step, latency by rate",
     ),
-    Experiment(
-        "idle-fleet",
-        "passlane.bench.idle_fleet",
-        "run",
-        "memory and processor time of real daemons without work, by their roles",
-    ),
 )
 
 
--- a/tests/bench/test_report_files.py
+++ b/tests/bench/test_report_files.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from passlane.bench.report_files import write_report
-from passlane.bench.straight_line import Point
+from passlane.messages.common import Address
 
 
 class WriteReportTest(unittest.TestCase):
@@ -15,8 +15,8 @@
         self.folder = Path(folder.name)
 
     def test_file_holds_the_result_indented_by_one(self) -> None:
-        write_report(self.folder, "some.json", [Point(1.0, 2.5)])
-        expected = b'[\n {\n  "x": 1.0,\n  "y": 2.5\n }\n]'
+        write_report(self.folder, "some.json", [Address("a", 1)])
+        expected = b'[\n {\n  "host": "a",\n  "port": 1\n }\n]'
         self.assertEqual(expected, (self.folder / "some.json").read_bytes())
 
     def test_earlier_report_is_replaced(self) -> None:
