--- a/src/passlane/bench/fleet_run.py
+++ b/src/passlane/bench/fleet_run.py
@@ -6,7 +6,7 @@
 ``python -m passlane.bench.fleet_run --example examples/amre-topup --seconds 60``
 
 Order, history, spending and ledger of every program are checked; latencies are reported
-as JSON and, with ``--report``, as a plot. Exits 1 if a promise was broken.
+as JSON, with ``--report`` also in a file. Exits 1 if a promise was broken.
 """
 
 import argparse
@@ -22,11 +22,11 @@
 
 from passlane.bench.disturbances import DisturbanceKind, DisturbanceSettings, Disturber
 from passlane.bench.fleet import Fleet
-from passlane.bench.fleet_plot import plot_run
 from passlane.bench.fleet_process import FleetError
 from passlane.bench.fleet_report import FleetRun, FleetRunReport, judge
 from passlane.bench.fleet_tools import repeatable_tools
 from passlane.bench.process_replay import process_replay_fleet
+from passlane.bench.report_files import write_report
 from passlane.emulator.load import LoadRunner
 from passlane.emulator.workload import (
     MUSIC_HOUSE_WORKLOAD,
@@ -70,7 +70,7 @@
     disturbances
         What is done to the fleet.
     report
-        Folder for JSON and plot, if wanted.
+        Folder for the JSON, if wanted.
     """
 
     example: Path
@@ -163,18 +163,11 @@
         )
         report = await judge(finished, target)
     if options.report is not None:
-        _write(options.report, finished, report)
+        options.report.mkdir(parents=True, exist_ok=True)
+        write_report(options.report, f"fleet-{finished.example}-{finished.seed}.json", report)
     return report
 
 
-def _write(folder: Path, finished: FleetRun, report: FleetRunReport) -> None:
-    """Write the report and the plot."""
-    folder.mkdir(parents=True, exist_ok=True)
-    name = f"fleet-{finished.example}-{finished.seed}"
-    (folder / f"{name}.json").write_bytes(msgspec.json.encode(report))
-    plot_run(folder / f"{name}.png", finished.outcomes, finished.disturbances)
-
-
 def _parse(arguments: Sequence[str] | None) -> FleetRunOptions:
     """Return the command line's options."""
     parser = argparse.ArgumentParser(prog="passlane.bench.fleet_run", description=__doc__)
@@ -191,7 +184,7 @@
         default="all",
         help="all, none, or kinds with commas: " + ", ".join(DisturbanceKind),
     )
-    parser.add_argument("--report", type=Path, help="folder for JSON and plot")
+    parser.add_argument("--report", type=Path, help="folder for the JSON")
     options = parser.parse_args(arguments)
     return FleetRunOptions(
         example=options.example,
