--- a/src/passlane/emulator/engine_model.py
+++ b/src/passlane/emulator/engine_model.py
@@ -5,7 +5,7 @@
 for each decoding request and chunks of prefill up to a token budget; it gives one typed
 output. The model does no I/O, reads no clock and draws only from the generator given.
 
-Drive it from an event heap::
+Drive it by the times that it tells::
 
     model.submit(submission, now)
     when = model.next_event_time()
@@ -19,7 +19,6 @@
 from passlane.emulator.cache_event_log import CacheEventLog
 from passlane.emulator.engine_orders import EngineOrders
 from passlane.emulator.engine_outputs import (
-    EngineTotals,
     FinishedRequest,
     FinishReason,
     GeneratedTokens,
@@ -59,11 +58,6 @@
         Number of this start; a restart is a new model with a higher one.
     generator
         Source of all drawn delays and faults.
-    weights
-        Store that models are loaded from; may be shared between engines.
-    report_each_step
-        ``False`` joins steps in which nothing but decoding happens, which lets long
-        virtual runs go many times faster.
     """
 
     def __init__(
@@ -73,15 +67,12 @@
         engine_id: EngineId,
         incarnation: int,
         generator: random.Random,
-        weights: WeightsStore | None = None,
-        report_each_step: bool = True,
     ) -> None:
         self.settings = settings
         self.engine_id = engine_id
         self.incarnation = incarnation
-        self.totals = EngineTotals()
+        self.generated_tokens = 0
         self._random = generator
-        self._report_each_step = report_each_step
         self._events = CacheEventLog(settings, generator)
         self.cache = PrefixCache(settings.cache_tokens, self._events.record)
         self._tokens = FencingTokens()
@@ -90,7 +81,7 @@
             incarnation,
             self.cache,
             self._tokens,
-            weights or WeightsStore(settings.weights_bytes_per_s),
+            WeightsStore(settings.weights_bytes_per_s),
         )
         self._loads = LoadReports(settings.load_lag_s, settings.load_interval_s)
         self._requests: dict[str, EngineRequest] = {}
@@ -111,7 +102,6 @@
         request = EngineRequest.create(submission, self._draw_failure(submission))
         self._requests[submission.attempt_id] = request
         self._waiting.add(request)
-        self._interrupt_joined_steps(now)
         self._plan_step(now)
         self._sample_load(now)
         return None
@@ -121,7 +111,6 @@
         request = self._requests.get(attempt_id)
         if request is None:
             return False
-        self._interrupt_joined_steps(now)
         if request.is_running:
             self._leave(request, now)
         else:
@@ -231,8 +220,6 @@
         step = PlannedStep(now, duration, decoding, prefill)
         if self._random.random() < self.settings.stall_probability:
             step.extra_s = self.settings.stall_s
-        if not self._report_each_step and not prefill:
-            step.repeats = max(1, min(r.end_position - r.position for r in decoding))
         self._step = step
 
     def _admit_waiting(self, now: float) -> None:
@@ -254,7 +241,6 @@
         # The last token is always computed, since its result starts the generation.
         request.cached_tokens = max(0, min(cached, request.context_tokens - 1))
         request.computed_tokens = request.cached_tokens
-        self.totals.reused_tokens += request.cached_tokens
         return True
 
     # Completion.
@@ -262,20 +248,16 @@
     def _complete_step(self, step: PlannedStep) -> StepOutput:
         """Apply what a step computed and return it."""
         now = step.ends_at
-        self.totals.steps += step.repeats
-        self.totals.busy_s += now - step.started_at
         for request, chunk in step.prefill:
             request.computed_tokens += chunk
-            self.totals.prefill_tokens += chunk
         # The step that ends a prefill also gives the first token.
-        generating = [(request, step.repeats) for request in step.decoding]
-        generating += [(r, 1) for r, _ in step.prefill if r.prefill_left == 0]
+        generating = step.decoding + [r for r, _ in step.prefill if r.prefill_left == 0]
         tokens: list[GeneratedTokens] = []
         finished: list[FinishedRequest] = []
-        for request, count in generating:
+        for request in generating:
             if not request.is_running:
                 continue
-            self._generate(request, count, tokens)
+            self._generate(request, tokens)
             if request.position >= request.end_position:
                 failed = request.fails_at is not None
                 finished.append(
@@ -284,14 +266,13 @@
                 self._leave(request, now)
         return StepOutput(now, tuple(tokens), tuple(finished))
 
-    def _generate(self, request: EngineRequest, count: int, tokens: list[GeneratedTokens]) -> None:
-        """Generate up to ``count`` tokens of a request."""
+    def _generate(self, request: EngineRequest, tokens: list[GeneratedTokens]) -> None:
+        """Generate a token of a request, unless its stream ends before it."""
         first = request.position
-        end = min(first + count, request.end_position)
-        if end > first:
-            request.position = end
-            self.totals.generated_tokens += end - first
-            tokens.append(GeneratedTokens(request.submission.attempt_id, first, end))
+        if first < request.end_position:
+            request.position = first + 1
+            self.generated_tokens += 1
+            tokens.append(GeneratedTokens(request.submission.attempt_id, first, first + 1))
 
     def _leave(self, request: EngineRequest, now: float) -> None:
         """Take a running request out of the batch; what it computed stays cached."""
@@ -310,11 +291,6 @@
         for attempt_id in attempts:
             self.cancel(attempt_id, now)
 
-    def _interrupt_joined_steps(self, now: float) -> None:
-        """Cut joined steps at the one under way, so that the change is seen at its end."""
-        if self._step is not None:
-            self._step.end_joined_steps(now)
-
     def _sample_load(self, now: float) -> None:
         """Take a sample of the load when one is due."""
         if self._loads.is_due(now):
--- a/src/passlane/emulator/engine_outputs.py
+++ b/src/passlane/emulator/engine_outputs.py
@@ -53,7 +53,6 @@
 
     STOP = "stop"
     FAILED = "failed"
-    CANCELLED = "cancelled"
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,24 +78,8 @@
 
 @dataclass(frozen=True, slots=True)
 class StepOutput:
-    """All that one step of the engine gave; ``time`` is when the step ended.
-
-    A model made with ``report_each_step=False`` joins steps in which only decoding
-    happened, so ``tokens`` may then hold several tokens of one request.
-    """
+    """All that one step of the engine gave; ``time`` is when the step ended."""
 
     time: float
     tokens: tuple[GeneratedTokens, ...]
     finished: tuple[FinishedRequest, ...]
-
-
-@dataclass(slots=True)
-class EngineTotals:
-    """Counters since the engine started."""
-
-    steps: int = 0
-    prefill_tokens: int = 0
-    reused_tokens: int = 0
-    generated_tokens: int = 0
-    evicted_tokens: int = 0
-    busy_s: float = 0.0
--- a/src/passlane/emulator/engine_steps.py
+++ b/src/passlane/emulator/engine_steps.py
@@ -12,31 +12,18 @@
 
 @dataclass(slots=True)
 class PlannedStep:
-    """What the step under way computes.
-
-    ``repeats`` equal decoding steps may be joined; each takes ``duration_s`` seconds.
-    ``extra_s`` is a stall before the first.
-    """
+    """What the step under way computes; ``extra_s`` is a stall before it."""
 
     started_at: float
     duration_s: float
     decoding: list[EngineRequest]
     prefill: list[PrefillChunk]
-    repeats: int = 1
     extra_s: float = 0.0
 
     @property
     def ends_at(self) -> float:
-        """Time at which the last of the repeats ends."""
-        return self.started_at + self.extra_s + self.duration_s * self.repeats
-
-    def end_joined_steps(self, now: float) -> None:
-        """Let the repeats end with the one that is under way at ``now``."""
-        if self.repeats == 1:
-            return
-        elapsed = now - self.started_at - self.extra_s
-        begun = int(elapsed / self.duration_s) + 1
-        self.repeats = max(1, min(self.repeats, begun))
+        """Time at which the step ends."""
+        return self.started_at + self.extra_s + self.duration_s
 
 
 def plan_prefill(running: Sequence[EngineRequest], budget: int) -> list[PrefillChunk]:
--- a/tests/emulator/test_engine_app.py
+++ b/tests/emulator/test_engine_app.py
@@ -108,7 +108,7 @@
             self.assertLess(len(client.chunks()), 12)
             self.assertEqual(service.model.current_load().running, 0)
             await anyio.sleep(0.1)
-            self.assertLess(service.model.totals.generated_tokens, 12)
+            self.assertLess(service.model.generated_tokens, 12)
 
         self.run_with_engine(scenario)
 
--- a/tests/emulator/test_engine_model.py
+++ b/tests/emulator/test_engine_model.py
@@ -20,15 +20,12 @@
 QUIET = EngineModelSettings(event_loss_probability=0.0)
 
 
-def make_model(
-    settings: EngineModelSettings = QUIET, *, each_step: bool = True, seed: int = 1
-) -> EngineModel:
+def make_model(settings: EngineModelSettings = QUIET, *, seed: int = 1) -> EngineModel:
     return EngineModel(
         settings,
         engine_id=EngineId("engine-1"),
         incarnation=1,
         generator=random.Random(seed),
-        report_each_step=each_step,
     )
 
 
@@ -51,26 +48,6 @@
 
 
 class EngineModelTest(unittest.TestCase):
-    def test_joined_steps_end_at_the_same_times_as_single_ones(self) -> None:
-        ends = []
-        for each_step in (True, False):
-            model = make_model(each_step=each_step)
-            source = random.Random(5)
-            times: dict[str, float] = {}
-            arrival = 0.0
-            for number in range(60):
-                arrival += source.expovariate(40.0)
-                while (when := model.next_event_time()) is not None and when <= arrival:
-                    for output in model.advance(when):
-                        times.update({end.attempt_id: output.time for end in output.finished})
-                changes = {"answer_tokens": source.randint(1, 60)}
-                model.submit(submission(f"a{number}", f"p{number % 7}", **changes), arrival)
-            for output in run_until_idle(model):
-                times.update({end.attempt_id: output.time for end in output.finished})
-            ends.append({name: round(time, 9) for name, time in times.items()})
-        self.assertEqual(len(ends[0]), 60)
-        self.assertEqual(ends[0], ends[1])
-
     def test_second_turn_reuses_the_prefix_until_memory_runs_out(self) -> None:
         model = make_model(msgspec.structs.replace(QUIET, cache_tokens=400))
         model.submit(submission("a", "p"), 0.0)
