--- a/src/passlane/bench/fleet.py
+++ b/src/passlane/bench/fleet.py
@@ -14,7 +14,6 @@
 from typing import Self
 
 import httpcore
-import msgspec
 
 from passlane.bench.fleet_files import (
     CONFIGURATION_FILE,
@@ -22,11 +21,8 @@
     copy_example,
 )
 from passlane.bench.fleet_process import FleetError, FleetProcess, process_environment
-from passlane.messages.backends import LedgerLine
 from passlane.messages.common import Address
 
-__all__ = ["Fleet", "FleetError", "FleetProcess"]
-
 READY_TIMEOUT_S = 60.0
 POLL_INTERVAL_S = 0.1
 REQUEST_TIMEOUT_S = 2.0
@@ -90,14 +86,6 @@
             raise FleetError(f"{name} is no node")
         return address
 
-    def running_callers_addresses(self) -> list[Address]:
-        """Return the callers' addresses of the nodes that run."""
-        return [
-            self.callers_address(name)
-            for name in self.node_names()
-            if self.processes[name].is_running
-        ]
-
     def operators_addresses(self) -> list[Address]:
         """Return the operators' addresses of the running daemons with the control role."""
         return [
@@ -124,6 +112,16 @@
         entries = tomllib.loads(settings.read_text())["security"]["callers"]
         return {entry["tenant"]: entry["token"] for entry in entries}
 
+    def repeatable_tools(self) -> frozenset[str]:
+        """Return the names of the tools that may run more than once, by the configuration."""
+        fields = tomllib.loads((self.folder / CONFIGURATION_FILE).read_text())
+        return frozenset(
+            tool["name"]
+            for document in fields["document"]
+            for tool in document.get("tools", ())
+            if document["kind"] == "application" and tool.get("repeatable", False)
+        )
+
     # Starting and stopping.
 
     def start(self, name: str) -> None:
@@ -193,18 +191,6 @@
             return ""
         return "\n".join(path.read_text(errors="replace").splitlines()[-LOG_LINES_SHOWN:])
 
-    def get(self, address: Address, path: str) -> "httpcore.Response":
-        """Return the answer to a GET without a token."""
-        return httpcore.request("GET", f"http://{address}{path}", extensions=_timeouts())
-
-    def ledger(self) -> list[LedgerLine]:
-        """Return the ledgers of all running applications, one after the other."""
-        lines: list[LedgerLine] = []
-        for name in self.names(ProcessKind.APPLICATION):
-            response = self.get(self.processes[name].file.health, "/v1/ledger")
-            lines += msgspec.json.decode(response.content, type=list[LedgerLine])
-        return lines
-
     # The operators' client.
 
     def passlane(self, *arguments: str) -> "subprocess.CompletedProcess[str]":
@@ -252,12 +238,17 @@
             raise FleetError(f"{name} ended with {code}\n{self.log_tail(name)}")
         is_daemon = process.file.kind is ProcessKind.DAEMON
         try:
-            response = self.get(process.file.health, "/readyz" if is_daemon else "/")
+            response = _get(process.file.health, "/readyz" if is_daemon else "/")
         except (httpcore.NetworkError, httpcore.TimeoutException, httpcore.ProtocolError):
             return False
         return response.status == STATUS_OK or not is_daemon
 
 
+def _get(address: Address, path: str) -> httpcore.Response:
+    """Return the answer to a GET without a token."""
+    return httpcore.request("GET", f"http://{address}{path}", extensions=_timeouts())
+
+
 def _timeouts() -> dict[str, dict[str, float]]:
     """Return the extension that bounds each part of a request."""
     return {"timeout": dict.fromkeys(("connect", "read", "write", "pool"), REQUEST_TIMEOUT_S)}
--- a/src/passlane/bench/fleet_run.py
+++ b/src/passlane/bench/fleet_run.py
@@ -24,7 +24,6 @@
 from passlane.bench.fleet import Fleet
 from passlane.bench.fleet_process import FleetError
 from passlane.bench.fleet_report import FleetRun, FleetRunReport, judge
-from passlane.bench.fleet_tools import repeatable_tools
 from passlane.bench.process_replay import process_replay_fleet
 from passlane.bench.report_files import write_report
 from passlane.emulator.load import LoadRunner
@@ -159,7 +158,7 @@
             seconds=options.seconds,
             outcomes=runner.outcomes,
             disturbances=disturber.done,
-            repeatable_tools=repeatable_tools(fleet),
+            repeatable_tools=fleet.repeatable_tools(),
         )
         report = await judge(finished, target)
     if options.report is not None:
--- a/src/passlane/bench/process_replay.py
+++ b/src/passlane/bench/process_replay.py
@@ -44,7 +44,6 @@
         self._store = store
         self._tasks = tasks
         self._tokens = fleet.caller_tokens()
-        self.killed: list[str] = []
 
     def caller(self, tenant: TenantId) -> Caller:
         """Return a caller of a tenant that knows all nodes."""
@@ -71,16 +70,11 @@
 
     async def leader_of(self, program_id: str) -> NodeId:
         """Return the node that leads a program, as the store records it."""
-        leaders = await self.leaders()
-        return leaders[partition_of(ProgramId(program_id), len(leaders))]
-
-    async def leaders(self) -> tuple[NodeId, ...]:
-        """Return the node that leads each partition, in the order of their numbers."""
         answer = await self._store.execute(
             ReadAssignments(), Assignments, timeout_s=QUERY_TIMEOUT_S
         )
         ordered = sorted(answer.assignments, key=lambda one: one.partition)
-        return tuple(assignment.node_id for assignment in ordered)
+        return ordered[partition_of(ProgramId(program_id), len(ordered))].node_id
 
     async def ledger(self) -> Sequence[LedgerLine]:
         """Return the ledgers of all applications."""
@@ -111,7 +105,6 @@
             raise FleetError("the fault's program is not known yet")
         name = await self.leader_of(program_id)
         self._fleet.kill(name)
-        self.killed.append(name)
         self._tasks.start_soon(self._start_later, name, restart_after_s)
 
     async def _start_later(self, name: str, delay_s: float) -> None:
--- a/src/passlane/bench/turn_cost.py
+++ b/src/passlane/bench/turn_cost.py
@@ -16,7 +16,7 @@
 
 from passlane.bench.latencies import summarize
 from passlane.bench.loopback import free_address
-from passlane.bench.process_usage import read_usage
+from passlane.bench.process_usage import processor_time_s
 from passlane.bench.report_files import write_report
 from passlane.bench.turn_cost_process import (
     NODES_ROLE,
@@ -222,10 +222,10 @@
     ]
     # Two of the measured seconds belong to the start of processes and to their end.
     time.sleep(WARM_UP_S + 1.0)
-    before = {address: read_usage(p.pid).cpu_s for address, p in processes.replicas.items()}
+    before = {address: processor_time_s(p.pid) for address, p in processes.replicas.items()}
     time.sleep(duration_s - 2.0)
     spent = {
-        address: read_usage(process.pid).cpu_s - before[address]
+        address: processor_time_s(process.pid) - before[address]
         for address, process in processes.replicas.items()
     }
     for process in nodes:
--- a/src/passlane/emulator/caller.py
+++ b/src/passlane/emulator/caller.py
@@ -157,8 +157,7 @@
                 self._next += 1
                 await anyio.sleep(min(attempt.repeat_after_s, LONGEST_PAUSE_S))
         result.attempts = attempts
-        result.ended_at_s = anyio.current_time()
-        result.latency_s = result.ended_at_s - began
+        result.latency_s = anyio.current_time() - began
         return result
 
     async def _send(
--- a/src/passlane/emulator/caller_answers.py
+++ b/src/passlane/emulator/caller_answers.py
@@ -60,8 +60,6 @@
         Requests that were sent.
     latency_s, first_token_s
         From the first request to the end, and to the first token.
-    ended_at_s
-        When the call ended, on the caller's clock.
     token_gaps_s
         Times between the pieces of text of the last request.
     """
@@ -72,7 +70,6 @@
     message: str = ""
     attempts: int = 0
     latency_s: float = 0.0
-    ended_at_s: float = 0.0
     first_token_s: float | None = None
     token_gaps_s: list[float] = field(default_factory=list)
 
--- a/src/passlane/emulator/load.py
+++ b/src/passlane/emulator/load.py
@@ -84,16 +84,11 @@
     def __init__(self, caller_of: CallerOf, pause_scale: float = 1.0) -> None:
         self._caller_of = caller_of
         self._pause_scale = pause_scale
-        self._began = 0.0
         self.outcomes: list[ProgramOutcome] = []
 
     async def run(self, plans: Iterable[ProgramPlan]) -> list[ProgramOutcome]:
-        """Start each program at its time, wait for all and return what they saw.
-
-        Ends of calls are told in seconds since the load began.
-        """
+        """Start each program at its time, wait for all and return what they saw."""
         began = anyio.current_time()
-        self._began = began
         async with anyio.create_task_group() as tasks:
             for plan in plans:
                 await anyio.sleep_until(began + plan.starts_at)
@@ -139,7 +134,6 @@
             call = await _tool_call(caller, outcome, sequence, step)
         else:
             return True
-        call.result.ended_at_s -= self._began
         outcome.calls.append(call)
         if not call.result.succeeded:
             outcome.stopped_by = _stop_reason(call.result)
--- a/src/passlane/emulator/prefix_cache.py
+++ b/src/passlane/emulator/prefix_cache.py
@@ -37,9 +37,6 @@
         self._listener = listener
         self._entries: OrderedDict[ProgramId, _Entry] = OrderedDict()
         self._allocated = 0
-        self._token_seconds = 0.0
-        self._measured_at = 0.0
-        self.evicted_tokens = 0
 
     @property
     def allocated_tokens(self) -> int:
@@ -59,10 +56,6 @@
         """Return for how many programs memory is held."""
         return len(self._entries)
 
-    def token_seconds(self, now: float) -> float:
-        """Return the integral of allocated tokens over time, up to ``now``."""
-        return self._token_seconds + self._allocated * max(0.0, now - self._measured_at)
-
     def begin_use(self, program_id: ProgramId, needed: int, now: float) -> bool:
         """Set ``needed`` tokens aside for a request; return whether there was room."""
         entry = self._entries.get(program_id)
@@ -72,7 +65,7 @@
             return False
         if entry is None:
             entry = self._entries[program_id] = _Entry()
-        self._resize(entry, allocated + extra, now)
+        self._resize(entry, allocated + extra)
         entry.users += 1
         self._entries.move_to_end(program_id)
         return True
@@ -85,7 +78,7 @@
         entry.users -= 1
         entry.tokens = max(entry.tokens, min(tokens, entry.allocated))
         if entry.users == 0:
-            self._resize(entry, entry.tokens, now)
+            self._resize(entry, entry.tokens)
         self._entries.move_to_end(program_id)
         self._listener(CacheEventKind.STORED, program_id, entry.tokens, now)
 
@@ -107,7 +100,7 @@
         entry = self._entries.pop(program_id, None)
         if entry is None:
             return
-        self._resize(entry, 0, now)
+        self._resize(entry, 0)
         self._listener(CacheEventKind.EVICTED, program_id, entry.tokens, now)
 
     def _make_room(self, extra: int, keep: ProgramId, now: float) -> bool:
@@ -116,7 +109,6 @@
             return True
         victims = self._victims(self._allocated + extra - self._capacity, keep, now)
         for program_id in victims:
-            self.evicted_tokens += self._entries[program_id].tokens
             self.release(program_id, now)
         return bool(victims)
 
@@ -132,9 +124,7 @@
             missing -= entry.allocated
         return victims if missing <= 0 else []
 
-    def _resize(self, entry: _Entry, allocated: int, now: float) -> None:
-        """Change what an entry has set aside and keep the integral over time."""
-        self._token_seconds = self.token_seconds(now)
-        self._measured_at = max(self._measured_at, now)
+    def _resize(self, entry: _Entry, allocated: int) -> None:
+        """Change what an entry has set aside."""
         self._allocated += allocated - entry.allocated
         entry.allocated = allocated
--- a/src/passlane/emulator/workload.py
+++ b/src/passlane/emulator/workload.py
@@ -83,8 +83,6 @@
         Share of the turns after which the caller is away, and for how long (log-normal).
     sub_agent_probability, sub_agent_turns
         Share of the turns that wait for a sub-agent of so many turns.
-    burst_every_s, burst_programs
-        Extra programs that arrive at the same moment; no bursts when 0.
     """
 
     model: str
@@ -103,8 +101,6 @@
     pause_spread: float
     sub_agent_probability: float = 0.0
     sub_agent_turns: int = 2
-    burst_every_s: float = 0.0
-    burst_programs: int = 0
 
 
 TOP_UP_WORKLOAD = WorkloadSettings(
@@ -164,16 +160,10 @@
     source = random.Random(seed)
     number = 0
     arrival = source.expovariate(settings.programs_per_s)
-    next_burst = settings.burst_every_s or math.inf
-    while min(arrival, next_burst) < until_s:
-        is_burst = next_burst <= arrival
-        for _ in range(settings.burst_programs if is_burst else 1):
-            number += 1
-            yield _program(settings, source, f"{seed}-{number}", min(arrival, next_burst))
-        if is_burst:
-            next_burst += settings.burst_every_s
-        else:
-            arrival += source.expovariate(settings.programs_per_s)
+    while arrival < until_s:
+        number += 1
+        yield _program(settings, source, f"{seed}-{number}", arrival)
+        arrival += source.expovariate(settings.programs_per_s)
 
 
 def _program(
