--- a/src/passlane/bench/turn_cost.py
+++ b/src/passlane/bench/turn_cost.py
@@ -9,6 +9,7 @@
 import tempfile
 import time
 from collections import Counter
+from collections.abc import Sequence
 from pathlib import Path
 
 import anyio
@@ -42,6 +43,8 @@
 NODES = 60
 NODE_PROCESSES = 2
 DURATION_S = 6.0
+EDGE_S = 1.0
+"""Left out at each end of the measured time: processes start and end there."""
 READY_TIMEOUT_S = 20.0
 SHOWN_PLACES = 40
 
@@ -188,7 +191,8 @@
     Raises
     ------
     PasslaneError
-        ``UNAVAILABLE`` when the leader changed, as figures of two leaders mean nothing.
+        ``UNAVAILABLE`` when the leader changed, as figures of two leaders mean nothing, or
+        no turn was settled.
     """
     with tempfile.TemporaryDirectory() as folder:
         processes = _Processes(Path(folder), is_sampled=is_sampled)
@@ -205,14 +209,31 @@
     addresses = tuple(processes.replicas)
     leader = anyio.run(_find_leader, addresses)
     results = [folder / f"nodes-{number}.json" for number in range(NODE_PROCESSES)]
-    nodes = [
+    nodes = _start_nodes(processes, results, turns_per_s, duration_s)
+    spent = _processor_times(processes, duration_s)
+    for process in nodes:
+        process.wait()
+    if anyio.run(_find_leader, addresses) != leader:
+        raise PasslaneError(ErrorCode.UNAVAILABLE, "the leader changed during the run")
+    processes.stop_replicas()
+    answers = [msgspec.json.decode(file.read_bytes(), type=NodesResult) for file in results]
+    samples = processes.samples_file(leader)
+    places = msgspec.json.decode(samples.read_bytes()) if samples.exists() else {}
+    return _summarize(turns_per_s, duration_s, leader, spent, answers, places)
+
+
+def _start_nodes(
+    processes: _Processes, results: Sequence[Path], turns_per_s: float, duration_s: float
+) -> list["subprocess.Popen[bytes]"]:
+    """Start one process with nodes for each file that is to hold its result."""
+    return [
         processes.start(
             NODES_ROLE,
             file.stem,
             NodesSetup(
-                stores=addresses,
-                nodes=NODES // NODE_PROCESSES,
-                turns_per_s=turns_per_s / NODE_PROCESSES,
+                stores=tuple(processes.replicas),
+                nodes=NODES // len(results),
+                turns_per_s=turns_per_s / len(results),
                 duration_s=duration_s,
                 seed=number,
                 result_file=str(file),
@@ -220,23 +241,17 @@
         )
         for number, file in enumerate(results)
     ]
-    # Two of the measured seconds belong to the start of processes and to their end.
-    time.sleep(WARM_UP_S + 1.0)
+
+
+def _processor_times(processes: _Processes, duration_s: float) -> dict[Address, float]:
+    """Return what each replica spends in the middle of the measured time, in seconds."""
+    time.sleep(WARM_UP_S + EDGE_S)
     before = {address: processor_time_s(p.pid) for address, p in processes.replicas.items()}
-    time.sleep(duration_s - 2.0)
-    spent = {
+    time.sleep(duration_s - 2 * EDGE_S)
+    return {
         address: processor_time_s(process.pid) - before[address]
         for address, process in processes.replicas.items()
     }
-    for process in nodes:
-        process.wait()
-    if anyio.run(_find_leader, addresses) != leader:
-        raise PasslaneError(ErrorCode.UNAVAILABLE, "the leader changed during the run")
-    processes.stop_replicas()
-    answers = [msgspec.json.decode(file.read_bytes(), type=NodesResult) for file in results]
-    samples = processes.samples_file(leader)
-    places = msgspec.json.decode(samples.read_bytes()) if samples.exists() else {}
-    return _summarize(turns_per_s, duration_s, leader, spent, answers, places)
 
 
 def _summarize(
@@ -249,8 +264,10 @@
 ) -> TurnCost:
     reserve = summarize(taken for answer in answers for taken in answer.reservations_s)
     settle = summarize(taken for answer in answers for taken in answer.settlements_s)
+    if not settle.count:
+        raise PasslaneError(ErrorCode.UNAVAILABLE, "no turn was settled")
     measured_per_s = settle.count / duration_s
-    turns = measured_per_s * (duration_s - 2.0)
+    turns = measured_per_s * (duration_s - 2 * EDGE_S)
     leader_us = spent[leader] / turns * _MICROSECONDS
     followers_s = sum(spent.values()) - spent[leader]
     per_sample = leader_us / sum(samples.values()) if samples else 0.0
@@ -261,7 +278,7 @@
         turns_per_s=turns_per_s,
         measured_per_s=measured_per_s,
         leader_us=leader_us,
-        leader_core=spent[leader] / (duration_s - 2.0),
+        leader_core=spent[leader] / (duration_s - 2 * EDGE_S),
         follower_us=followers_s / (REPLICAS - 1) / turns * _MICROSECONDS,
         reserve_p50_ms=reserve.p50 * _MILLISECONDS,
         reserve_p99_ms=reserve.p99 * _MILLISECONDS,
--- a/src/passlane/bench/turn_cost_process.py
+++ b/src/passlane/bench/turn_cost_process.py
@@ -8,6 +8,7 @@
 import signal
 import sys
 import time
+from dataclasses import dataclass
 from pathlib import Path
 
 import anyio
@@ -50,6 +51,12 @@
 """What a kept turn adds to its program's history."""
 LONG_PROGRAM_TURNS = 9
 """Turns of a program that keeps its history; such programs send half of all turns."""
+MOST_TOKENS = 400
+"""What a turn may spend, and so reserves."""
+SPENT_TOKENS = 120
+BUDGET_TOKENS = 100_000
+ROUTE = "measured"
+ENGINE = "engine-0123456789"
 RETENTION_S = 30.0
 TENANTS = 82
 TIMEOUT_S = 3.0
@@ -119,6 +126,49 @@
     return samples.counts
 
 
+@dataclass(frozen=True, slots=True)
+class _Turn:
+    """One turn; ``turn_id`` is ``None`` where its program keeps no history."""
+
+    program_id: str
+    attempt_id: str
+    limit: QuotaLimit
+    previous: str | None
+    turn_id: str | None
+
+    def reservation(self) -> ReserveTurn:
+        """Return what is asked of the store before the turn."""
+        return ReserveTurn(
+            program_id=self.program_id,
+            attempt_id=self.attempt_id,
+            most_tokens=MOST_TOKENS,
+            budget_tokens=BUDGET_TOKENS,
+            previous=self.previous,
+            retention_s=RETENTION_S,
+            quota=QuotaDraw(limit=self.limit, use=QuotaUse.CONTINUE_PROGRAM, route=ROUTE),
+        )
+
+    def settlement(self) -> SettleTurn:
+        """Return what the store is told after the turn."""
+        return SettleTurn(
+            program_id=self.program_id,
+            attempt_id=self.attempt_id,
+            tokens=SPENT_TOKENS,
+            turn=self._kept(),
+            served_by=ENGINE,
+        )
+
+    def _kept(self) -> KeptTurn | None:
+        if self.turn_id is None:
+            return None
+        return KeptTurn(
+            turn_id=self.turn_id,
+            previous=self.previous,
+            content=bytes(CONTENT_BYTES),
+            retention_s=RETENTION_S,
+        )
+
+
 class _Nodes:
     """Sends turns at random moments from clients with connections of their own."""
 
@@ -184,52 +234,25 @@
             client = self._random.choice(clients)
             turn_id = f"{name}-turn-{number}" if turns > 1 else None
             try:
-                await self._run_turn(client, name, f"{name}-{number}", limit, previous, turn_id)
+                await self._run_turn(
+                    client, _Turn(name, f"{name}-{number}", limit, previous, turn_id)
+                )
             except PasslaneError:
                 self._failed += 1
                 return
             previous = turn_id
 
-    async def _run_turn(
-        self,
-        client: TurnStoreClient,
-        program: str,
-        attempt: str,
-        limit: QuotaLimit,
-        previous: str | None,
-        turn_id: str | None,
-    ) -> None:
-        reserve = ReserveTurn(
-            program_id=program,
-            attempt_id=attempt,
-            most_tokens=400,
-            budget_tokens=100_000,
-            previous=previous,
-            retention_s=RETENTION_S,
-            quota=QuotaDraw(limit=limit, use=QuotaUse.CONTINUE_PROGRAM, route="measured"),
-        )
+    async def _run_turn(self, client: TurnStoreClient, turn: _Turn) -> None:
         began = time.perf_counter()
-        answer = await client.reserve(reserve, timeout_s=TIMEOUT_S)
+        reservation = await client.reserve(turn.reservation(), timeout_s=TIMEOUT_S)
         self._note(self._result.reservations_s, began)
-        if not isinstance(answer, TurnReserved):
+        if not isinstance(reservation.answer, TurnReserved):
             self._failed += 1
             return
         await anyio.sleep(ENGINE_S)
-        turn = None
-        if turn_id is not None:
-            content = bytes(CONTENT_BYTES)
-            turn = KeptTurn(
-                turn_id=turn_id, previous=previous, content=content, retention_s=RETENTION_S
-            )
-        settle = SettleTurn(
-            program_id=program,
-            attempt_id=attempt,
-            tokens=120,
-            turn=turn,
-            served_by="engine-0123456789",
-        )
+        settlement = turn.settlement()
         began = time.perf_counter()
-        await client.settle(settle, timeout_s=TIMEOUT_S)
+        await client.settle(settlement, timeout_s=TIMEOUT_S)
         self._note(self._result.settlements_s, began)
 
     def _note(self, times: list[float], began: float) -> None:
