--- a/src/passlane/bench/demo.py
+++ b/src/passlane/bench/demo.py
@@ -6,20 +6,24 @@
 the ledger; stops everything. Exits 0 if all stated outcomes came true.
 """
 
-import argparse
 import sys
 import tempfile
 from collections import Counter
 from collections.abc import Sequence
 from pathlib import Path
+from typing import ClassVar
 
 import anyio
+from cleo.commands.command import Command
+from cleo.helpers import option
+from cleo.io.inputs.option import Option
 
 from passlane.bench.fleet import Fleet
 from passlane.bench.fleet_files import ProcessKind
 from passlane.bench.fleet_process import FleetError
 from passlane.bench.process_replay import ProcessReplayFleet, process_replay_fleet
 from passlane.emulator.caller_answers import CallResult
+from passlane.emulator.program import run_single_command
 from passlane.emulator.replayer import (
     Mismatch,
     PlayedAction,
@@ -51,19 +55,30 @@
 CHARGE_TOOL = "charge"
 
 
+class DemoCommand(Command):
+    """Plays recorded programs against a fleet of processes."""
+
+    name = "make demo"
+    description = "Runs a fleet on loopback that serves recorded programs."
+    options: ClassVar[list[Option]] = [
+        option("kill-node", None, "1: kill the leading node (SIGKILL).", flag=False, default="")
+    ]
+
+    def handle(self) -> int:
+        """Run the demonstration and return the exit code."""
+        names = TRACES if self.option("kill-node") in ("", "0") else (TRACE_WITH_KILLS,)
+        traces = [read_trace(ROOT / "traces" / name) for name in names]
+        with tempfile.TemporaryDirectory(prefix="passlane-demo-") as folder:
+            try:
+                return _run(Fleet(EXAMPLE, Path(folder)), traces)
+            except FleetError as error:
+                print(f"demo failed: {error}")
+                return 1
+
+
 def main(arguments: Sequence[str] | None = None) -> int:
     """Run the demonstration and return the exit code."""
-    parser = argparse.ArgumentParser(prog="make demo", description=__doc__)
-    parser.add_argument("--kill-node", default="", help="1: kill the leading node (SIGKILL)")
-    options = parser.parse_args(arguments)
-    names = (TRACE_WITH_KILLS,) if options.kill_node not in ("", "0") else TRACES
-    traces = [read_trace(ROOT / "traces" / name) for name in names]
-    with tempfile.TemporaryDirectory(prefix="passlane-demo-") as folder:
-        try:
-            return _run(Fleet(EXAMPLE, Path(folder)), traces)
-        except FleetError as error:
-            print(f"demo failed: {error}")
-            return 1
+    return run_single_command(DemoCommand(), arguments)
 
 
 def _run(fleet: Fleet, traces: Sequence[Trace]) -> int:
--- a/src/passlane/bench/fleet_run.py
+++ b/src/passlane/bench/fleet_run.py
@@ -9,16 +9,19 @@
 as JSON, with ``--report`` also in a file. Exits 1 if a promise was broken.
 """
 
-import argparse
 import sys
 import tempfile
 from collections.abc import Sequence
 from dataclasses import dataclass, field, replace
 from pathlib import Path
+from typing import ClassVar
 
 import anyio
 import anyio.to_thread
 import msgspec
+from cleo.commands.command import Command
+from cleo.helpers import option
+from cleo.io.inputs.option import Option
 
 from passlane.bench.disturbances import DisturbanceKind, DisturbanceSettings, Disturber
 from passlane.bench.fleet import Fleet
@@ -27,6 +30,7 @@
 from passlane.bench.process_replay import process_replay_fleet
 from passlane.bench.report_files import write_report
 from passlane.emulator.load import LoadRunner
+from passlane.emulator.program import EXIT_USAGE, run_single_command
 from passlane.emulator.workload import (
     MUSIC_HOUSE_WORKLOAD,
     TOP_UP_WORKLOAD,
@@ -114,11 +118,6 @@
     return run(options)
 
 
-def main(arguments: Sequence[str] | None = None) -> int:
-    """Run what the command line asks for and return the exit code."""
-    return run(_parse(arguments))
-
-
 def run(options: FleetRunOptions) -> int:
     """Run, print the report and return the exit code."""
     with tempfile.TemporaryDirectory(prefix="passlane-fleet-") as folder:
@@ -167,34 +166,58 @@
     return report
 
 
-def _parse(arguments: Sequence[str] | None) -> FleetRunOptions:
-    """Return the command line's options."""
-    parser = argparse.ArgumentParser(prog="passlane.bench.fleet_run", description=__doc__)
-    parser.add_argument("--example", type=Path, default=EXAMPLES / TOP_UP)
-    parser.add_argument("--seconds", type=float, default=30.0, help="how long programs arrive")
-    parser.add_argument("--rate", type=float, help="programs a second")
-    parser.add_argument("--turns-max", type=int, help="most model calls of one program")
-    parser.add_argument("--pause-scale", type=float, default=0.2)
-    parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--quiet", type=float, default=4.0, help="seconds between disturbances")
-    parser.add_argument("--outage", type=float, default=3.0, help="seconds that each lasts")
-    parser.add_argument(
-        "--disturb",
-        default="all",
-        help="all, none, or kinds with commas: " + ", ".join(DisturbanceKind),
-    )
-    parser.add_argument("--report", type=Path, help="folder for the JSON")
-    options = parser.parse_args(arguments)
-    return FleetRunOptions(
-        example=options.example,
-        seconds=options.seconds,
-        rate=options.rate,
-        turns_max=options.turns_max,
-        pause_scale=options.pause_scale,
-        seed=options.seed,
-        disturbances=_disturbances(options.disturb, options.quiet, options.outage),
-        report=options.report,
-    )
+class FleetRunCommand(Command):
+    """Runs a fleet under a load and disturbances of one's own choice."""
+
+    name = "passlane.bench.fleet_run"
+    description = "Runs a deployment's processes under load and disturbances."
+    options: ClassVar[list[Option]] = [
+        option("example", None, "Folder.", flag=False, default=str(EXAMPLES / TOP_UP)),
+        option("seconds", None, "How long programs arrive.", flag=False, default="30"),
+        option("rate", None, "Programs a second.", flag=False),
+        option("turns-max", None, "Most model calls of one program.", flag=False),
+        option("pause-scale", None, "Pauses are multiplied by this.", flag=False, default="0.2"),
+        option("seed", None, "Seed of load and disturbances.", flag=False, default="1"),
+        option("between", None, "Seconds between disturbances.", flag=False, default="4"),
+        option("outage", None, "Seconds that each lasts.", flag=False, default="3"),
+        option(
+            "disturb",
+            None,
+            "all, none, or kinds with commas: " + ", ".join(DisturbanceKind),
+            flag=False,
+            default="all",
+        ),
+        option("report", None, "Folder for the JSON.", flag=False),
+    ]
+
+    def handle(self) -> int:
+        """Run the fleet and return the exit code."""
+        try:
+            options = self._options()
+        except ValueError as error:
+            self.line_error(str(error))
+            return EXIT_USAGE
+        return run(options)
+
+    def _options(self) -> FleetRunOptions:
+        """Return what the command line asks for; raise ``ValueError`` for what is no number."""
+        rate, turns_max, report = (
+            self.option("rate"),
+            self.option("turns-max"),
+            self.option("report"),
+        )
+        return FleetRunOptions(
+            example=Path(self.option("example")),
+            seconds=float(self.option("seconds")),
+            rate=None if rate is None else float(rate),
+            turns_max=None if turns_max is None else int(turns_max),
+            pause_scale=float(self.option("pause-scale")),
+            seed=int(self.option("seed")),
+            disturbances=_disturbances(
+                self.option("disturb"), float(self.option("between")), float(self.option("outage"))
+            ),
+            report=None if report is None else Path(report),
+        )
 
 
 def _disturbances(kinds: str, quiet_s: float, outage_s: float) -> DisturbanceSettings:
@@ -207,5 +230,10 @@
     return DisturbanceSettings(chosen, quiet_s, outage_s)
 
 
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Run what the command line asks for and return the exit code."""
+    return run_single_command(FleetRunCommand(), arguments)
+
+
 if __name__ == "__main__":
     sys.exit(main())
--- a/src/passlane/bench/playground.py
+++ b/src/passlane/bench/playground.py
@@ -4,38 +4,53 @@
 and for callers.
 """
 
-import argparse
 import shlex
 import signal
 import sys
 import tempfile
 from collections.abc import Sequence
 from pathlib import Path
+from typing import ClassVar
 
 import anyio
+from cleo.commands.command import Command
+from cleo.helpers import option
+from cleo.io.inputs.option import Option
 
 from passlane.bench.fleet import Fleet
 from passlane.bench.fleet_files import CONFIGURATION_FILE
 from passlane.bench.fleet_process import FleetError
+from passlane.emulator.program import run_single_command
 
-EXAMPLES = Path(__file__).resolve().parents[3] / "examples"
+EXAMPLE = Path(__file__).resolve().parents[3] / "examples" / "small"
 VARIABLES_FILE = "variables.sh"
 CALLER_TENANT = "corner-shop"
 
 
+class PlaygroundCommand(Command):
+    """Keeps the fleet of an example up until SIGINT or SIGTERM."""
+
+    name = "make playground"
+    description = "Runs a fleet on loopback until Ctrl-C."
+    options: ClassVar[list[Option]] = [
+        option("example", None, "Folder with settings.", flag=False, default=str(EXAMPLE))
+    ]
+
+    def handle(self) -> int:
+        """Run the fleet and return the exit code."""
+        with tempfile.TemporaryDirectory(prefix="passlane-playground-") as folder:
+            try:
+                with Fleet(Path(self.option("example")), Path(folder)) as fleet:
+                    _run(fleet)
+            except FleetError as error:
+                print(f"playground failed: {error}")
+                return 1
+        return 0
+
+
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run the fleet until SIGINT or SIGTERM and return the exit code."""
-    parser = argparse.ArgumentParser(prog="make playground", description=__doc__)
-    parser.add_argument("--example", type=Path, default=EXAMPLES / "small")
-    options = parser.parse_args(arguments)
-    with tempfile.TemporaryDirectory(prefix="passlane-playground-") as folder:
-        try:
-            with Fleet(options.example, Path(folder)) as fleet:
-                _run(fleet)
-        except FleetError as error:
-            print(f"playground failed: {error}")
-            return 1
-    return 0
+    """Run the fleet until a signal and return the exit code."""
+    return run_single_command(PlaygroundCommand(), arguments)
 
 
 def _run(fleet: Fleet) -> None:
--- a/src/passlane/emulator/main.py
+++ b/src/passlane/emulator/main.py
@@ -1,13 +1,17 @@
 """``python -m passlane.emulator.main KIND --settings FILE``: an emulated back end as a process."""
 
-import argparse
 import signal
 import sys
+from collections.abc import Sequence
 from pathlib import Path
+from typing import ClassVar
 
 import anyio
 import msgspec
 from anyio.abc import TaskGroup
+from cleo.commands.command import Command
+from cleo.helpers import option
+from cleo.io.inputs.option import Option
 
 from passlane.emulator.application_app import build_tool_application
 from passlane.emulator.application_model import ApplicationModel
@@ -15,42 +19,58 @@
 from passlane.emulator.engine_service import EngineService
 from passlane.emulator.platform_app import build_platform_application
 from passlane.emulator.platform_model import PlatformModel
+from passlane.emulator.program import EXIT_USAGE, run_commands
 from passlane.emulator.remote_cache import remote_cache_reader
 from passlane.emulator.settings import EmulatorSettings, load_emulator_settings
 from passlane.errors import PasslaneError
 from passlane.identifiers import EngineId
-from passlane.messages.common import Address
 from passlane.runtime.interfaces import AsgiApplication, Environment
 from passlane.runtime.real import build_environment
 
 KINDS = ("engine", "application", "platform")
-EXIT_INVALID_SETTINGS = 2
-
-
-def main(arguments: list[str] | None = None) -> int:
-    """Serve one back end until SIGTERM or SIGINT; return the exit code."""
-    options = _parse(arguments)
-    try:
-        settings = load_emulator_settings(options.settings)
-    except PasslaneError as error:
-        print(error, file=sys.stderr)
-        return EXIT_INVALID_SETTINGS
-    if options.listen is not None:
-        settings = msgspec.structs.replace(settings, listen=options.listen)
-    if options.incarnation is not None:
-        settings = msgspec.structs.replace(settings, incarnation=options.incarnation)
-    anyio.run(_serve, options.kind, settings)
-    return 0
-
-
-def _parse(arguments: list[str] | None) -> argparse.Namespace:
-    """Return the command line's options."""
-    parser = argparse.ArgumentParser(prog="passlane.emulator.main", description=__doc__)
-    parser.add_argument("kind", choices=KINDS)
-    parser.add_argument("--settings", type=Path, required=True, help="TOML file")
-    parser.add_argument("--listen", type=Address.parse, help="host:port, instead of the file's")
-    parser.add_argument("--incarnation", type=int, help="number of this start")
-    return parser.parse_args(arguments)
+
+
+class BackEndCommand(Command):
+    """Serves one back end until SIGTERM or SIGINT.
+
+    Parameters
+    ----------
+    kind
+        What it is: the command's name.
+    """
+
+    description = "Serves an emulated back end."
+    options: ClassVar[list[Option]] = [
+        option("settings", "s", "Settings file (TOML).", flag=False),
+        option("incarnation", None, "Number of this start.", flag=False),
+    ]
+
+    def __init__(self, kind: str) -> None:
+        super().__init__()
+        self.name = kind
+        self._kind = kind
+
+    def handle(self) -> int:
+        """Serve the back end and return the exit code."""
+        file, incarnation = self.option("settings"), self.option("incarnation")
+        if file is None:
+            self.line_error(f"{self._kind}: --settings FILE is needed")
+            return EXIT_USAGE
+        try:
+            settings = load_emulator_settings(Path(file))
+        except PasslaneError as error:
+            self.line_error(str(error))
+            return EXIT_USAGE
+        if incarnation is not None:
+            settings = msgspec.structs.replace(settings, incarnation=int(incarnation))
+        anyio.run(_serve, self._kind, settings)
+        return 0
+
+
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Serve the back end that the command line names; return the exit code."""
+    commands = [BackEndCommand(kind) for kind in KINDS]
+    return run_commands("passlane.emulator.main", commands, arguments)
 
 
 async def _serve(kind: str, settings: EmulatorSettings) -> None:
