--- a/src/passlane/bench/__init__.py
+++ b/src/passlane/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments that compare passlane with baselines and measure slopes."""
+"""Experiments, the demo and the playground, and the rig that starts their processes."""
--- a/src/passlane/bench/cli.py
+++ b/src/passlane/bench/cli.py
@@ -16,7 +16,7 @@
     experiment
         Name of the experiment; see ``list_experiments``.
     report_dir
-        Folder for JSON and plots; made if there is none. ``None`` only prints.
+        Folder for JSON; made if there is none. ``None`` only prints.
     """
     found = find_experiment(experiment)
     if found is None:
--- a/src/passlane/bench/registry.py
+++ b/src/passlane/bench/registry.py
@@ -1,7 +1,6 @@
 """Names of the experiments and where each one's code is.
 
-The modules are imported only when their experiment is run, so that listing the
-experiments is fast and one that lacks a library harms no other.
+The modules are imported only when their experiment is run, so that listing them is fast.
 """
 
 import importlib
--- a/src/passlane/bench/turn_cost.py
+++ b/src/passlane/bench/turn_cost.py
@@ -10,6 +10,7 @@
 import time
 from collections import Counter
 from collections.abc import Sequence
+from dataclasses import dataclass
 from pathlib import Path
 
 import anyio
@@ -28,6 +29,7 @@
     NodesSetup,
     ReplicaSetup,
 )
+from passlane.bench.turn_steps import step_of
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.common import Address
 from passlane.messages.turns import FindTurnStore, TurnStoreFound
@@ -54,29 +56,6 @@
 _MILLISECONDS = 1_000
 _MICROSECONDS = 1_000_000
 
-STEPS = (
-    ("receive, decode", ("transport.frames:feed", "transport.frames:_check", "messages.registry")),
-    ("receive, decode", ("transport.channel:frames", "transport.channel:message_in")),
-    ("receive, decode", ("transport.server_connection:_rec", "transport.server_connection:_read")),
-    ("receive, decode", ("runtime.accepted_stream:receive", "runtime.accepted_stream:data_")),
-    ("answer requests: tasks, scopes", ("transport.server_connection",)),
-    ("answer requests: tasks, scopes", ("transport.request_workers",)),
-    ("send: encode, frame, write", ("transport.", "replication.peer_sender", "messages.base")),
-    ("send: encode, frame, write", ("runtime.accepted_stream",)),
-    ("service", ("turns.service",)),
-    ("quota draw", ("quotas.",)),
-    ("apply", ("turns.machine",)),
-    ("propose, wake callers", ("replication.proposal_batch", "replication.pending")),
-    ("propose, wake callers", ("replication.replica_host:propose",)),
-    ("sync", ("replication.durable_writes:sync", "runtime.disk:sync", "runtime.disk:_sync")),
-    ("sync", ("runtime.worker_thread",)),
-    ("sync", ("storage.log:sync", "storage.segments:sync", "storage.segments:write_synced")),
-    ("append to the log", ("storage.", "runtime.disk")),
-    ("append to the log", ("replication.durable_writes:append",)),
-    ("replicate", ("raft.", "replication.")),
-)
-"""Steps of a turn by the beginnings of the places that belong to them; the first one counts."""
-
 
 class TurnCost(msgspec.Struct, frozen=True):
     """What turns at one rate cost; processor time in microseconds for each turn.
@@ -111,12 +90,16 @@
         return "\n".join(lines)
 
 
-def step_of(place: str) -> str:
-    """Return the step that a sampled place belongs to."""
-    for step, beginnings in STEPS:
-        if place.startswith(beginnings):
-            return step
-    return "event loop, timers"
+@dataclass(frozen=True, slots=True)
+class _Run:
+    """What was asked of a run and what came of it; ``spent_s`` is of its middle alone."""
+
+    turns_per_s: float
+    duration_s: float
+    leader: Address
+    spent_s: dict[Address, float]
+    answers: list[NodesResult]
+    samples: dict[str, int]
 
 
 class _Processes:
@@ -216,10 +199,17 @@
     if anyio.run(_find_leader, addresses) != leader:
         raise PasslaneError(ErrorCode.UNAVAILABLE, "the leader changed during the run")
     processes.stop_replicas()
-    answers = [msgspec.json.decode(file.read_bytes(), type=NodesResult) for file in results]
     samples = processes.samples_file(leader)
-    places = msgspec.json.decode(samples.read_bytes()) if samples.exists() else {}
-    return _summarize(turns_per_s, duration_s, leader, spent, answers, places)
+    return _summarize(
+        _Run(
+            turns_per_s=turns_per_s,
+            duration_s=duration_s,
+            leader=leader,
+            spent_s=spent,
+            answers=[msgspec.json.decode(file.read_bytes(), type=NodesResult) for file in results],
+            samples=msgspec.json.decode(samples.read_bytes()) if samples.exists() else {},
+        )
+    )
 
 
 def _start_nodes(
@@ -254,44 +244,49 @@
     }
 
 
-def _summarize(
-    turns_per_s: float,
-    duration_s: float,
-    leader: Address,
-    spent: dict[Address, float],
-    answers: list[NodesResult],
-    samples: dict[str, int],
-) -> TurnCost:
-    reserve = summarize(taken for answer in answers for taken in answer.reservations_s)
-    settle = summarize(taken for answer in answers for taken in answer.settlements_s)
+def _summarize(run: _Run) -> TurnCost:
+    reserve = summarize(taken for answer in run.answers for taken in answer.reservations_s)
+    settle = summarize(taken for answer in run.answers for taken in answer.settlements_s)
     if not settle.count:
         raise PasslaneError(ErrorCode.UNAVAILABLE, "no turn was settled")
-    measured_per_s = settle.count / duration_s
-    turns = measured_per_s * (duration_s - 2 * EDGE_S)
-    leader_us = spent[leader] / turns * _MICROSECONDS
-    followers_s = sum(spent.values()) - spent[leader]
-    per_sample = leader_us / sum(samples.values()) if samples else 0.0
-    steps: Counter[str] = Counter()
-    for place, count in samples.items():
-        steps[step_of(place)] += count
+    measured_per_s = settle.count / run.duration_s
+    middle_s = run.duration_s - 2 * EDGE_S
+    turns = measured_per_s * middle_s
+    leader_s = run.spent_s[run.leader]
+    followers_s = sum(run.spent_s.values()) - leader_s
+    leader_us = leader_s / turns * _MICROSECONDS
+    places = _by_place(run.samples, leader_us)
     return TurnCost(
-        turns_per_s=turns_per_s,
+        turns_per_s=run.turns_per_s,
         measured_per_s=measured_per_s,
         leader_us=leader_us,
-        leader_core=spent[leader] / (duration_s - 2 * EDGE_S),
+        leader_core=leader_s / middle_s,
         follower_us=followers_s / (REPLICAS - 1) / turns * _MICROSECONDS,
         reserve_p50_ms=reserve.p50 * _MILLISECONDS,
         reserve_p99_ms=reserve.p99 * _MILLISECONDS,
         settle_p50_ms=settle.p50 * _MILLISECONDS,
         settle_p99_ms=settle.p99 * _MILLISECONDS,
-        failed=sum(answer.failed for answer in answers),
-        steps={step: count * per_sample for step, count in steps.most_common()},
-        places={
-            place: count * per_sample for place, count in Counter(samples).most_common(SHOWN_PLACES)
-        },
+        failed=sum(answer.failed for answer in run.answers),
+        steps=_by_step(places),
+        places=dict(list(places.items())[:SHOWN_PLACES]),
     )
 
 
+def _by_place(samples: dict[str, int], leader_us: float) -> dict[str, float]:
+    """Share a turn's time at the leader among the places sampled, most first."""
+    per_sample = leader_us / sum(samples.values()) if samples else 0.0
+    return {place: count * per_sample for place, count in Counter(samples).most_common()}
+
+
+def _by_step(places: dict[str, float]) -> dict[str, float]:
+    """Add the times of places up by step, most first."""
+    steps: dict[str, float] = {}
+    for place, spent in places.items():
+        step = step_of(place)
+        steps[step] = steps.get(step, 0.0) + spent
+    return dict(sorted(steps.items(), key=lambda item: item[1], reverse=True))
+
+
 def run(report: Path | None) -> int:
     """Measure each rate, and the leader's steps at one of them; write ``turn-cost.json``."""
     configure_logging(RingLog(RING_LINES))
@@ -301,7 +296,3 @@
         print(result.to_text())
     write_report(report, REPORT_FILE, results)
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(run(None))
--- a/tests/bench/test_turn_cost.py
+++ b/tests/bench/test_turn_cost.py
@@ -7,7 +7,6 @@
 import anyio
 
 from passlane.bench.loopback import free_address
-from passlane.bench.turn_cost import step_of
 from passlane.bench.turn_cost_process import (
     NodesResult,
     NodesSetup,
@@ -15,6 +14,7 @@
     run_nodes,
     run_replica,
 )
+from passlane.bench.turn_steps import step_of
 from passlane.settings.model import PeerSettings
 
 RUN_TIMEOUT_S = 20.0
