--- a/src/passlane/bench/fleet.py
+++ b/src/passlane/bench/fleet.py
@@ -15,12 +15,9 @@
 
 import httpcore
 
-from passlane.bench.fleet_files import (
-    CONFIGURATION_FILE,
-    ProcessKind,
-    copy_example,
-)
+from passlane.bench.fleet_files import ProcessKind, copy_example
 from passlane.bench.fleet_process import FleetError, FleetProcess, process_environment
+from passlane.emulator.example_files import CONFIGURATION_FILE
 from passlane.messages.common import Address
 
 READY_TIMEOUT_S = 60.0
--- a/src/passlane/bench/fleet_files.py
+++ b/src/passlane/bench/fleet_files.py
@@ -7,11 +7,9 @@
 from enum import StrEnum
 from pathlib import Path
 
+from passlane.emulator.example_files import CONFIGURATION_FILE, LOOPBACK_ADDRESS
 from passlane.messages.common import Address
 
-_LOOPBACK_ADDRESS = re.compile(r"\b(127\.\d{1,3}\.\d{1,3}\.\d{1,3}):(\d{1,5})\b")
-CONFIGURATION_FILE = "configuration.toml"
-
 
 class ProcessKind(StrEnum):
     """What a process of a fleet is, as seen by its settings file."""
@@ -58,7 +56,7 @@
     processes: list[ProcessFile] = []
     for source in sorted(example.glob("*.toml")):
         target = folder / source.name
-        target.write_text(_LOOPBACK_ADDRESS.sub(ports.replace, source.read_text()))
+        target.write_text(LOOPBACK_ADDRESS.sub(ports.replace, source.read_text()))
         if source.name != CONFIGURATION_FILE:
             processes.append(_read_process(target))
     ports.close()
--- a/src/passlane/bench/playground.py
+++ b/src/passlane/bench/playground.py
@@ -18,8 +18,8 @@
 from cleo.io.inputs.option import Option
 
 from passlane.bench.fleet import Fleet
-from passlane.bench.fleet_files import CONFIGURATION_FILE
 from passlane.bench.fleet_process import FleetError
+from passlane.emulator.example_files import CONFIGURATION_FILE
 from passlane.emulator.program import run_single_command
 
 EXAMPLE = Path(__file__).resolve().parents[3] / "examples" / "small"
--- a/src/passlane/emulator/example_files.py
+++ b/src/passlane/emulator/example_files.py
@@ -19,7 +19,8 @@
 
 CONFIGURATION_FILE = "configuration.toml"
 OUTSIDE_ZONE = "outside"
-_LOOPBACK_ADDRESS = re.compile(r"\b127\.\d{1,3}\.\d{1,3}\.\d{1,3}:\d{1,5}\b")
+LOOPBACK_ADDRESS = re.compile(r"\b(127\.\d{1,3}\.\d{1,3}\.\d{1,3}):(\d{1,5})\b")
+"""An address in an example's files: its host and its port."""
 
 
 @dataclass(frozen=True)
@@ -43,7 +44,7 @@
     def replace(match: re.Match[str]) -> str:
         return hosts.get(match.group(0), match.group(0))
 
-    texts = {source.name: _LOOPBACK_ADDRESS.sub(replace, source.read_text()) for source in sources}
+    texts = {source.name: LOOPBACK_ADDRESS.sub(replace, source.read_text()) for source in sources}
     configuration = folder / CONFIGURATION_FILE
     configuration.write_text(texts.pop(CONFIGURATION_FILE))
     documents = tuple(load_document_files(configuration))
--- a/tests/bench/test_fleet_files.py
+++ b/tests/bench/test_fleet_files.py
@@ -6,7 +6,8 @@
 from collections import Counter
 from pathlib import Path
 
-from passlane.bench.fleet_files import CONFIGURATION_FILE, ProcessKind, copy_example
+from passlane.bench.fleet_files import ProcessKind, copy_example
+from passlane.emulator.example_files import CONFIGURATION_FILE
 
 EXAMPLES = Path(__file__).resolve().parents[2] / "examples"
 
