--- /dev/null
+++ b/tests/recorded_decisions/names.py
@@ -0,0 +1,43 @@
+"""The one place that names the machines under record, their events and their instructions.
+
+A module that moves or a class that is renamed changes the imports and the tables here, and
+nothing else of this folder. The markers stand for the classes in the digests and stay.
+"""
+
+from passlane.messages.common import Address
+from passlane.messages.listing import BackendRecord, BackendState
+from passlane.messages.placement import TurnDemand, TurnOutcome
+from passlane.scheduling.turn_events import (
+    TurnAsked,
+    TurnEnded,
+    TurnNotPlaced,
+    TurnPlaced,
+    TurnWithdrawn,
+)
+from passlane.scheduling.turn_scheduler import SchedulerFigures, TurnScheduler
+
+__all__ = [
+    "Address",
+    "BackendRecord",
+    "BackendState",
+    "SchedulerFigures",
+    "TurnAsked",
+    "TurnDemand",
+    "TurnEnded",
+    "TurnNotPlaced",
+    "TurnOutcome",
+    "TurnPlaced",
+    "TurnScheduler",
+    "TurnWithdrawn",
+]
+
+MARKERS: dict[type, str] = {
+    SchedulerFigures: "figures",
+    TurnNotPlaced: "not placed",
+    TurnPlaced: "placed",
+    TurnWithdrawn: "withdrawn",
+}
+"""What stands in a digest for the class of an instruction or of a part of one."""
+
+SHORTENED: dict[type, str] = {}
+"""Objects with state of their own, for which the named path of attributes stands in a digest."""
--- /dev/null
+++ b/tests/recorded_decisions/test_recorded_decisions.py
@@ -0,0 +1,24 @@
+"""Replays the recorded runs of the machines that decide, and compares each step.
+
+The digests are a net for the reshaping of these machines and go when that is over.
+"""
+
+import unittest
+
+from recorded_decisions.loads import LOADS
+from recorded_decisions.recording import compare
+
+
+class TestRecordedDecisions(unittest.TestCase):
+    """Equal events give equal instructions, to the byte."""
+
+    def check(self, machine: str, events: set[str], markers: set[str]) -> None:
+        """Replay a run, and see that it reached all kinds of events and instructions."""
+        reached = compare(machine, LOADS[machine]())
+        self.assertEqual(set(reached.events), events)
+        self.assertEqual(set(reached.markers), markers)
+
+    def test_turn_scheduler(self) -> None:
+        events = {"begin", "advance", "figures", "engines", "asked", "asked again"}
+        events |= {"given up", "ended", "ended again"}
+        self.check("turn_scheduler", events, {"placed", "not placed", "withdrawn", "figures"})
