--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -7,6 +7,15 @@
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.placement import TurnDemand, TurnOutcome
+from passlane.messages.quotas import (
+    QuotaDraw,
+    QuotaGranted,
+    QuotaLimit,
+    QuotaRefused,
+    QuotaUse,
+    TenantUsage,
+)
+from passlane.quotas.ledger import QuotaLedger, QuotaRules
 from passlane.scheduling.turn_events import (
     TurnAsked,
     TurnEnded,
@@ -20,7 +29,15 @@
     "Address",
     "BackendRecord",
     "BackendState",
+    "QuotaDraw",
+    "QuotaGranted",
+    "QuotaLedger",
+    "QuotaLimit",
+    "QuotaRefused",
+    "QuotaRules",
+    "QuotaUse",
     "SchedulerFigures",
+    "TenantUsage",
     "TurnAsked",
     "TurnDemand",
     "TurnEnded",
@@ -32,7 +49,10 @@
 ]
 
 MARKERS: dict[type, str] = {
+    QuotaGranted: "granted",
+    QuotaRefused: "refused",
     SchedulerFigures: "figures",
+    TenantUsage: "usage",
     TurnNotPlaced: "not placed",
     TurnPlaced: "placed",
     TurnWithdrawn: "withdrawn",
--- a/tests/recorded_decisions/test_recorded_decisions.py
+++ b/tests/recorded_decisions/test_recorded_decisions.py
@@ -22,3 +22,9 @@
         events = {"begin", "advance", "figures", "engines", "asked", "asked again"}
         events |= {"given up", "ended", "ended again"}
         self.check("turn_scheduler", events, {"placed", "not placed", "withdrawn", "figures"})
+
+    def test_quota_ledger(self) -> None:
+        events = {"draw begin_program", "draw continue_program", "draw alone", "draw ahead"}
+        events |= {"must tell", "sent late", "given back", "tell", "told True", "told False"}
+        events |= {"new term", "same term", "look"}
+        self.check("quota_ledger", events, {"granted", "refused", "usage"})
