--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -16,6 +16,16 @@
     TenantUsage,
 )
 from passlane.quotas.ledger import QuotaLedger, QuotaRules
+from passlane.relay.health import AttemptWatch, congestion_level, stall_limit_s
+from passlane.relay.placement import (
+    NodePlace,
+    PlacementChoice,
+    PlacementKey,
+    choose_backend,
+    note_failure,
+    note_success,
+)
+from passlane.relay.registry import BackendLoad, BackendRegistry, ServiceJudgement
 from passlane.scheduling.turn_events import (
     TurnAsked,
     TurnEnded,
@@ -27,8 +37,14 @@
 
 __all__ = [
     "Address",
+    "AttemptWatch",
+    "BackendLoad",
     "BackendRecord",
+    "BackendRegistry",
     "BackendState",
+    "NodePlace",
+    "PlacementChoice",
+    "PlacementKey",
     "QuotaDraw",
     "QuotaGranted",
     "QuotaLedger",
@@ -37,6 +53,7 @@
     "QuotaRules",
     "QuotaUse",
     "SchedulerFigures",
+    "ServiceJudgement",
     "TenantUsage",
     "TurnAsked",
     "TurnDemand",
@@ -46,12 +63,19 @@
     "TurnPlaced",
     "TurnScheduler",
     "TurnWithdrawn",
+    "choose_backend",
+    "congestion_level",
+    "note_failure",
+    "note_success",
+    "stall_limit_s",
 ]
 
 MARKERS: dict[type, str] = {
+    PlacementChoice: "choice",
     QuotaGranted: "granted",
     QuotaRefused: "refused",
     SchedulerFigures: "figures",
+    ServiceJudgement: "judgement",
     TenantUsage: "usage",
     TurnNotPlaced: "not placed",
     TurnPlaced: "placed",
@@ -59,5 +83,8 @@
 }
 """What stands in a digest for the class of an instruction or of a part of one."""
 
-SHORTENED: dict[type, str] = {}
+SHORTENED: dict[type, str] = {
+    BackendLoad: "record.instance_id",
+    BackendRecord: "instance_id",
+}
 """Objects with state of their own, for which the named path of attributes stands in a digest."""
--- a/tests/recorded_decisions/test_recorded_decisions.py
+++ b/tests/recorded_decisions/test_recorded_decisions.py
@@ -28,3 +28,8 @@
         events |= {"must tell", "sent late", "given back", "tell", "told True", "told False"}
         events |= {"new term", "same term", "look"}
         self.check("quota_ledger", events, {"granted", "refused", "usage"})
+
+    def test_engine_choice(self) -> None:
+        events = {"listed", "confirmed", "look", "choose model", "choose plain", "choose again"}
+        events |= {"choose none", "first part", "succeeded", "failed", "dropped"}
+        self.check("engine_choice", events, {"choice", "judgement"})
--- a/tests/recorded_decisions/turn_scheduler_load.py
+++ b/tests/recorded_decisions/turn_scheduler_load.py
@@ -4,11 +4,9 @@
 refused comes back or stays away. Engines come, leave, drain, fail, refuse and hang.
 """
 
-import heapq
 import math
-from collections.abc import Callable, Iterator
-from dataclasses import dataclass, field
-from random import Random
+from collections.abc import Iterator
+from dataclasses import dataclass
 from typing import Any
 
 from recorded_decisions.names import (
@@ -24,6 +22,7 @@
     TurnScheduler,
 )
 from recorded_decisions.recording import Step
+from recorded_decisions.world import World
 
 SEED = 20_260_101
 STEPS = 6_000
@@ -67,34 +66,20 @@
     engine: str = ""
 
 
-@dataclass
-class _Load:
+class _Load(World):
     """The world around the scheduler."""
 
-    random: Random
-    scheduler: TurnScheduler = field(default_factory=TurnScheduler)
-    now: float = 0.0
-    coming: list[tuple[float, int, Callable[[], Step | None]]] = field(default_factory=list)
-    turns: dict[str, _Turn] = field(default_factory=dict)
-    count: int = 0
-    lists: int = 0
-
-    def later(self, seconds: float, act: Callable[[], Step | None]) -> None:
-        self.count += 1
-        heapq.heappush(self.coming, (self.now + seconds, self.count, act))
-
-    def steps(self) -> Iterator[Step]:
+    def __init__(self, seed: int) -> None:
+        super().__init__(seed)
+        self.scheduler = TurnScheduler()
+        self.turns: dict[str, _Turn] = {}
+        self.lists = 0
         for at_s in NEW_LEADER_AT_S:
             self.later(at_s, self.begin)
         self.later(0.0, self.list_engines)
         self.later(0.0, self.tick)
         self.later(0.1, self.figures)
         self.later(0.2, self.new_program)
-        while self.coming:
-            self.now, _, act = heapq.heappop(self.coming)
-            step = act()
-            if step is not None:
-                yield step
 
     def told(self, kind: str, event: Any, decisions: list[Any]) -> Step:
         """Act upon decisions and return the step."""
@@ -168,11 +153,10 @@
 
     def program(self) -> _Program:
         random = self.random
-        self.count += 1
         is_looping = random.random() < 0.02
         has_deadline = random.random() < 0.9
         return _Program(
-            program_id=f"program-{self.count}",
+            program_id=f"program-{self.next_number()}",
             service="model" if random.random() < 0.85 else "small",
             route=random.choice(("alarm", "session")),
             tenant=random.choice(("", "north", "south", "south")),
@@ -192,9 +176,8 @@
             self.later(retry_after_s / 2, lambda: self.ask(program))
 
     def ask(self, program: _Program) -> Step:
-        self.count += 1
         asked = TurnAsked(
-            attempt_id=f"attempt-{self.count}",
+            attempt_id=f"attempt-{self.next_number()}",
             program_id=program.program_id,
             is_first=program.is_first,
             used_last=program.used_last if self.random.random() < 0.8 else "",
@@ -296,5 +279,4 @@
 
 def turn_scheduler_steps() -> Iterator[Step]:
     """Yield the steps of the recorded run."""
-    steps = _Load(Random(SEED)).steps()
-    return (step for step, _ in zip(steps, range(STEPS), strict=False))
+    return _Load(SEED).play(STEPS)
