--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -15,8 +15,11 @@
     QuotaUse,
     TenantUsage,
 )
+from passlane.messages.routes import Route, RouteKind
 from passlane.quotas.ledger import QuotaLedger, QuotaRules
+from passlane.relay.caller_patience import first_part_due_at
 from passlane.relay.health import AttemptWatch, congestion_level, stall_limit_s
+from passlane.relay.node_load import LoadChange, NodeCapacity, NodeLoad, NodeReading
 from passlane.relay.placement import (
     NodePlace,
     PlacementChoice,
@@ -25,7 +28,11 @@
     note_failure,
     note_success,
 )
+from passlane.relay.plain_placement import PlainCall, PlainChoice, PlainView
 from passlane.relay.registry import BackendLoad, BackendRegistry, ServiceJudgement
+from passlane.relay.retry_after import retry_after_s as outage_retry_after_s
+from passlane.relay.room_wait import PauseRange, RoomTurn, WaitingCall
+from passlane.relay.service_room import ServiceRoom
 from passlane.scheduling.turn_events import (
     TurnAsked,
     TurnEnded,
@@ -42,9 +49,17 @@
     "BackendRecord",
     "BackendRegistry",
     "BackendState",
+    "LoadChange",
+    "NodeCapacity",
+    "NodeLoad",
     "NodePlace",
+    "NodeReading",
+    "PauseRange",
     "PlacementChoice",
     "PlacementKey",
+    "PlainCall",
+    "PlainChoice",
+    "PlainView",
     "QuotaDraw",
     "QuotaGranted",
     "QuotaLedger",
@@ -52,8 +67,12 @@
     "QuotaRefused",
     "QuotaRules",
     "QuotaUse",
+    "RoomTurn",
+    "Route",
+    "RouteKind",
     "SchedulerFigures",
     "ServiceJudgement",
+    "ServiceRoom",
     "TenantUsage",
     "TurnAsked",
     "TurnDemand",
@@ -63,17 +82,24 @@
     "TurnPlaced",
     "TurnScheduler",
     "TurnWithdrawn",
+    "WaitingCall",
     "choose_backend",
     "congestion_level",
+    "first_part_due_at",
     "note_failure",
     "note_success",
+    "outage_retry_after_s",
     "stall_limit_s",
 ]
 
 MARKERS: dict[type, str] = {
+    LoadChange: "load change",
+    PauseRange: "pauses",
     PlacementChoice: "choice",
+    PlainChoice: "plain choice",
     QuotaGranted: "granted",
     QuotaRefused: "refused",
+    RoomTurn: "turn",
     SchedulerFigures: "figures",
     ServiceJudgement: "judgement",
     TenantUsage: "usage",
@@ -86,5 +112,6 @@
 SHORTENED: dict[type, str] = {
     BackendLoad: "record.instance_id",
     BackendRecord: "instance_id",
+    WaitingCall: "request_id",
 }
 """Objects with state of their own, for which the named path of attributes stands in a digest."""
--- a/tests/recorded_decisions/test_recorded_decisions.py
+++ b/tests/recorded_decisions/test_recorded_decisions.py
@@ -33,3 +33,12 @@
         events = {"listed", "confirmed", "look", "choose model", "choose plain", "choose again"}
         events |= {"choose none", "first part", "succeeded", "failed", "dropped"}
         self.check("engine_choice", events, {"choice", "judgement"})
+
+    def test_room(self) -> None:
+        events = {"listed", "look", "choose", "choose in turn", "sent to engine", "answered"}
+        events |= {"refused", "broken off", "joined", "turn", "no turn", "given up"}
+        self.check("room", events, {"pauses", "plain choice", "turn"})
+
+    def test_node_load(self) -> None:
+        events = {"reading", "ask", "wait stream", "wait at_most_once", "wait repeatable"}
+        self.check("node_load", events, {"load change"})
