--- a/tests/recorded_decisions/loads.py
+++ b/tests/recorded_decisions/loads.py
@@ -7,6 +7,7 @@
 from recorded_decisions.quota_ledger_load import quota_ledger_steps
 from recorded_decisions.recording import Step
 from recorded_decisions.room_load import room_steps
+from recorded_decisions.scheduler_load import scheduler_steps
 from recorded_decisions.turn_scheduler_load import turn_scheduler_steps
 
 LOADS: dict[str, Callable[[], Iterator[Step]]] = {
@@ -14,5 +15,6 @@
     "node_load": node_load_steps,
     "quota_ledger": quota_ledger_steps,
     "room": room_steps,
+    "scheduler": scheduler_steps,
     "turn_scheduler": turn_scheduler_steps,
 }
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -4,6 +4,16 @@
 nothing else of this folder. The markers stand for the classes in the digests and stay.
 """
 
+from passlane.configuration.documents import EngineBody
+from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
+from passlane.messages.backends import (
+    CacheEntry,
+    CacheEvent,
+    CacheEventKind,
+    CacheEvents,
+    CacheSnapshot,
+    EngineLoad,
+)
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.placement import TurnDemand, TurnOutcome
@@ -33,6 +43,38 @@
 from passlane.relay.retry_after import retry_after_s as outage_retry_after_s
 from passlane.relay.room_wait import PauseRange, RoomTurn, WaitingCall
 from passlane.relay.service_room import ServiceRoom
+from passlane.scheduling.config import (
+    CrowdingConfig,
+    Ordering,
+    QueueConfig,
+    RetentionConfig,
+    SchedulerConfig,
+)
+from passlane.scheduling.events import (
+    CacheEventsReported,
+    CacheSnapshotReported,
+    CallArrived,
+    CallEnded,
+    CallFirstToken,
+    CallWithdrawn,
+    EnginesChanged,
+    EnginesLeaving,
+    EngineUnreachable,
+    LoadReported,
+    ProgramEnded,
+    ProgramPaused,
+    TimeAdvanced,
+)
+from passlane.scheduling.instructions import (
+    MoveCache,
+    RefuseCall,
+    ReleaseCache,
+    RequestCacheSnapshot,
+    StartCall,
+    WakeAt,
+    WatchEngines,
+)
+from passlane.scheduling.scheduler import Scheduler
 from passlane.scheduling.turn_events import (
     TurnAsked,
     TurnEnded,
@@ -49,17 +91,43 @@
     "BackendRecord",
     "BackendRegistry",
     "BackendState",
+    "CacheEntry",
+    "CacheEvent",
+    "CacheEventKind",
+    "CacheEvents",
+    "CacheEventsReported",
+    "CacheSnapshot",
+    "CacheSnapshotReported",
+    "CallArrived",
+    "CallEnded",
+    "CallFirstToken",
+    "CallId",
+    "CallWithdrawn",
+    "CrowdingConfig",
+    "EngineBody",
+    "EngineId",
+    "EngineLoad",
+    "EngineUnreachable",
+    "EnginesChanged",
+    "EnginesLeaving",
     "LoadChange",
+    "LoadReported",
+    "MoveCache",
     "NodeCapacity",
     "NodeLoad",
     "NodePlace",
     "NodeReading",
+    "Ordering",
     "PauseRange",
     "PlacementChoice",
     "PlacementKey",
     "PlainCall",
     "PlainChoice",
     "PlainView",
+    "ProgramEnded",
+    "ProgramId",
+    "ProgramPaused",
+    "QueueConfig",
     "QuotaDraw",
     "QuotaGranted",
     "QuotaLedger",
@@ -67,13 +135,22 @@
     "QuotaRefused",
     "QuotaRules",
     "QuotaUse",
+    "RefuseCall",
+    "ReleaseCache",
+    "RequestCacheSnapshot",
+    "RetentionConfig",
     "RoomTurn",
     "Route",
     "RouteKind",
+    "Scheduler",
+    "SchedulerConfig",
     "SchedulerFigures",
     "ServiceJudgement",
     "ServiceRoom",
+    "StartCall",
+    "TenantId",
     "TenantUsage",
+    "TimeAdvanced",
     "TurnAsked",
     "TurnDemand",
     "TurnEnded",
@@ -83,6 +160,8 @@
     "TurnScheduler",
     "TurnWithdrawn",
     "WaitingCall",
+    "WakeAt",
+    "WatchEngines",
     "choose_backend",
     "congestion_level",
     "first_part_due_at",
@@ -93,6 +172,13 @@
 ]
 
 MARKERS: dict[type, str] = {
+    MoveCache: "move cache",
+    RefuseCall: "refuse call",
+    ReleaseCache: "release cache",
+    RequestCacheSnapshot: "request snapshot",
+    StartCall: "start call",
+    WakeAt: "wake at",
+    WatchEngines: "watch engines",
     LoadChange: "load change",
     PauseRange: "pauses",
     PlacementChoice: "choice",
--- a/tests/recorded_decisions/test_recorded_decisions.py
+++ b/tests/recorded_decisions/test_recorded_decisions.py
@@ -7,6 +7,7 @@
 
 from recorded_decisions.loads import LOADS
 from recorded_decisions.recording import compare
+from recorded_decisions.scheduler_load import EVENTS
 
 
 class TestRecordedDecisions(unittest.TestCase):
@@ -42,3 +43,8 @@
     def test_node_load(self) -> None:
         events = {"reading", "ask", "wait stream", "wait at_most_once", "wait repeatable"}
         self.check("node_load", events, {"load change"})
+
+    def test_scheduler(self) -> None:
+        markers = {"move cache", "refuse call", "release cache", "request snapshot"}
+        markers |= {"start call", "wake at", "watch engines"}
+        self.check("scheduler", set(EVENTS.values()), markers)
