--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -50,6 +50,7 @@
     RetentionConfig,
     SchedulerConfig,
 )
+from passlane.scheduling.engine_places import EnginePlaces, PlacedTurn
 from passlane.scheduling.events import (
     CacheEventsReported,
     CacheSnapshotReported,
@@ -65,6 +66,7 @@
     ProgramPaused,
     TimeAdvanced,
 )
+from passlane.scheduling.expected_end import EngineChoice, TurnDurations, choose_engine
 from passlane.scheduling.instructions import (
     MoveCache,
     RefuseCall,
@@ -74,7 +76,10 @@
     WakeAt,
     WatchEngines,
 )
+from passlane.scheduling.program_admission import ProgramAdmission
+from passlane.scheduling.program_admission import retry_after as promise_retry_after
 from passlane.scheduling.scheduler import Scheduler
+from passlane.scheduling.speed import FleetSpeed
 from passlane.scheduling.turn_events import (
     TurnAsked,
     TurnEnded,
@@ -105,11 +110,14 @@
     "CallWithdrawn",
     "CrowdingConfig",
     "EngineBody",
+    "EngineChoice",
     "EngineId",
     "EngineLoad",
+    "EnginePlaces",
     "EngineUnreachable",
     "EnginesChanged",
     "EnginesLeaving",
+    "FleetSpeed",
     "LoadChange",
     "LoadReported",
     "MoveCache",
@@ -119,11 +127,13 @@
     "NodeReading",
     "Ordering",
     "PauseRange",
+    "PlacedTurn",
     "PlacementChoice",
     "PlacementKey",
     "PlainCall",
     "PlainChoice",
     "PlainView",
+    "ProgramAdmission",
     "ProgramEnded",
     "ProgramId",
     "ProgramPaused",
@@ -153,6 +163,7 @@
     "TimeAdvanced",
     "TurnAsked",
     "TurnDemand",
+    "TurnDurations",
     "TurnEnded",
     "TurnNotPlaced",
     "TurnOutcome",
@@ -163,15 +174,18 @@
     "WakeAt",
     "WatchEngines",
     "choose_backend",
+    "choose_engine",
     "congestion_level",
     "first_part_due_at",
     "note_failure",
     "note_success",
     "outage_retry_after_s",
+    "promise_retry_after",
     "stall_limit_s",
 ]
 
 MARKERS: dict[type, str] = {
+    EngineChoice: "engine choice",
     MoveCache: "move cache",
     RefuseCall: "refuse call",
     ReleaseCache: "release cache",
@@ -198,6 +212,7 @@
 SHORTENED: dict[type, str] = {
     BackendLoad: "record.instance_id",
     BackendRecord: "instance_id",
+    EnginePlaces: "instance_id",
     WaitingCall: "request_id",
 }
 """Objects with state of their own, for which the named path of attributes stands in a digest."""
--- a/tests/recorded_decisions/test_recorded_decisions.py
+++ b/tests/recorded_decisions/test_recorded_decisions.py
@@ -48,3 +48,7 @@
         markers = {"move cache", "refuse call", "release cache", "request snapshot"}
         markers |= {"start call", "wake at", "watch engines"}
         self.check("scheduler", set(EVENTS.values()), markers)
+
+    def test_program_admission(self) -> None:
+        events = {"sweep", "asked", "given up", "told to return", "begun", "no engine", "ended"}
+        self.check("program_admission", events, {"engine choice"})
