--- a/tests/recorded_decisions/turn_scheduler_load.py
+++ b/tests/recorded_decisions/turn_scheduler_load.py
@@ -25,7 +25,6 @@
 from recorded_decisions.world import World
 
 SEED = 20_260_101
-STEPS = 6_000
 TICK_S = 0.05
 PROGRAMS_PER_S = 20.0
 LOOPING_TURNS = 80
@@ -39,6 +38,22 @@
 LIST_PERIOD_S = 1.3
 
 
+@dataclass(frozen=True)
+class _LoadKind:
+    """What differs between the recorded runs: by service, and by route."""
+
+    steps: int
+    memory_tokens: dict[str, int]
+    most_turns: dict[str, int]
+
+
+KINDS = (
+    _LoadKind(6_000, {"model": 15_000, "small": 0}, {"alarm": 9, "session": 9}),
+    _LoadKind(5_500, {"model": 60_000, "small": 7_000}, {"alarm": 6, "session": 16}),
+)
+"""Engines that are short of memory; engines that are short of places, and longer programs."""
+
+
 @dataclass
 class _Program:
     """A program that makes its turns one after the other."""
@@ -69,8 +84,9 @@
 class _Load(World):
     """The world around the scheduler."""
 
-    def __init__(self, seed: int) -> None:
+    def __init__(self, seed: int, kind: _LoadKind) -> None:
         super().__init__(seed)
+        self.kind = kind
         self.scheduler = TurnScheduler()
         self.turns: dict[str, _Turn] = {}
         self.lists = 0
@@ -155,13 +171,17 @@
         random = self.random
         is_looping = random.random() < 0.02
         has_deadline = random.random() < 0.9
+        service = "model" if random.random() < 0.85 else "small"
+        route = random.choice(("alarm", "session"))
         return _Program(
             program_id=f"program-{self.next_number()}",
-            service="model" if random.random() < 0.85 else "small",
-            route=random.choice(("alarm", "session")),
+            service=service,
+            route=route,
             tenant=random.choice(("", "north", "south", "south")),
             urgency=random.choice((0, 1, 1, 2)),
-            turns_left=LOOPING_TURNS if is_looping else random.randint(1, 9),
+            turns_left=LOOPING_TURNS
+            if is_looping
+            else random.randint(1, self.kind.most_turns[route]),
             deadline_at=self.now + random.uniform(0.3, 6.0) if has_deadline else None,
             history=random.randint(100, 9_000),
             shared_part=random.choice(("", "part-1", "part-2", "part-3")),
@@ -211,7 +231,7 @@
             shared_tokens=4_000 if program.shared_part == "part-1" else 1_500,
             time_left_s=5.0,
             program_time_left_s=left_s,
-            memory_tokens=15_000 if program.service == "model" else 0,
+            memory_tokens=self.kind.memory_tokens[program.service],
         )
 
     # Turns at engines.
@@ -278,5 +298,6 @@
 
 
 def turn_scheduler_steps() -> Iterator[Step]:
-    """Yield the steps of the recorded run."""
-    return _Load(SEED).play(STEPS)
+    """Yield the steps of the recorded runs, one after the other."""
+    for kind in KINDS:
+        yield from _Load(SEED, kind).play(kind.steps)
