--- /dev/null
+++ b/tests/recorded_machines/values.py
@@ -0,0 +1,52 @@
+"""The canonical form of values: plain lists, free of the names of classes and modules.
+
+A class is written as a constant marker. A message has its encoded tag for that, which stays
+when the class is renamed; any other class has the marker that the test's table gives it.
+"""
+
+import enum
+from collections.abc import Mapping
+from dataclasses import fields, is_dataclass
+from typing import Any
+
+import msgspec
+
+Kinds = Mapping[type[Any], str]
+
+
+def marker_of(kind: type[Any], kinds: Kinds) -> str:
+    """Return the marker of a class; ``KeyError`` if the table lacks one that needs it."""
+    if kind in kinds:
+        return kinds[kind]
+    tag = getattr(getattr(kind, "__struct_config__", None), "tag", None)
+    if tag is None:
+        raise KeyError(f"the table of kinds has no marker for {kind}")
+    return str(tag)
+
+
+def values_of(value: Any, kinds: Kinds, reached: set[Any] | None = None) -> Any:
+    """Return a value as plain lists; markers and enum members met go to ``reached``."""
+    seen: set[Any] = set() if reached is None else reached
+    if isinstance(value, enum.Enum):
+        seen.add(value)
+        return value.value
+    if value is None or isinstance(value, (bool, int, float, str, bytes)):
+        return value
+    if isinstance(value, dict):
+        return [[values_of(k, kinds, seen), values_of(v, kinds, seen)] for k, v in value.items()]
+    if isinstance(value, (set, frozenset)):
+        return sorted(values_of(item, kinds, seen) for item in value)
+    if isinstance(value, (list, tuple)):
+        return [values_of(item, kinds, seen) for item in value]
+    marker = marker_of(type(value), kinds)
+    seen.add(marker)
+    return [marker, *(values_of(held, kinds, seen) for held in _held_by(value))]
+
+
+def _held_by(value: Any) -> list[Any]:
+    """Return what an object holds: its fields in order, or its bytes."""
+    if isinstance(value, msgspec.Struct):
+        return [getattr(value, name) for name in value.__struct_fields__]
+    if is_dataclass(value):
+        return [getattr(value, field.name) for field in fields(value)]
+    return [value[0 : len(value)]]
