--- a/tests/outside/record.py
+++ b/tests/outside/record.py
@@ -21,13 +21,19 @@
 from outside.http_forms import header_names, paths, routes, tables_by_code
 from outside.log_forms import log_event_forms
 from outside.metric_forms import metric_forms, node_metric_forms
-from outside.struct_forms import settings_forms, tagged_forms, untagged_forms_to_record
+from outside.struct_forms import (
+    received_tags,
+    settings_forms,
+    tagged_forms,
+    untagged_forms_to_record,
+)
 
 RECORDED = Path(__file__).resolve().parent / "recorded"
 WRITE_FLAG = "--write"
 
 FORMS: dict[str, Callable[[], Any]] = {
     "messages": tagged_forms,
+    "received_tags": received_tags,
     "untagged": untagged_forms_to_record,
     "settings": settings_forms,
     "enums": enum_forms,
--- a/tests/outside/test_outside.py
+++ b/tests/outside/test_outside.py
@@ -45,6 +45,10 @@
 
     maxDiff = None
 
+    def test_messages_that_are_received(self) -> None:
+        """A message is found by the package of its module, so one that is moved may be lost."""
+        self._assert_unchanged("received_tags")
+
     def test_metrics(self) -> None:
         self._assert_unchanged("metrics")
 
