--- a/src/passlane/backends/engine_client.py
+++ b/src/passlane/backends/engine_client.py
@@ -7,7 +7,6 @@
 import anyio
 import msgspec
 
-from passlane.backends.event_lines import EventLines
 from passlane.backends.failures import (
     BackendError,
     error_of_connection,
@@ -16,6 +15,7 @@
     read_whole,
 )
 from passlane.errors import ErrorCode, Verdict
+from passlane.event_streams.event_data import EventLines
 from passlane.messages.backends import (
     CacheEvents,
     CacheSnapshot,
--- a/src/passlane/bench/baselines.py
+++ b/src/passlane/bench/baselines.py
@@ -12,17 +12,17 @@
 
 import xxhash
 
-from passlane.scheduling.config import (
+from passlane.decisions.backends.engine_view import EngineView
+from passlane.decisions.inputs.call_events import CallArrived
+from passlane.decisions.inputs.call_scheduler_config import (
     CrowdingConfig,
     Ordering,
     QueueConfig,
     RetentionConfig,
     SchedulerConfig,
 )
-from passlane.scheduling.engine_view import EngineView
-from passlane.scheduling.events import CallArrived
-from passlane.scheduling.placement import Estimate, Placement, is_eligible
-from passlane.scheduling.scheduler import Scheduler
+from passlane.decisions.placement.call_placement import Estimate, Placement, is_eligible
+from passlane.decisions.scheduling.call_scheduler import Scheduler
 
 
 class Strategy(enum.StrEnum):
--- a/src/passlane/bench/configuration.py
+++ b/src/passlane/bench/configuration.py
@@ -29,7 +29,7 @@
 from passlane.bench.report_files import write_report
 from passlane.bench.straight_line import Line, Point, fit_line
 from passlane.configuration.ledger import ConfigurationLedger
-from passlane.control.machine import ControlStateMachine
+from passlane.control.state.machine import ControlStateMachine
 from passlane.identifiers import Revision
 from passlane.messages.base import encode_message
 from passlane.messages.control import ConfigurationDelta
--- a/src/passlane/bench/configuration_fleet.py
+++ b/src/passlane/bench/configuration_fleet.py
@@ -17,8 +17,8 @@
 
 from passlane.bench.hollow import HollowGroup, HollowNode, hollow_settings
 from passlane.configuration.documents import ServiceBody
-from passlane.control.machine import ControlStateMachine
 from passlane.control.service import ControlService
+from passlane.control.state.machine import ControlStateMachine
 from passlane.errors import ErrorCode, PasslaneError, Verdict
 from passlane.identifiers import Revision
 from passlane.messages.base import Message, encode_message
--- a/src/passlane/bench/configuration_state.py
+++ b/src/passlane/bench/configuration_state.py
@@ -17,8 +17,8 @@
 from passlane.configuration.ledger import ConfigurationLedger
 from passlane.configuration.parsing import encode_body
 from passlane.configuration.view import ConfigurationView
-from passlane.control.machine import ControlStateMachine
 from passlane.control.service import ControlService
+from passlane.control.state.machine import ControlStateMachine
 from passlane.identifiers import Revision
 from passlane.messages.base import encode_message
 from passlane.messages.common import Address, Amounts
--- a/src/passlane/bench/scheduler_cost.py
+++ b/src/passlane/bench/scheduler_cost.py
@@ -19,8 +19,8 @@
     started_calls,
 )
 from passlane.bench.straight_line import Line, measure_line
+from passlane.decisions.inputs import call_events as events
 from passlane.identifiers import CallId
-from passlane.scheduling import events
 
 QUEUED_POINTS = (0, 100, 300, 1_000)
 WATCHED_POINTS = (4, 8, 16, 32, 64)
--- a/src/passlane/bench/scheduler_load.py
+++ b/src/passlane/bench/scheduler_load.py
@@ -3,12 +3,13 @@
 import random
 
 from passlane.configuration.documents import EngineBody
+from passlane.decisions.inputs import call_events as events
+from passlane.decisions.inputs import call_instructions as instructions
+from passlane.decisions.inputs.call_scheduler_config import QueueConfig, SchedulerConfig
+from passlane.decisions.scheduling.call_scheduler import Scheduler
 from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
 from passlane.messages.backends import CacheEvent, CacheEventKind, CacheEvents, EngineLoad
 from passlane.messages.common import Address
-from passlane.scheduling import events, instructions
-from passlane.scheduling.config import QueueConfig, SchedulerConfig
-from passlane.scheduling.scheduler import Scheduler
 
 PROGRAMS = 500
 ENGINE_MEMORY_TOKENS = 100_000
--- a/src/passlane/bench/scheduler_memory.py
+++ b/src/passlane/bench/scheduler_memory.py
@@ -21,9 +21,9 @@
 )
 from passlane.bench.straight_line import Line, measure_line
 from passlane.configuration.documents import TenantBody
+from passlane.decisions.scheduling.call_scheduler import Scheduler
 from passlane.identifiers import TenantId
 from passlane.node.admission import Admission
-from passlane.scheduling.scheduler import Scheduler
 
 ENGINE_POINTS = (16, 128, 528)
 PROGRAM_POINTS = (500, 2_000, 8_000)
--- a/src/passlane/bench/turn_cost_process.py
+++ b/src/passlane/bench/turn_cost_process.py
@@ -20,24 +20,24 @@
     HEARTBEAT_S,
     TURN_GROUP,
 )
+from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
+from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.errors import PasslaneError
 from passlane.messages.common import Address
 from passlane.messages.quotas import QuotaDraw, QuotaLimit, QuotaUse
 from passlane.messages.turns import KeptTurn, ReserveTurn, SettleTurn, TurnReserved
 from passlane.observability.logging import configure_logging
 from passlane.observability.ring import RingLog
-from passlane.quotas.ledger import QuotaLedger, QuotaRules
 from passlane.replication.replica_host import ReplicaHost
 from passlane.runtime.real import build_environment
-from passlane.scheduling.turn_scheduler import TurnScheduler
 from passlane.settings.model import GroupSettings, PeerSettings
 from passlane.transport.client import ConnectionPool
 from passlane.transport.router import MessageRouter
 from passlane.transport.server import MessageServer
 from passlane.turns.client import TurnStoreClient
 from passlane.turns.dispatch import TurnDispatcher
-from passlane.turns.machine import TurnStateMachine
 from passlane.turns.service import TurnService
+from passlane.turns.state.machine import TurnStateMachine
 
 REPLICA_ROLE = "replica"
 NODES_ROLE = "nodes"
--- a/src/passlane/bench/virtual_client.py
+++ b/src/passlane/bench/virtual_client.py
@@ -8,8 +8,8 @@
 from passlane.bench.event_heap import EventHeap
 from passlane.bench.virtual_node import CallResult, VirtualNode
 from passlane.bench.workloads import Ending, PauseKind, ProgramPlan
+from passlane.decisions.inputs import call_events as events
 from passlane.identifiers import CallId, ProgramId, TenantId
-from passlane.scheduling import events
 
 MODEL = "agent"
 CALL_TIMEOUT_S = 60.0
--- a/src/passlane/bench/virtual_fleet.py
+++ b/src/passlane/bench/virtual_fleet.py
@@ -16,10 +16,10 @@
 from passlane.bench.virtual_node import VirtualNode
 from passlane.bench.workloads import Deployment, PauseKind, ProgramPlan, workload_for
 from passlane.configuration.documents import EngineBody
+from passlane.decisions.inputs import call_events as events
+from passlane.decisions.inputs.call_scheduler_config import SchedulerConfig
 from passlane.identifiers import EngineId
 from passlane.messages.common import Address
-from passlane.scheduling import events
-from passlane.scheduling.config import SchedulerConfig
 
 FLOOD_TENANT = "flooding"
 BURST_EVERY_S = 40.0
--- a/src/passlane/bench/virtual_node.py
+++ b/src/passlane/bench/virtual_node.py
@@ -7,11 +7,12 @@
 
 from passlane.bench.event_heap import EventHeap
 from passlane.bench.virtual_engine import VirtualEngine
+from passlane.decisions.inputs import call_events as events
+from passlane.decisions.inputs import call_instructions as instructions
+from passlane.decisions.scheduling.call_scheduler import Scheduler
 from passlane.emulator.engine_outputs import FinishedRequest, FinishReason, Submission
 from passlane.errors import ErrorCode
 from passlane.identifiers import CallId, EngineId, ProgramId
-from passlane.scheduling import events, instructions
-from passlane.scheduling.scheduler import Scheduler
 
 POLL_S = 0.25
 RETRY_WITHOUT_HINT_S = 0.5
--- a/src/passlane/bench/watched_subset.py
+++ b/src/passlane/bench/watched_subset.py
@@ -16,7 +16,7 @@
 from passlane.bench.scheduling import run_one
 from passlane.bench.virtual_fleet import RunPlan, Scenario
 from passlane.bench.workloads import TOP_UP
-from passlane.scheduling.config import SchedulerConfig
+from passlane.decisions.inputs.call_scheduler_config import SchedulerConfig
 
 SCALE = 8
 NODES = 16
--- a/src/passlane/control/service.py
+++ b/src/passlane/control/service.py
@@ -6,8 +6,8 @@
 
 from passlane.configuration.documents import DocumentKind, PolicyBody
 from passlane.configuration.parsing import parse_body, parse_kind
-from passlane.control.leader_duties import LeaderDuties
-from passlane.control.machine import ControlStateMachine
+from passlane.control.state.leader_duties import LeaderDuties
+from passlane.control.state.machine import ControlStateMachine
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.base import Message, encode_message, message_decoder
 from passlane.messages.common import NotLeaderError
--- a/src/passlane/control/leader_duties.py
+++ b/src/passlane/control/state/leader_duties.py
@@ -1,7 +1,7 @@
 """What the leader of the control group has to propose: regions, and what is accepted."""
 
-from passlane.control.acceptance import AcceptanceTracker
-from passlane.control.machine import ControlStateMachine
+from passlane.control.state.acceptance import AcceptanceTracker
+from passlane.control.state.machine import ControlStateMachine
 from passlane.identifiers import Revision
 from passlane.messages.control import AcceptRevision, Progress, RegionReport, SetRegions
 
--- a/src/passlane/control/machine.py
+++ b/src/passlane/control/state/machine.py
@@ -12,7 +12,7 @@
 from passlane.configuration.ledger import ConfigurationLedger
 from passlane.configuration.parsing import check_name, parse_body, parse_kind
 from passlane.configuration.references import ReferenceIndex
-from passlane.control.idempotency import (
+from passlane.control.state.idempotency import (
     RETAINED_KEYS,
     IdempotencyTable,
     KeyedCommand,
@@ -20,13 +20,13 @@
     answer_again,
     digest_of,
 )
-from passlane.control.snapshot import (
+from passlane.control.state.snapshot import (
     FORMAT_VERSION,
     ControlSnapshot,
     decode_snapshot,
     encode_snapshot,
 )
-from passlane.control.withdrawals import Withdrawal, last_acceptable, standing_changes
+from passlane.control.state.withdrawals import Withdrawal, last_acceptable, standing_changes
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.identifiers import Revision
 from passlane.messages.base import encode_message, message_decoder
--- a/src/passlane/control/snapshot.py
+++ b/src/passlane/control/state/snapshot.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from passlane.control.idempotency import RememberedCommand
-from passlane.control.withdrawals import Withdrawal
+from passlane.control.state.idempotency import RememberedCommand
+from passlane.control.state.withdrawals import Withdrawal
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.identifiers import Revision
 from passlane.messages.control import Document
--- a/src/passlane/daemon/fleet_control.py
+++ b/src/passlane/daemon/fleet_control.py
@@ -10,9 +10,9 @@
     members_at_start,
 )
 from passlane.fleet.follower import FleetFollower
-from passlane.fleet.machine import FleetStateMachine
 from passlane.fleet.operator import FleetOperator
 from passlane.fleet.service import FleetService
+from passlane.fleet.state.machine import FleetStateMachine
 from passlane.messages.common import Address
 from passlane.platform.operator_api import OperatorApi
 from passlane.replication.replica_host import ReplicaHost
--- a/src/passlane/daemon/fleet_node.py
+++ b/src/passlane/daemon/fleet_node.py
@@ -8,6 +8,8 @@
 from passlane.daemon.node_bounds import NodeBounds
 from passlane.daemon.start_times import StartPhase, StartTimes
 from passlane.daemon.stop_times import StopTimes
+from passlane.decisions.backends.registry import BackendRegistry
+from passlane.decisions.placement.request_placement import NodePlace
 from passlane.fleet.follower import FleetFollower
 from passlane.messages.common import Address
 from passlane.messages.routes import RouteConfiguration
@@ -17,8 +19,6 @@
 from passlane.platform.instance_list import InstanceList
 from passlane.platform.readiness import ReadinessApplication
 from passlane.relay.list_reader import BackendListReader
-from passlane.relay.placement import NodePlace
-from passlane.relay.registry import BackendRegistry
 from passlane.relay.service import RelayService
 from passlane.runtime.interfaces import HttpLimits
 from passlane.settings.fleet import FleetSettings
--- a/src/passlane/daemon/fleet_store.py
+++ b/src/passlane/daemon/fleet_store.py
@@ -7,22 +7,22 @@
 
 from passlane.daemon.fleet_context import FleetContext
 from passlane.daemon.replicas import STORE_FOLDER, hand_over_leadership, members_at_start
+from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
+from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.fleet.follower import FleetFollower
 from passlane.messages.common import NotLeaderError
 from passlane.messages.fleet import Announce, NamedAddress, RemoveReplica, ReplicaRemoved
 from passlane.messages.listing import BackendRecord
 from passlane.observability.logging import get_logger
-from passlane.quotas.ledger import QuotaLedger, QuotaRules
 from passlane.replication.replica_host import ReplicaHost
 from passlane.replication.replica_metrics import expose_replica
-from passlane.scheduling.turn_scheduler import TurnScheduler
 from passlane.settings.fleet import FleetSettings
 from passlane.settings.model import GroupSettings, PeerSettings
 from passlane.storage.identity import IdentityFile, process_name_of
 from passlane.turns.dispatch import TurnDispatcher
-from passlane.turns.machine import TurnStateMachine
 from passlane.turns.place_metrics import expose_places
 from passlane.turns.service import TurnService
+from passlane.turns.state.machine import TurnStateMachine
 
 TURN_GROUP = "turns"
 HEARTBEAT_S = 0.08
--- a/src/passlane/daemon/node_bounds.py
+++ b/src/passlane/daemon/node_bounds.py
@@ -4,14 +4,14 @@
 
 import anyio
 
+from passlane.decisions.admission.held_bytes import SHARE_OF_MEMORY, HeldBytesBounds
+from passlane.decisions.admission.loop_lag import SAMPLE_PERIOD_S, LoopLag
+from passlane.decisions.admission.node_load import NodeCapacity, NodeReading
 from passlane.messages.routes import RouteConfiguration
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
 from passlane.relay.admission import NodeAdmission
-from passlane.relay.held_bytes import SHARE_OF_MEMORY, HeldBytesBounds
-from passlane.relay.node_load import NodeCapacity, NodeReading
 from passlane.relay.unread_answers import UnreadAnswers
-from passlane.runtime.loop_lag import SAMPLE_PERIOD_S, LoopLag
 from passlane.runtime.process_usage import open_descriptors, resident_bytes
 from passlane.settings.fleet import FleetSettings, MachineSettings, NodeBoundsSettings
 
--- a/src/passlane/daemon/parts.py
+++ b/src/passlane/daemon/parts.py
@@ -10,8 +10,8 @@
 import anyio
 
 from passlane.api.callers import build_caller_application
-from passlane.control.machine import ControlStateMachine
 from passlane.control.service import ControlService
+from passlane.control.state.machine import ControlStateMachine
 from passlane.daemon.in_flight import InFlightRequests
 from passlane.daemon.replicas import (
     CONTROL_FOLDER,
--- /dev/null
+++ b/src/passlane/decisions/admission/__init__.py
@@ -0,0 +1,1 @@
+"""Which new programs and requests are taken on."""
--- a/src/passlane/relay/known_programs.py
+++ b/src/passlane/decisions/admission/known_programs.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from passlane.relay.calls import RelayedCall
+from passlane.decisions.inputs.relayed_call import RelayedCall
 
 MOST_PROGRAMS = 2_000
 """Programs that are kept, some 200 bytes each; those unused for longest are forgotten."""
--- a/src/passlane/relay/node_load.py
+++ b/src/passlane/decisions/admission/node_load.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from passlane.relay.retry_after import retry_after_s
+from passlane.decisions.failure.retry_after import retry_after_s
 
 LATE_LOOP_S = 0.06
 """An event that is passed on 0.12 s late makes its stream late; a loop that is late by half of
--- a/src/passlane/scheduling/program_admission.py
+++ b/src/passlane/decisions/admission/program_admission.py
@@ -12,8 +12,8 @@
 from collections import Counter
 from typing import NamedTuple
 
-from passlane.scheduling.new_programs import NewProgram, NewPrograms
-from passlane.scheduling.turn_events import TurnAsked
+from passlane.decisions.admission.new_programs import NewProgram, NewPrograms
+from passlane.decisions.inputs.turn_events import TurnAsked
 
 LONGEST_HOLD_S = 0.5
 """A program expected to begin within this time waits here. To come back takes its caller a new
--- a/src/passlane/scheduling/circuit_breaker.py
+++ b/src/passlane/decisions/backends/circuit_breaker.py
@@ -2,7 +2,7 @@
 
 import enum
 
-from passlane.scheduling.config import BreakerConfig
+from passlane.decisions.inputs.call_scheduler_config import BreakerConfig
 
 
 class BreakerState(enum.StrEnum):
--- a/src/passlane/scheduling/engine_places.py
+++ b/src/passlane/decisions/backends/engine_places.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
+from passlane.decisions.backends.health import BackendHealth, find_outliers
+from passlane.decisions.backends.speed import EngineSpeed, FleetSpeed
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.placement import TurnDemand, TurnOutcome
-from passlane.relay.health import BackendHealth, find_outliers
-from passlane.scheduling.speed import EngineSpeed, FleetSpeed
 
 PACE_SMOOTHING = 0.03
 """Weight of one turn in an engine's pace. An engine of six places ends 20 to 40 turns a second,
--- a/src/passlane/scheduling/engine_view.py
+++ b/src/passlane/decisions/backends/engine_view.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 
 from passlane.configuration.documents import EngineBody
+from passlane.decisions.backends.cache_view import CacheView
+from passlane.decisions.backends.circuit_breaker import CircuitBreaker
+from passlane.decisions.backends.speed import MAX_SLOWDOWN, EngineSpeed, FleetSpeed
+from passlane.decisions.inputs.call_scheduler_config import SchedulerConfig
 from passlane.identifiers import CallId, EngineId, ProgramId
 from passlane.messages.backends import EngineLoad
-from passlane.scheduling.cache_view import CacheView
-from passlane.scheduling.circuit_breaker import CircuitBreaker
-from passlane.scheduling.config import SchedulerConfig
-from passlane.scheduling.speed import MAX_SLOWDOWN, EngineSpeed, FleetSpeed
 
 OVERDUE_FACTOR = 3.0
 ENDED_CALLS_KEPT_S = 5.0
--- a/src/passlane/scheduling/fleet_view.py
+++ b/src/passlane/decisions/backends/fleet_view.py
@@ -4,11 +4,11 @@
 from types import MappingProxyType
 
 from passlane.configuration.documents import EngineBody
+from passlane.decisions.backends.engine_view import EngineView
+from passlane.decisions.backends.speed import FleetSpeed
+from passlane.decisions.backends.watched_engines import watched_engines
+from passlane.decisions.inputs.call_scheduler_config import SchedulerConfig
 from passlane.identifiers import EngineId, ProgramId
-from passlane.scheduling.config import SchedulerConfig
-from passlane.scheduling.engine_view import EngineView
-from passlane.scheduling.speed import FleetSpeed
-from passlane.scheduling.watched_engines import watched_engines
 
 
 class FleetView:
--- a/src/passlane/relay/registry.py
+++ b/src/passlane/decisions/backends/registry.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
+from passlane.decisions.backends.health import BackendHealth, find_outliers, typical_latency_s
 from passlane.messages.listing import BackendRecord, BackendState
-from passlane.relay.health import BackendHealth, find_outliers, typical_latency_s
 
 
 class BackendLoad(msgspec.Struct):
--- a/src/passlane/relay/verdicts.py
+++ b/src/passlane/decisions/failure/answer_verdicts.py
@@ -2,9 +2,9 @@
 
 import enum
 
+from passlane.decisions.inputs.answer_head import AnswerHead, Refusal
 from passlane.errors import Verdict
 from passlane.messages.routes import Route
-from passlane.relay.backends import AnswerHead, Refusal
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise a caller that its request has not run and never will."""
--- /dev/null
+++ b/src/passlane/decisions/inputs/__init__.py
@@ -0,0 +1,1 @@
+"""What the decisions are told, and what they answer, as types."""
--- a/src/passlane/quotas/ledger.py
+++ b/src/passlane/decisions/limits/quota_ledger.py
@@ -17,6 +17,10 @@
 
 import msgspec
 
+from passlane.decisions.limits.allowances import AHEAD_VALID_S
+from passlane.decisions.limits.program_needs import ProgramNeeds
+from passlane.decisions.limits.sliding_window import SlidingWindow
+from passlane.decisions.limits.usage_history import UsageHistory
 from passlane.messages.quotas import (
     QuotaAnswer,
     QuotaDraw,
@@ -26,10 +30,6 @@
     QuotaUse,
     TenantUsage,
 )
-from passlane.quotas.allowances import AHEAD_VALID_S
-from passlane.quotas.program_needs import ProgramNeeds
-from passlane.quotas.sliding_window import SlidingWindow
-from passlane.quotas.usage_history import UsageHistory
 
 LONGEST_WAIT_S = {
     QuotaUse.BEGIN_PROGRAM: 0.25,
--- a/src/passlane/scheduling/queue.py
+++ b/src/passlane/decisions/order/call_queue.py
@@ -23,9 +23,9 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
+from passlane.decisions.inputs.call_events import CallArrived
+from passlane.decisions.inputs.call_scheduler_config import Ordering, QueueConfig
 from passlane.identifiers import CallId, TenantId
-from passlane.scheduling.config import Ordering, QueueConfig
-from passlane.scheduling.events import CallArrived
 
 
 class _LaneKey(NamedTuple):
--- a/src/passlane/scheduling/crowding.py
+++ b/src/passlane/decisions/order/crowding.py
@@ -14,14 +14,14 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from passlane.decisions.backends.engine_view import EngineView
+from passlane.decisions.backends.fleet_view import FleetView
+from passlane.decisions.inputs.call_scheduler_config import CrowdingConfig
+from passlane.decisions.order.attained_service import AttainedService
+from passlane.decisions.order.call_queue import QueuedCall
+from passlane.decisions.order.tenant_shares import TenantShares
+from passlane.decisions.placement.call_placement import Estimate, Placement
 from passlane.identifiers import TenantId
-from passlane.scheduling.attained_service import AttainedService
-from passlane.scheduling.config import CrowdingConfig
-from passlane.scheduling.engine_view import EngineView
-from passlane.scheduling.fleet_view import FleetView
-from passlane.scheduling.placement import Estimate, Placement
-from passlane.scheduling.queue import QueuedCall
-from passlane.scheduling.tenant_shares import TenantShares
 
 
 class TenantLoad(enum.IntEnum):
--- a/src/passlane/scheduling/model_queues.py
+++ b/src/passlane/decisions/order/model_queues.py
@@ -2,13 +2,13 @@
 
 from collections.abc import Iterator
 
+from passlane.decisions.backends.fleet_view import FleetView
+from passlane.decisions.inputs.call_events import CallArrived
+from passlane.decisions.inputs.call_scheduler_config import QueueConfig
+from passlane.decisions.order.call_queue import CallQueue, QueuedCall
+from passlane.decisions.order.tenant_shares import TenantShares
+from passlane.decisions.placement.call_placement import Placement
 from passlane.identifiers import CallId
-from passlane.scheduling.config import QueueConfig
-from passlane.scheduling.events import CallArrived
-from passlane.scheduling.fleet_view import FleetView
-from passlane.scheduling.placement import Placement
-from passlane.scheduling.queue import CallQueue, QueuedCall
-from passlane.scheduling.tenant_shares import TenantShares
 
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 30.0
--- a/src/passlane/scheduling/pauses.py
+++ b/src/passlane/decisions/order/pauses.py
@@ -7,7 +7,7 @@
 import math
 from collections import deque
 
-from passlane.scheduling.config import RetentionConfig
+from passlane.decisions.inputs.call_scheduler_config import RetentionConfig
 
 SAMPLES_KEPT = 512
 SAMPLES_NEEDED = 50
--- a/src/passlane/relay/service_room.py
+++ b/src/passlane/decisions/order/service_room.py
@@ -6,10 +6,10 @@
 
 import math
 
-from passlane.relay.answer_times import AnswerTimes
-from passlane.relay.placement import NodePlace
-from passlane.relay.plain_placement import PlainBackends
-from passlane.relay.room_wait import PauseRange, RoomQueue, RoomTurn, WaitingCall
+from passlane.decisions.backends.answer_times import AnswerTimes
+from passlane.decisions.order.room_queue import PauseRange, RoomQueue, RoomTurn, WaitingCall
+from passlane.decisions.placement.plain_placement import PlainBackends
+from passlane.decisions.placement.request_placement import NodePlace
 
 SHORTEST_PAUSE_S = 0.003
 """A refusal takes a way to another zone and back: a shorter pause learns nothing."""
--- a/src/passlane/scheduling/tenant_shares.py
+++ b/src/passlane/decisions/order/tenant_shares.py
@@ -8,8 +8,8 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
+from passlane.decisions.inputs.call_scheduler_config import CrowdingConfig
 from passlane.identifiers import TenantId
-from passlane.scheduling.config import CrowdingConfig
 
 
 @dataclass(slots=True)
--- a/src/passlane/scheduling/turn_queue.py
+++ b/src/passlane/decisions/order/turn_queue.py
@@ -17,11 +17,11 @@
 
 import msgspec
 
+from passlane.decisions.inputs.call_events import CallArrived
+from passlane.decisions.inputs.call_scheduler_config import QueueConfig
+from passlane.decisions.inputs.turn_events import TurnAsked
+from passlane.decisions.order.call_queue import CallQueue, QueuedCall
 from passlane.identifiers import CallId, ProgramId, TenantId
-from passlane.scheduling.config import QueueConfig
-from passlane.scheduling.events import CallArrived
-from passlane.scheduling.queue import CallQueue, QueuedCall
-from passlane.scheduling.turn_events import TurnAsked
 
 LONGEST_LATE_WAIT_S = 0.3
 """A program that is late already is worth something to its caller until it has taken twice its
--- /dev/null
+++ b/src/passlane/decisions/placement/__init__.py
@@ -0,0 +1,1 @@
+"""Which back end a turn, a request or a call goes to."""
--- a/src/passlane/relay/backend_subset.py
+++ b/src/passlane/decisions/placement/backend_subset.py
@@ -13,9 +13,9 @@
 
 from collections.abc import Sequence
 
+from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.zone_weights import ZoneWeights
 from passlane.messages.listing import BackendRecord
-from passlane.relay.placement import NodePlace
-from passlane.relay.zone_weights import ZoneWeights
 
 SUBSET_SIZE = 16
 """Two back ends: a call that one of them refuses has one more that is likely connected."""
--- a/src/passlane/scheduling/placement.py
+++ b/src/passlane/decisions/placement/call_placement.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from passlane.scheduling.config import SchedulerConfig
-from passlane.scheduling.engine_view import EngineView
-from passlane.scheduling.events import CallArrived
+from passlane.decisions.backends.engine_view import EngineView
+from passlane.decisions.inputs.call_events import CallArrived
+from passlane.decisions.inputs.call_scheduler_config import SchedulerConfig
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/passlane/relay/plain_placement.py
+++ b/src/passlane/decisions/placement/plain_placement.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-from passlane.relay.answer_times import AnswerTimes, PresentSpeed
-from passlane.relay.backend_subset import SUBSET_SIZE, subset_order
-from passlane.relay.health import stall_limit_s
-from passlane.relay.placement import NodePlace
-from passlane.relay.registry import BackendLoad
+from passlane.decisions.backends.answer_times import AnswerTimes, PresentSpeed
+from passlane.decisions.backends.health import stall_limit_s
+from passlane.decisions.backends.registry import BackendLoad
+from passlane.decisions.placement.backend_subset import SUBSET_SIZE, subset_order
+from passlane.decisions.placement.request_placement import NodePlace
 
 LIKELY_FULL = 0.5
 """A call is not sent to a back end that refuses it with a higher chance."""
--- a/src/passlane/relay/placement.py
+++ b/src/passlane/decisions/placement/request_placement.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
+from passlane.decisions.backends.health import congestion_level
+from passlane.decisions.backends.registry import BackendLoad
+from passlane.decisions.placement.shared_parts import engines_of_part
+from passlane.decisions.placement.zone_weights import ZoneWeights
 from passlane.messages.listing import BackendRecord
-from passlane.relay.health import congestion_level
-from passlane.relay.registry import BackendLoad
-from passlane.relay.shared_parts import engines_of_part
-from passlane.relay.zone_weights import ZoneWeights
 
 FULL_SHARE = 0.5
 """A node gives an engine at most this share of its slots before it turns to the next."""
--- a/src/passlane/relay/shared_parts.py
+++ b/src/passlane/decisions/placement/shared_parts.py
@@ -8,9 +8,9 @@
 import math
 from collections.abc import Collection, Sequence
 
+from passlane.decisions.inputs.relayed_call import PromptPart
+from passlane.decisions.placement.rendezvous import rendezvous_digest
 from passlane.messages.listing import BackendRecord
-from passlane.relay.calls import PromptPart
-from passlane.relay.rendezvous import rendezvous_digest
 
 ENGINE_SHARE = 0.5
 """Share of the engines that hold a part: enough of them to spread its programs by load."""
--- a/src/passlane/scheduling/expected_end.py
+++ b/src/passlane/decisions/placement/turn_placement.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
+from passlane.decisions.backends.engine_places import EnginePlaces
+from passlane.decisions.inputs.turn_events import TurnAsked
+from passlane.decisions.placement.shared_parts import SMALLEST_LARGE_TOKENS
 from passlane.messages.placement import TurnDemand, TurnOutcome
-from passlane.relay.shared_parts import SMALLEST_LARGE_TOKENS
-from passlane.scheduling.engine_places import EnginePlaces
-from passlane.scheduling.turn_events import TurnAsked
 
 READ_TOKENS_PER_S = 70_000.0
 """Engines read 60 to 160 prompt tokens in a millisecond."""
--- a/src/passlane/relay/zone_weights.py
+++ b/src/passlane/decisions/placement/zone_weights.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from passlane.decisions.placement.rendezvous import rendezvous_digest
 from passlane.messages.listing import BackendRecord
-from passlane.relay.rendezvous import rendezvous_digest
 
 SMALLEST_WEIGHT = 1e-6
 """Back ends that no share falls to are still used when there is no other."""
--- a/src/passlane/scheduling/retention.py
+++ b/src/passlane/decisions/scheduling/cache_retention.py
@@ -4,11 +4,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from passlane.decisions.backends.engine_view import EngineView
+from passlane.decisions.inputs.call_scheduler_config import SchedulerConfig
+from passlane.decisions.order.attained_service import AttainedService, ProgramProgress
+from passlane.decisions.order.pauses import PauseStatistics
 from passlane.identifiers import EngineId, ProgramId
-from passlane.scheduling.attained_service import AttainedService, ProgramProgress
-from passlane.scheduling.config import SchedulerConfig
-from passlane.scheduling.engine_view import EngineView
-from passlane.scheduling.pauses import PauseStatistics
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/passlane/scheduling/scheduler.py
+++ b/src/passlane/decisions/scheduling/call_scheduler.py
@@ -11,20 +11,21 @@
 from random import Random
 from typing import Any
 
+from passlane.decisions.backends.cache_view import CacheUpdate
+from passlane.decisions.backends.engine_view import EngineView, RunningCall
+from passlane.decisions.backends.fleet_view import FleetView
+from passlane.decisions.inputs import call_events as events
+from passlane.decisions.inputs import call_instructions as instructions
+from passlane.decisions.inputs.call_scheduler_config import SchedulerConfig
+from passlane.decisions.order.attained_service import AttainedService
+from passlane.decisions.order.call_queue import CallQueue, QueuedCall
+from passlane.decisions.order.crowding import Crowding, CrowdingRules
+from passlane.decisions.order.model_queues import ModelQueues
+from passlane.decisions.order.tenant_shares import TenantShares
+from passlane.decisions.placement.call_placement import Estimate, Placement
+from passlane.decisions.scheduling.cache_retention import CacheRetention
 from passlane.errors import ErrorCode
 from passlane.identifiers import CallId, EngineId, ProgramId
-from passlane.scheduling import events, instructions
-from passlane.scheduling.attained_service import AttainedService
-from passlane.scheduling.cache_view import CacheUpdate
-from passlane.scheduling.config import SchedulerConfig
-from passlane.scheduling.crowding import Crowding, CrowdingRules
-from passlane.scheduling.engine_view import EngineView, RunningCall
-from passlane.scheduling.fleet_view import FleetView
-from passlane.scheduling.model_queues import ModelQueues
-from passlane.scheduling.placement import Estimate, Placement
-from passlane.scheduling.queue import CallQueue, QueuedCall
-from passlane.scheduling.retention import CacheRetention
-from passlane.scheduling.tenant_shares import TenantShares
 
 BATCH_PRIORITY_STEP = 10
 
@@ -47,7 +48,7 @@
     random
         Seeded source for tie-breaking between equal engines.
     config
-        Constants; see ``passlane.scheduling.config``.
+        Constants; see ``passlane.decisions.inputs.call_scheduler_config``.
     node_key
         The node's name, which decides what subset of a large fleet it watches; drawn
         from ``random`` if empty.
--- a/src/passlane/scheduling/turn_scheduler.py
+++ b/src/passlane/decisions/scheduling/turn_scheduler.py
@@ -12,19 +12,20 @@
 
 import msgspec
 
-from passlane.messages.listing import BackendRecord
-from passlane.messages.placement import TurnOutcome
-from passlane.relay.health import STALL_WEIGHT
-from passlane.scheduling.engine_places import FULL_PAUSE_S, EnginePlaces, EngineTable, PlacedTurn
-from passlane.scheduling.expected_end import EngineChoice, TurnDurations, choose_engine
-from passlane.scheduling.program_admission import (
+from passlane.decisions.admission.program_admission import (
     LONGEST_HOLD_AFTER_RETURN_S,
     LONGEST_HOLD_S,
     ProgramAdmission,
     retry_after,
 )
-from passlane.scheduling.program_progress import ProgramProgress, ProgramTable
-from passlane.scheduling.turn_events import (
+from passlane.decisions.backends.engine_places import (
+    FULL_PAUSE_S,
+    EnginePlaces,
+    EngineTable,
+    PlacedTurn,
+)
+from passlane.decisions.backends.health import STALL_WEIGHT
+from passlane.decisions.inputs.turn_events import (
     TurnAsked,
     TurnDecision,
     TurnEnded,
@@ -32,12 +33,16 @@
     TurnPlaced,
     TurnWithdrawn,
 )
-from passlane.scheduling.turn_queue import (
+from passlane.decisions.order.program_progress import ProgramProgress, ProgramTable
+from passlane.decisions.order.turn_queue import (
     LONGEST_LATE_WAIT_S,
     LONGEST_PASSED_OVER_S,
     TurnQueue,
     WaitingTurn,
 )
+from passlane.decisions.placement.turn_placement import EngineChoice, TurnDurations, choose_engine
+from passlane.messages.listing import BackendRecord
+from passlane.messages.placement import TurnOutcome
 
 LEARNING_S = 0.6
 """A new leader knows of no turn under way. Nearly all of them end within this time; until then
--- a/src/passlane/emulator/caller_answers.py
+++ b/src/passlane/emulator/caller_answers.py
@@ -6,8 +6,8 @@
 import anyio
 import msgspec
 
-from passlane.backends.event_lines import EventLines
 from passlane.errors import Verdict
+from passlane.event_streams.event_data import EventLines
 from passlane.runtime.interfaces import HttpResponse
 
 END_OF_STREAM = b"[DONE]"
--- a/src/passlane/fleet/follower.py
+++ b/src/passlane/fleet/follower.py
@@ -6,9 +6,9 @@
 import anyio
 
 from passlane.errors import PasslaneError
-from passlane.fleet.listing_updates import apply_changes
-from passlane.fleet.listing_updates import unpack as unpack_backends
-from passlane.fleet.packed_configuration import unpack
+from passlane.fleet.state.listing_updates import apply_changes
+from passlane.fleet.state.listing_updates import unpack as unpack_backends
+from passlane.fleet.state.packed_configuration import unpack
 from passlane.messages.common import Address, NotLeaderError
 from passlane.messages.fleet import Announce, FleetAddresses, FleetView, NamedAddress
 from passlane.messages.listing import BackendRecord, BackendsReported, ReportBackends
--- a/src/passlane/fleet/service.py
+++ b/src/passlane/fleet/service.py
@@ -3,10 +3,10 @@
 import anyio
 
 from passlane.errors import ErrorCode, PasslaneError
-from passlane.fleet.backend_listing import BackendListing
-from passlane.fleet.directory import FleetDirectory
-from passlane.fleet.machine import FleetStateMachine
-from passlane.fleet.packed_configuration import PackedConfigurations
+from passlane.fleet.state.backend_listing import BackendListing
+from passlane.fleet.state.directory import FleetDirectory
+from passlane.fleet.state.machine import FleetStateMachine
+from passlane.fleet.state.packed_configuration import PackedConfigurations
 from passlane.messages.base import Message, encode_message, message_decoder
 from passlane.messages.common import NotLeaderError
 from passlane.messages.fleet import (
--- a/src/passlane/fleet/backend_listing.py
+++ b/src/passlane/fleet/state/backend_listing.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Sequence
 
-from passlane.fleet.listing_updates import ListingUpdates
+from passlane.fleet.state.listing_updates import ListingUpdates
 from passlane.messages.listing import BackendRecord, ReportBackends
 
 REPORT_OVERDUE_S = 1.6
--- a/src/passlane/node/admission.py
+++ b/src/passlane/node/admission.py
@@ -4,9 +4,9 @@
 from contextlib import contextmanager
 
 from passlane.configuration.documents import TenantBody
+from passlane.decisions.limits.rate_limit import TenantLimiter, TenantLimits
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.identifiers import TenantId
-from passlane.scheduling.rate_limit import TenantLimiter, TenantLimits
 
 FULL_RETRY_AFTER_S = 1.0
 """Advice to callers when the node has as many requests as it may."""
--- a/src/passlane/node/call_set_up.py
+++ b/src/passlane/node/call_set_up.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass
 
 from passlane.configuration.view import ToolOffer
+from passlane.decisions.inputs.call_events import CallArrived
 from passlane.identifiers import EngineId
 from passlane.messages.node import CallRequest
 from passlane.node.call_services import CallServices
 from passlane.node.led_program import LedProgram, OpenCall
 from passlane.node.policy_facts import call_facts
 from passlane.programs.call_plan import CallPlan
-from passlane.scheduling.events import CallArrived
 
 
 @dataclass(frozen=True)
--- a/src/passlane/node/engine_poller.py
+++ b/src/passlane/node/engine_poller.py
@@ -7,16 +7,16 @@
 from anyio.abc import TaskGroup
 
 from passlane.backends.failures import BackendError
-from passlane.identifiers import EngineId
-from passlane.messages.backends import CacheSnapshot, EngineLoad
-from passlane.node.call_services import CallServices
-from passlane.node.poll_pace import PollPace
-from passlane.scheduling.events import (
+from passlane.decisions.inputs.call_events import (
     CacheEventsReported,
     CacheSnapshotReported,
     EngineUnreachable,
     LoadReported,
 )
+from passlane.identifiers import EngineId
+from passlane.messages.backends import CacheSnapshot, EngineLoad
+from passlane.node.call_services import CallServices
+from passlane.node.poll_pace import PollPace
 
 
 @dataclass
--- a/src/passlane/node/model_attempt.py
+++ b/src/passlane/node/model_attempt.py
@@ -7,6 +7,7 @@
 import xxhash
 
 from passlane.backends.failures import BackendError
+from passlane.decisions.inputs.call_events import CallEnded
 from passlane.errors import ErrorCode, PasslaneError, Verdict
 from passlane.identifiers import EngineId
 from passlane.messages.backends import EngineChatRequest, EngineChunk
@@ -23,7 +24,6 @@
 )
 from passlane.programs.call_instructions import StartAttempt
 from passlane.programs.call_plan import CallPlan
-from passlane.scheduling.events import CallEnded
 
 MODEL_NOT_LOADED_STATUS = 404
 """An engine without the model says so by this status; another engine may have it."""
--- a/src/passlane/node/model_dispatcher.py
+++ b/src/passlane/node/model_dispatcher.py
@@ -8,9 +8,8 @@
 import anyio
 
 from passlane.configuration.documents import EngineBody
-from passlane.identifiers import CallId, EngineId, ProgramId
-from passlane.programs.call_events import CallEventIn, StartOrdered, StartRefused
-from passlane.scheduling.events import (
+from passlane.decisions.failure.retry_budget import RetryBudget
+from passlane.decisions.inputs.call_events import (
     CallArrived,
     CallEnded,
     CallFirstToken,
@@ -22,7 +21,7 @@
     ProgramPaused,
     TimeAdvanced,
 )
-from passlane.scheduling.instructions import (
+from passlane.decisions.inputs.call_instructions import (
     Instruction,
     MoveCache,
     RefuseCall,
@@ -32,7 +31,8 @@
     WakeAt,
     WatchEngines,
 )
-from passlane.scheduling.retry_budget import RetryBudget
+from passlane.identifiers import CallId, EngineId, ProgramId
+from passlane.programs.call_events import CallEventIn, StartOrdered, StartRefused
 
 MAX_REASONS = 2_000
 """Programs whose last placement can be explained."""
--- a/src/passlane/node/node_core.py
+++ b/src/passlane/node/node_core.py
@@ -7,6 +7,8 @@
 
 from passlane.configuration.documents import DrainKind
 from passlane.configuration.view import ConfigurationView
+from passlane.decisions.inputs.call_scheduler_config import QueueConfig, SchedulerConfig
+from passlane.decisions.scheduling.call_scheduler import Scheduler
 from passlane.errors import PasslaneError
 from passlane.identifiers import EngineId, NodeId, ProgramId
 from passlane.messages.backends import EngineOrder, OrderKind
@@ -38,8 +40,6 @@
 from passlane.observability.logging import get_logger
 from passlane.policy.governor import PolicyGovernor
 from passlane.runtime.interfaces import Environment
-from passlane.scheduling.config import QueueConfig, SchedulerConfig
-from passlane.scheduling.scheduler import Scheduler
 from passlane.settings.model import Settings
 from passlane.transport.interfaces import Caller, Router
 
--- a/src/passlane/node/tool_dispatcher.py
+++ b/src/passlane/node/tool_dispatcher.py
@@ -6,12 +6,12 @@
 
 from dataclasses import dataclass, field
 
+from passlane.decisions.backends.circuit_breaker import CircuitBreaker
+from passlane.decisions.failure.retry_budget import RetryBudget
+from passlane.decisions.inputs.call_scheduler_config import BreakerConfig
 from passlane.errors import ErrorCode
 from passlane.identifiers import ApplicationId
 from passlane.programs.call_events import StartOrdered, StartRefused
-from passlane.scheduling.circuit_breaker import CircuitBreaker
-from passlane.scheduling.config import BreakerConfig
-from passlane.scheduling.retry_budget import RetryBudget
 
 BUSY_RETRY_AFTER_S = 0.5
 """Advice to callers when an application has enough calls in flight."""
--- a/src/passlane/platform/answer_writer.py
+++ b/src/passlane/platform/answer_writer.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from passlane.api.asgi import Send
+from passlane.decisions.inputs.relayed_call import Header
 from passlane.relay.backends import CLIENT_LEFT
-from passlane.relay.calls import Header
 
 _encoder = msgspec.json.Encoder()
 
--- a/src/passlane/platform/client_ingress.py
+++ b/src/passlane/platform/client_ingress.py
@@ -12,11 +12,11 @@
     read_body,
     request_headers,
 )
+from passlane.decisions.inputs.relayed_call import Header
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.observability.logging import get_logger
 from passlane.platform.answer_writer import AsgiAnswerWriter
 from passlane.platform.request_format import parse_call
-from passlane.relay.calls import Header
 from passlane.relay.request import AnswerAbortedError
 from passlane.relay.service import RelayService
 from passlane.runtime.interfaces import ENDING_STATE, ConnectionEnding
--- a/src/passlane/platform/engine_client.py
+++ b/src/passlane/platform/engine_client.py
@@ -5,15 +5,12 @@
 
 import anyio
 
+from passlane.decisions.inputs.answer_head import AnswerHead, Refusal
+from passlane.decisions.inputs.relayed_call import Header
 from passlane.messages.listing import BackendRecord
 from passlane.observability.logging import get_logger
 from passlane.platform import names
-from passlane.relay.backends import (
-    AnswerHead,
-    BackendRequest,
-    Refusal,
-)
-from passlane.relay.calls import Header
+from passlane.relay.backends import BackendRequest
 from passlane.runtime.interfaces import (
     HttpClient,
     HttpConnectionError,
--- a/src/passlane/platform/request_format.py
+++ b/src/passlane/platform/request_format.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Sequence
 
+from passlane.decisions.inputs.relayed_call import Header, ProgramContext, PromptPart, RelayedCall
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.platform import names
-from passlane.relay.calls import Header, ProgramContext, PromptPart, RelayedCall
 from passlane.routes.tenants import digest_of_key
 
 MILLISECONDS = 1_000.0
--- a/src/passlane/relay/admission.py
+++ b/src/passlane/relay/admission.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
+from passlane.decisions.admission.known_programs import KnownPrograms
+from passlane.decisions.admission.node_load import Admission, NodeCapacity, NodeLoad, NodeReading
+from passlane.decisions.inputs.relayed_call import RelayedCall
 from passlane.observability.logging import get_logger
-from passlane.relay.calls import RelayedCall
-from passlane.relay.known_programs import KnownPrograms
-from passlane.relay.node_load import Admission, NodeCapacity, NodeLoad, NodeReading
 
 REFUSED = "node_at_its_bounds"
 """Reason of a refusal, for the caller and the log."""
--- a/src/passlane/relay/attempts.py
+++ b/src/passlane/relay/attempts.py
@@ -5,26 +5,31 @@
 
 import anyio
 
+from passlane.decisions.backends.health import AttemptWatch, stall_limit_s
+from passlane.decisions.backends.registry import BackendLoad, ServiceJudgement
+from passlane.decisions.failure.answer_verdicts import (
+    Judgement,
+    is_gone,
+    judge_answer,
+    may_run_again,
+)
+from passlane.decisions.failure.client_timeout import first_part_due_at
+from passlane.decisions.order.room_queue import RoomTurn, WaitingCall
+from passlane.decisions.placement.plain_placement import PlainBackends, PlainCall, PlainView
+from passlane.decisions.placement.request_placement import (
+    PlacementChoice,
+    choose_backend,
+    note_failure,
+    note_success,
+)
 from passlane.errors import PasslaneError, Verdict
 from passlane.messages.placement import TurnOutcome
 from passlane.messages.quotas import QuotaRefused
 from passlane.messages.routes import RouteKind
 from passlane.observability.logging import get_logger
 from passlane.relay.backends import BackendAnswer, BackendRequest
-from passlane.relay.caller_patience import first_part_due_at
 from passlane.relay.context import RequestContext
-from passlane.relay.health import AttemptWatch, stall_limit_s
-from passlane.relay.placement import (
-    PlacementChoice,
-    choose_backend,
-    note_failure,
-    note_success,
-)
 from passlane.relay.plain_log import log_plain_choice
-from passlane.relay.plain_placement import PlainBackends, PlainCall, PlainView
-from passlane.relay.registry import BackendLoad, ServiceJudgement
-from passlane.relay.room_wait import RoomTurn, WaitingCall
-from passlane.relay.verdicts import Judgement, is_gone, judge_answer, may_run_again
 from passlane.runtime.interfaces import HttpConnectionError
 
 _log = get_logger(__name__)
--- a/src/passlane/relay/backends.py
+++ b/src/passlane/relay/backends.py
@@ -1,50 +1,19 @@
 """What the relay asks of back ends, and what it learns from their answers."""
 
-import enum
 from collections.abc import AsyncGenerator, Sequence
 from contextlib import AbstractAsyncContextManager
 from typing import Protocol
 
 import msgspec
 
+from passlane.decisions.inputs.answer_head import AnswerHead
+from passlane.decisions.inputs.relayed_call import Header, RelayedCall
 from passlane.messages.listing import BackendRecord
-from passlane.relay.calls import Header, RelayedCall
 
 CLIENT_LEFT = "client_left"
 """Why an answer was abandoned whose caller has closed the connection."""
 
 
-class Refusal(enum.StrEnum):
-    """How a back end says that it did not run a request."""
-
-    NOT_EXECUTED = "not_executed"
-    """It is full, or the deadline has passed in its queue."""
-    WRONG_INSTANCE = "wrong_instance"
-    """Another instance has the address now."""
-
-
-class AnswerHead(msgspec.Struct, frozen=True):
-    """Status and headers of a back end's answer.
-
-    Attributes
-    ----------
-    refusal
-        Set if the answer proves that the request did not run.
-    is_authentic
-        Whether the answer bears the marks of a whole answer to this very request.
-    headers
-        Headers that are passed on to the caller.
-    length
-        Length of the body in bytes, if it was told.
-    """
-
-    status: int
-    headers: tuple[Header, ...]
-    refusal: Refusal | None
-    is_authentic: bool
-    length: int | None
-
-
 class BackendAnswer(Protocol):
     """An answer whose head has arrived."""
 
--- a/src/passlane/relay/context.py
+++ b/src/passlane/relay/context.py
@@ -2,15 +2,15 @@
 
 import msgspec
 
+from passlane.decisions.backends.registry import BackendRegistry
+from passlane.decisions.inputs.relayed_call import RelayedCall
+from passlane.decisions.placement.request_placement import NodePlace, PlacementKey
+from passlane.decisions.placement.shared_parts import large_shared_part
 from passlane.messages.placement import TurnDemand
 from passlane.messages.routes import Route, RoutedService
 from passlane.relay.backends import RelayBackends
-from passlane.relay.calls import RelayedCall
-from passlane.relay.placement import NodePlace, PlacementKey
-from passlane.relay.registry import BackendRegistry
 from passlane.relay.request_quota import RequestQuota
 from passlane.relay.room_waits import RoomWaits
-from passlane.relay.shared_parts import large_shared_part
 from passlane.routes.tenants import Identity
 
 
--- a/src/passlane/relay/delivery.py
+++ b/src/passlane/relay/delivery.py
@@ -5,9 +5,9 @@
 
 import anyio
 
+from passlane.decisions.backends.health import AttemptWatch
+from passlane.event_streams.whole_events import EventSplitter
 from passlane.relay.backends import AnswerWriter, BackendAnswer
-from passlane.relay.events import EventSplitter
-from passlane.relay.health import AttemptWatch
 from passlane.runtime.interfaces import HttpConnectionError
 
 MAX_BUFFERED_BYTES = 256_000
--- a/src/passlane/relay/list_reader.py
+++ b/src/passlane/relay/list_reader.py
@@ -10,11 +10,11 @@
 
 import anyio
 
+from passlane.decisions.backends.registry import BackendRegistry
 from passlane.errors import PasslaneError
 from passlane.messages.listing import BackendRecord
 from passlane.observability.logging import get_logger
 from passlane.relay.backends import BackendList
-from passlane.relay.registry import BackendRegistry
 
 READ_PERIOD_S = 0.9
 RATE_SHARE = 0.6
--- a/src/passlane/relay/plain_log.py
+++ b/src/passlane/relay/plain_log.py
@@ -1,8 +1,8 @@
 """The log line of a choice among plain back ends: what decided, and how old that was."""
 
+from passlane.decisions.order.room_queue import RoomTurn
+from passlane.decisions.placement.plain_placement import PlainChoice
 from passlane.observability.logging import get_logger
-from passlane.relay.plain_placement import PlainChoice
-from passlane.relay.room_wait import RoomTurn
 
 _log = get_logger(__name__)
 
--- a/src/passlane/relay/request.py
+++ b/src/passlane/relay/request.py
@@ -2,6 +2,13 @@
 
 import anyio
 
+from passlane.decisions.backends.health import AttemptWatch
+from passlane.decisions.failure.answer_verdicts import (
+    UNAVAILABLE,
+    status_when_given_up,
+    truthful_status,
+)
+from passlane.decisions.failure.retry_after import retry_after_s
 from passlane.errors import PasslaneError, Verdict
 from passlane.messages.placement import TurnOutcome, TurnRefused
 from passlane.messages.quotas import QuotaRefused
@@ -16,11 +23,8 @@
 from passlane.relay.backends import AnswerWriter, BackendAnswer
 from passlane.relay.context import RequestContext
 from passlane.relay.delivery import StreamDelivery, WholeDelivery
-from passlane.relay.health import AttemptWatch
 from passlane.relay.progress import RequestProgress
-from passlane.relay.retry_after import retry_after_s
 from passlane.relay.turn_account import TurnAccount
-from passlane.relay.verdicts import UNAVAILABLE, status_when_given_up, truthful_status
 
 FIRST_FAILURE_STATUS = 300
 NOT_FOUND = 404
--- a/src/passlane/relay/request_quota.py
+++ b/src/passlane/relay/request_quota.py
@@ -2,9 +2,9 @@
 
 import anyio
 
+from passlane.decisions.limits.allowances import Allowances
 from passlane.messages.quotas import QuotaAnswer, QuotaDraw, QuotaGranted, QuotaLimit, QuotaUse
 from passlane.messages.turns import TurnSettled
-from passlane.quotas.allowances import Allowances
 from passlane.routes.tenants import Identity
 from passlane.turns.client import ANSWER_TIMEOUT_S, TurnStoreClient
 
--- a/src/passlane/relay/room_waits.py
+++ b/src/passlane/relay/room_waits.py
@@ -4,9 +4,9 @@
 
 import anyio
 
+from passlane.decisions.order.room_queue import RoomTurn, WaitingCall
+from passlane.decisions.order.service_room import ServiceRoom
 from passlane.observability.logging import get_logger
-from passlane.relay.room_wait import RoomTurn, WaitingCall
-from passlane.relay.service_room import ServiceRoom
 
 _log = get_logger(__name__)
 
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -5,24 +5,24 @@
 import anyio
 from anyio.abc import TaskGroup
 
+from passlane.decisions.backends.registry import BackendRegistry
+from passlane.decisions.failure.answer_verdicts import UNAVAILABLE
+from passlane.decisions.failure.retry_after import retry_after_s
+from passlane.decisions.inputs.relayed_call import RelayedCall
+from passlane.decisions.limits.allowances import Allowances
+from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.routes import Route, RouteConfiguration, RouteKind
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
-from passlane.quotas.allowances import Allowances
 from passlane.relay.admission import NodeAdmission
 from passlane.relay.backends import AnswerWriter, RelayBackends
-from passlane.relay.calls import RelayedCall
 from passlane.relay.context import RequestContext
-from passlane.relay.placement import NodePlace
 from passlane.relay.progress import RequestProgress
-from passlane.relay.registry import BackendRegistry
 from passlane.relay.request import NOT_FOUND, RequestRelay
 from passlane.relay.request_metrics import RequestMetrics
 from passlane.relay.request_quota import RequestQuota, limit_of
-from passlane.relay.retry_after import retry_after_s
 from passlane.relay.service_waits import ServiceWaits
 from passlane.relay.turn_account import TurnAccount, needs_account
-from passlane.relay.verdicts import UNAVAILABLE
 from passlane.routes.table import RouteTable, ShareSelector
 from passlane.routes.tenants import Identity
 from passlane.turns.client import TurnStoreClient
--- a/src/passlane/relay/service_waits.py
+++ b/src/passlane/relay/service_waits.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable, Iterable
 
+from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.routes import RoutedService
-from passlane.relay.placement import NodePlace
 from passlane.relay.room_waits import RoomWaits
-from passlane.relay.service_room import ServiceRoom
 
 
 class ServiceWaits:
--- a/src/passlane/relay/turn_account.py
+++ b/src/passlane/relay/turn_account.py
@@ -4,6 +4,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
+from passlane.decisions.inputs.relayed_call import RelayedCall
 from passlane.errors import PasslaneError
 from passlane.messages.placement import TurnDemand, TurnOutcome
 from passlane.messages.quotas import QuotaDraw
@@ -15,7 +16,6 @@
     SettleTurn,
 )
 from passlane.observability.logging import get_logger
-from passlane.relay.calls import RelayedCall
 from passlane.relay.request_quota import RequestQuota
 from passlane.routes.tenants import Identity
 from passlane.turns.client import TurnStoreClient
--- a/src/passlane/relay/unread_answers.py
+++ b/src/passlane/relay/unread_answers.py
@@ -5,8 +5,8 @@
 
 import msgspec
 
+from passlane.decisions.admission.held_bytes import Ending, HeldBytes, HeldBytesBounds, Instruction
 from passlane.observability.logging import get_logger
-from passlane.relay.held_bytes import Ending, HeldBytes, HeldBytesBounds, Instruction
 from passlane.runtime.interfaces import WatchedConnection
 
 MOST_LOGGED_ENDINGS = 20
--- a/src/passlane/scheduling/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Pure decision logic: ordering, placement, limits, retries."""
--- a/src/passlane/simulation/defects/configuration.py
+++ b/src/passlane/simulation/defects/configuration.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from passlane.control.idempotency import IdempotencyTable, KeyedResult, RememberedCommand
-from passlane.control.machine import ControlStateMachine
+from passlane.control.state.idempotency import IdempotencyTable, KeyedResult, RememberedCommand
+from passlane.control.state.machine import ControlStateMachine
 from passlane.messages.control import PutDocument
 from passlane.simulation.defects.base import Defect, replacing
 from passlane.simulation.replacement import Replacement
--- a/src/passlane/turns/dispatch.py
+++ b/src/passlane/turns/dispatch.py
@@ -5,9 +5,7 @@
 import anyio
 import msgspec
 
-from passlane.messages.listing import BackendRecord
-from passlane.observability.logging import get_logger
-from passlane.scheduling.turn_events import (
+from passlane.decisions.inputs.turn_events import (
     TurnAsked,
     TurnDecision,
     TurnEnded,
@@ -15,7 +13,9 @@
     TurnPlaced,
     TurnWithdrawn,
 )
-from passlane.scheduling.turn_scheduler import TurnScheduler
+from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
+from passlane.messages.listing import BackendRecord
+from passlane.observability.logging import get_logger
 
 TICK_S = 0.05
 """Places are given back and long waits are ended so often; turns that wait bear some tenths of a
--- a/src/passlane/turns/place_metrics.py
+++ b/src/passlane/turns/place_metrics.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
+from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures, TurnScheduler
 from passlane.observability.metrics import Metrics
-from passlane.scheduling.turn_scheduler import SchedulerFigures, TurnScheduler
 
 _STATES: dict[str, Callable[[SchedulerFigures], int]] = {
     "free": lambda figures: max(0, figures.slots - figures.running),
--- a/src/passlane/turns/service.py
+++ b/src/passlane/turns/service.py
@@ -3,6 +3,8 @@
 import anyio
 import msgspec
 
+from passlane.decisions.inputs.turn_events import TurnAsked, TurnEnded, TurnNotPlaced, TurnPlaced
+from passlane.decisions.limits.quota_ledger import QuotaLedger
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.base import Message, encode_message, message_decoder
 from passlane.messages.common import NotLeaderError
@@ -28,12 +30,10 @@
     TurnStoreFound,
 )
 from passlane.observability.logging import get_logger
-from passlane.quotas.ledger import QuotaLedger
 from passlane.replication.interfaces import ReplicatedGroup
-from passlane.scheduling.turn_events import TurnAsked, TurnEnded, TurnNotPlaced, TurnPlaced
 from passlane.transport.interfaces import Router
 from passlane.turns.dispatch import FIGURES_PERIOD_S, TICK_S, PendingTurn, TurnDispatcher
-from passlane.turns.machine import TurnStateMachine
+from passlane.turns.state.machine import TurnStateMachine
 
 AGE_STEP_S = 5.0
 """The leader tells so often that time has passed."""
--- /dev/null
+++ b/src/passlane/turns/state/__init__.py
@@ -0,0 +1,1 @@
+"""What the store group agrees on about programs whose turns any node relays; no I/O."""
--- a/tests/bench/test_scheduling_experiment.py
+++ b/tests/bench/test_scheduling_experiment.py
@@ -25,8 +25,8 @@
 )
 from passlane.bench.virtual_node import CallResult
 from passlane.bench.workloads import TOP_UP
+from passlane.decisions.scheduling.call_scheduler import Scheduler
 from passlane.identifiers import EngineId, ProgramId
-from passlane.scheduling.scheduler import Scheduler
 
 
 def plan(strategy: Strategy, scenario: Scenario) -> RunPlan:
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -23,8 +23,8 @@
 from passlane.cli.programs import ProgramsListCommand
 from passlane.cli.proofs import parse_seeds
 from passlane.cli.status import StatusCommand
-from passlane.control.machine import ControlStateMachine
 from passlane.control.service import ControlService
+from passlane.control.state.machine import ControlStateMachine
 from passlane.errors import PasslaneError
 from passlane.messages.control import AcceptRevision, RegionReport, SetRegions, TargetInFlight
 from passlane.observability.ring import RingLog
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -8,8 +8,8 @@
 from passlane.configuration.ledger import ConfigurationLedger
 from passlane.configuration.parsing import encode_body
 from passlane.configuration.view import ConfigurationView
-from passlane.control.machine import ControlStateMachine
 from passlane.control.service import ControlService
+from passlane.control.state.machine import ControlStateMachine
 from passlane.errors import PasslaneError
 from passlane.identifiers import Revision
 from passlane.messages.base import Message
--- a/tests/control/group_model.py
+++ b/tests/control/group_model.py
@@ -13,8 +13,8 @@
 from passlane.configuration.ledger import ConfigurationLedger
 from passlane.configuration.parsing import encode_body
 from passlane.configuration.view import ConfigurationView
-from passlane.control.leader_duties import LeaderDuties
-from passlane.control.machine import ControlStateMachine
+from passlane.control.state.leader_duties import LeaderDuties
+from passlane.control.state.machine import ControlStateMachine
 from passlane.identifiers import Revision
 from passlane.messages.base import encode_message
 from passlane.messages.control import (
--- a/tests/control/test_machine.py
+++ b/tests/control/state/test_machine.py
@@ -7,7 +7,7 @@
 from passlane.configuration.ledger import ConfigurationLedger
 from passlane.configuration.parsing import encode_body
 from passlane.configuration.view import ConfigurationView
-from passlane.control.machine import ControlStateMachine
+from passlane.control.state.machine import ControlStateMachine
 from passlane.errors import ErrorCode
 from passlane.identifiers import Revision
 from passlane.messages.control import (
--- a/tests/control/test_group_faults.py
+++ b/tests/control/test_group_faults.py
@@ -7,10 +7,10 @@
 from control.group_model import FleetModel, Parts
 from passlane.configuration.references import ReferenceIndex
 from passlane.configuration.view import ConfigurationView
-from passlane.control.acceptance import AcceptanceTracker
-from passlane.control.idempotency import IdempotencyTable
-from passlane.control.leader_duties import LeaderDuties
-from passlane.control.machine import ControlStateMachine
+from passlane.control.state.acceptance import AcceptanceTracker
+from passlane.control.state.idempotency import IdempotencyTable
+from passlane.control.state.leader_duties import LeaderDuties
+from passlane.control.state.machine import ControlStateMachine
 from passlane.identifiers import Revision
 from passlane.messages.control import PutDocument, PutResult
 
--- a/tests/daemon/test_node_bounds.py
+++ b/tests/daemon/test_node_bounds.py
@@ -9,11 +9,11 @@
 
 from passlane.daemon import node_bounds
 from passlane.daemon.node_bounds import MOST_PATIENCE_S, NodeBounds
+from passlane.decisions.admission.held_bytes import LONGEST_STALL_S
+from passlane.decisions.admission.node_load import Admission
 from passlane.messages.common import Address
 from passlane.messages.fleet import FleetRole
 from passlane.observability.metrics import Metrics
-from passlane.relay.held_bytes import LONGEST_STALL_S
-from passlane.relay.node_load import Admission
 from passlane.settings.fleet import (
     BackendListSettings,
     FleetAddressSettings,
--- a/tests/relay/test_held_bytes.py
+++ b/tests/decisions/admission/test_held_bytes.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from passlane.relay.held_bytes import (
+from passlane.decisions.admission.held_bytes import (
     LONGEST_STALL_S,
     SHORTEST_STALL_S,
     EndReason,
--- a/tests/runtime/test_loop_lag.py
+++ b/tests/decisions/admission/test_loop_lag.py
@@ -3,7 +3,12 @@
 import unittest
 from pathlib import Path
 
-from passlane.runtime.loop_lag import LARGEST_SAMPLE_S, SAMPLE_PERIOD_S, SAMPLE_WEIGHT, LoopLag
+from passlane.decisions.admission.loop_lag import (
+    LARGEST_SAMPLE_S,
+    SAMPLE_PERIOD_S,
+    SAMPLE_WEIGHT,
+    LoopLag,
+)
 from passlane.runtime.process_usage import open_descriptors, resident_bytes
 
 
--- a/tests/relay/test_node_load.py
+++ b/tests/decisions/admission/test_node_load.py
@@ -2,9 +2,8 @@
 
 import unittest
 
-from passlane.relay.calls import ProgramContext, RelayedCall
-from passlane.relay.known_programs import MEMORY_S, MOST_PROGRAMS, KnownPrograms
-from passlane.relay.node_load import (
+from passlane.decisions.admission.known_programs import MEMORY_S, MOST_PROGRAMS, KnownPrograms
+from passlane.decisions.admission.node_load import (
     LATE_LOOP_S,
     SHORTEST_STATE_S,
     VERY_LATE_LOOP_S,
@@ -13,6 +12,7 @@
     NodeLoad,
     NodeReading,
 )
+from passlane.decisions.inputs.relayed_call import ProgramContext, RelayedCall
 
 CAPACITY = NodeCapacity(held_bytes=1_000, under_way=100, resident_bytes=100_000, descriptors=500)
 
--- a/tests/relay/test_health.py
+++ b/tests/decisions/backends/test_health.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from passlane.relay.health import (
+from passlane.decisions.backends.health import (
     HALF_LIFE_S,
     LATENCY_MEMORY_S,
     SHORTEST_STALL_S,
@@ -10,8 +10,8 @@
     find_outliers,
     typical_latency_s,
 )
-from passlane.relay.placement import NodePlace, PlacementKey
-from passlane.relay.registry import BackendLoad, BackendRegistry
+from passlane.decisions.backends.registry import BackendLoad, BackendRegistry
+from passlane.decisions.placement.request_placement import NodePlace, PlacementKey
 from relay.fakes import backend, choose
 
 
--- a/tests/quotas/test_allowances.py
+++ b/tests/decisions/limits/test_allowances.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from passlane.quotas.allowances import AHEAD_VALID_S, EXPECTED_CALLS_PER_TURN, Allowances
+from passlane.decisions.limits.allowances import AHEAD_VALID_S, EXPECTED_CALLS_PER_TURN, Allowances
 
 
 class AllowancesTest(unittest.TestCase):
--- a/tests/quotas/test_ledger.py
+++ b/tests/decisions/limits/test_quota_ledger.py
@@ -4,6 +4,15 @@
 import unittest
 from bisect import bisect_right
 
+from passlane.decisions.limits.allowances import AHEAD_VALID_S
+from passlane.decisions.limits.quota_ledger import (
+    BEGIN_SHARE,
+    LONGEST_WAIT_S,
+    TRAVEL_S,
+    QuotaLedger,
+    QuotaRules,
+)
+from passlane.decisions.limits.usage_history import UsageHistory
 from passlane.messages.quotas import (
     QuotaDraw,
     QuotaGranted,
@@ -12,15 +21,6 @@
     QuotaUse,
     TenantUsage,
 )
-from passlane.quotas.allowances import AHEAD_VALID_S
-from passlane.quotas.ledger import (
-    BEGIN_SHARE,
-    LONGEST_WAIT_S,
-    TRAVEL_S,
-    QuotaLedger,
-    QuotaRules,
-)
-from passlane.quotas.usage_history import UsageHistory
 
 WINDOW_S = 5.0
 OVERAGE, SLACK = 0.1, 20
--- a/tests/scheduling/test_limits.py
+++ b/tests/decisions/limits/test_rate_limit.py
@@ -3,13 +3,13 @@
 import unittest
 
 from passlane.configuration.documents import EngineBody
+from passlane.decisions.backends.circuit_breaker import BreakerState, CircuitBreaker
+from passlane.decisions.backends.watched_engines import watched_engines
+from passlane.decisions.failure.retry_budget import RetryBudget, RetryBudgetConfig
+from passlane.decisions.inputs.call_scheduler_config import BreakerConfig
+from passlane.decisions.limits.rate_limit import TenantLimiter, TenantLimits
 from passlane.identifiers import EngineId
 from passlane.messages.common import Address
-from passlane.scheduling.circuit_breaker import BreakerState, CircuitBreaker
-from passlane.scheduling.config import BreakerConfig
-from passlane.scheduling.rate_limit import TenantLimiter, TenantLimits
-from passlane.scheduling.retry_budget import RetryBudget, RetryBudgetConfig
-from passlane.scheduling.watched_engines import watched_engines
 
 
 class CircuitBreakerTest(unittest.TestCase):
--- a/tests/quotas/test_sliding_window.py
+++ b/tests/decisions/limits/test_sliding_window.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from passlane.quotas.sliding_window import SLOT_S, SlidingWindow
+from passlane.decisions.limits.sliding_window import SLOT_S, SlidingWindow
 
 
 class SlidingWindowTest(unittest.TestCase):
--- a/tests/scheduling/test_queue.py
+++ b/tests/decisions/order/test_call_queue.py
@@ -2,10 +2,10 @@
 
 import unittest
 
+from passlane.decisions.inputs.call_events import CallArrived
+from passlane.decisions.inputs.call_scheduler_config import QueueConfig
+from passlane.decisions.order.call_queue import CallQueue
 from passlane.identifiers import CallId, ProgramId, TenantId
-from passlane.scheduling.config import QueueConfig
-from passlane.scheduling.events import CallArrived
-from passlane.scheduling.queue import CallQueue
 
 CONFIG = QueueConfig(
     class_step_s=5.0, ageing_tokens_per_s=100.0, max_attained_tokens=1_000, urgent_s=1.0
--- a/tests/scheduling/test_crowding.py
+++ b/tests/decisions/order/test_crowding.py
@@ -4,13 +4,14 @@
 import unittest
 
 from passlane.configuration.documents import EngineBody
+from passlane.decisions.inputs import call_events as events
+from passlane.decisions.inputs import call_instructions as instructions
+from passlane.decisions.inputs.call_scheduler_config import CrowdingConfig, SchedulerConfig
+from passlane.decisions.order.attained_service import AttainedService
+from passlane.decisions.order.tenant_shares import TenantShares
+from passlane.decisions.scheduling.call_scheduler import Scheduler
 from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
 from passlane.messages.common import Address
-from passlane.scheduling import events, instructions
-from passlane.scheduling.attained_service import AttainedService
-from passlane.scheduling.config import CrowdingConfig, SchedulerConfig
-from passlane.scheduling.scheduler import Scheduler
-from passlane.scheduling.tenant_shares import TenantShares
 
 ENGINE = EngineId("e1")
 CACHE_TOKENS = 20_000
--- a/tests/relay/test_room_wait.py
+++ b/tests/decisions/order/test_room_queue.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from passlane.relay.placement import NodePlace
-from passlane.relay.room_wait import PAUSE_SPREAD, PauseRange, RoomQueue, WaitingCall
-from passlane.relay.service_room import (
+from passlane.decisions.order.room_queue import PAUSE_SPREAD, PauseRange, RoomQueue, WaitingCall
+from passlane.decisions.order.service_room import (
     COME_BACK_SPREAD,
     LONGEST_COME_BACK_S,
     SHORTEST_COME_BACK_S,
     ServiceRoom,
 )
+from passlane.decisions.placement.request_placement import NodePlace
 
 PAUSES = PauseRange(shortest_s=0.005, longest_s=0.03)
 
--- a/tests/relay/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -11,19 +11,19 @@
 
 import msgspec
 
-from passlane.messages.common import Address
-from passlane.messages.listing import BackendRecord, BackendState
-from passlane.relay.placement import (
+from passlane.decisions.backends.registry import BackendRegistry
+from passlane.decisions.order.room_queue import WaitingCall
+from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.placement.plain_placement import PlainCall, PlainView
+from passlane.decisions.placement.request_placement import (
     NodePlace,
     PlacementKey,
     choose_backend,
     note_failure,
     note_success,
 )
-from passlane.relay.plain_placement import PlainCall, PlainView
-from passlane.relay.registry import BackendRegistry
-from passlane.relay.room_wait import WaitingCall
-from passlane.relay.service_room import ServiceRoom
+from passlane.messages.common import Address
+from passlane.messages.listing import BackendRecord, BackendState
 
 SERVICE = "tools"
 ZONES = ("a", "b", "c")
@@ -191,7 +191,7 @@
 
 
 class RoomRule:
-    """The rule of ``passlane.relay.service_room``."""
+    """The rule of ``passlane.decisions.order.service_room``."""
 
     def __init__(self, load):
         self.load = load
--- a/tests/relay/test_plain_load.py
+++ b/tests/decisions/placement/test_plain_load.py
@@ -45,8 +45,8 @@
 import itertools
 import unittest
 
-from passlane.relay.service_room import COME_BACK_SPREAD, LONGEST_COME_BACK_S
-from relay.plain_load import LONGER_KINDS, EarlierRule, PlainLoad, RoomRule
+from decisions.placement.plain_load import LONGER_KINDS, EarlierRule, PlainLoad, RoomRule
+from passlane.decisions.order.service_room import COME_BACK_SPREAD, LONGEST_COME_BACK_S
 
 SEED = 1
 CALLS_PER_S = 650
--- a/tests/relay/test_plain_placement.py
+++ b/tests/decisions/placement/test_plain_placement.py
@@ -3,11 +3,16 @@
 import unittest
 from collections import Counter
 
-from passlane.relay.answer_times import AnswerTimes, PresentSpeed
-from passlane.relay.backend_subset import SUBSET_SIZE, subset_order
-from passlane.relay.placement import NodePlace, note_failure
-from passlane.relay.plain_placement import UNSOUND_S, PlainBackends, PlainCall, PlainView
-from passlane.relay.registry import BackendLoad
+from passlane.decisions.backends.answer_times import AnswerTimes, PresentSpeed
+from passlane.decisions.backends.registry import BackendLoad
+from passlane.decisions.placement.backend_subset import SUBSET_SIZE, subset_order
+from passlane.decisions.placement.plain_placement import (
+    UNSOUND_S,
+    PlainBackends,
+    PlainCall,
+    PlainView,
+)
+from passlane.decisions.placement.request_placement import NodePlace, note_failure
 from relay.fakes import backend
 
 HERE = NodePlace("node-1", "a")
--- a/tests/relay/test_placement.py
+++ b/tests/decisions/placement/test_request_placement.py
@@ -3,20 +3,20 @@
 import unittest
 from collections import Counter
 
-from passlane.relay.calls import PromptPart
-from passlane.relay.list_reader import own_period_s
-from passlane.relay.placement import (
+from passlane.decisions.backends.registry import BackendLoad, BackendRegistry
+from passlane.decisions.inputs.relayed_call import PromptPart
+from passlane.decisions.placement.request_placement import (
     NodePlace,
     PlacementKey,
     note_failure,
     note_success,
 )
-from passlane.relay.registry import BackendLoad, BackendRegistry
-from passlane.relay.shared_parts import (
+from passlane.decisions.placement.shared_parts import (
     SMALLEST_LARGE_TOKENS,
     engines_of_part,
     large_shared_part,
 )
+from passlane.relay.list_reader import own_period_s
 from relay.fakes import backend, choose
 
 HERE = NodePlace("node-1", "a")
--- a/tests/relay/test_zone_weights.py
+++ b/tests/decisions/placement/test_zone_weights.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import Counter
 
-from passlane.relay.zone_weights import ZoneWeights
+from passlane.decisions.placement.zone_weights import ZoneWeights
 from relay.fakes import backend
 
 
--- a/tests/scheduling/test_scheduler.py
+++ b/tests/decisions/scheduling/test_call_scheduler.py
@@ -4,6 +4,10 @@
 import unittest
 
 from passlane.configuration.documents import EngineBody
+from passlane.decisions.inputs import call_events as events
+from passlane.decisions.inputs import call_instructions as instructions
+from passlane.decisions.inputs.call_scheduler_config import QueueConfig, SchedulerConfig
+from passlane.decisions.scheduling.call_scheduler import Scheduler
 from passlane.errors import ErrorCode
 from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
 from passlane.messages.backends import (
@@ -15,9 +19,6 @@
     EngineLoad,
 )
 from passlane.messages.common import Address
-from passlane.scheduling import events, instructions
-from passlane.scheduling.config import QueueConfig, SchedulerConfig
-from passlane.scheduling.scheduler import Scheduler
 
 E1, E2 = EngineId("e1"), EngineId("e2")
 
--- a/tests/scheduling/test_promises.py
+++ b/tests/decisions/scheduling/test_promises.py
@@ -8,15 +8,16 @@
 from hypothesis import strategies as st
 
 from passlane.configuration.documents import EngineBody
+from passlane.decisions.backends.engine_view import EngineView
+from passlane.decisions.inputs import call_events as events
+from passlane.decisions.inputs import call_instructions as instructions
+from passlane.decisions.inputs.call_scheduler_config import QueueConfig, SchedulerConfig
+from passlane.decisions.order.call_queue import CallQueue
+from passlane.decisions.placement.call_placement import Estimate, Placement
+from passlane.decisions.scheduling.call_scheduler import Scheduler
 from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
 from passlane.messages.backends import CacheEvent, CacheEventKind, CacheEvents, EngineLoad
 from passlane.messages.common import Address
-from passlane.scheduling import events, instructions
-from passlane.scheduling.config import QueueConfig, SchedulerConfig
-from passlane.scheduling.engine_view import EngineView
-from passlane.scheduling.placement import Estimate, Placement
-from passlane.scheduling.queue import CallQueue
-from passlane.scheduling.scheduler import Scheduler
 
 DETERMINISTIC = settings(derandomize=True, database=None, deadline=None, max_examples=60)
 ENGINES = tuple(EngineId(f"e{number}") for number in range(5))
--- a/tests/scheduling/test_turn_defects.py
+++ b/tests/decisions/scheduling/test_turn_defects.py
@@ -4,11 +4,11 @@
 import unittest
 from collections.abc import Iterator
 
-from passlane.scheduling.engine_places import EnginePlaces, EngineTable, PlacedTurn
-from passlane.scheduling.expected_end import TurnDurations
-from passlane.scheduling.program_admission import ProgramAdmission
-from passlane.scheduling.turn_queue import TurnQueue, WaitingTurn
-from passlane.scheduling.turn_scheduler import TurnScheduler
+from passlane.decisions.admission.program_admission import ProgramAdmission
+from passlane.decisions.backends.engine_places import EnginePlaces, EngineTable, PlacedTurn
+from passlane.decisions.order.turn_queue import TurnQueue, WaitingTurn
+from passlane.decisions.placement.turn_placement import TurnDurations
+from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.simulation.replacement import Replacement, replaced
 from scheduling import test_turn_figures, test_turn_scheduler
 
--- a/tests/scheduling/test_turn_figures.py
+++ b/tests/decisions/scheduling/test_turn_figures.py
@@ -5,9 +5,9 @@
 import random
 import unittest
 
-from passlane.scheduling.turn_events import TurnEnded
-from passlane.scheduling.turn_scheduler import TurnScheduler
-from scheduling.test_turn_scheduler import asked, ended, engine
+from decisions.scheduling.test_turn_scheduler import asked, ended, engine
+from passlane.decisions.inputs.turn_events import TurnEnded
+from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 
 MEAN_S = 0.15
 
--- a/tests/scheduling/test_turn_load.py
+++ b/tests/decisions/scheduling/test_turn_load.py
@@ -8,8 +8,8 @@
 from collections.abc import Sequence
 from dataclasses import replace
 
-from passlane.scheduling.turn_scheduler import TurnScheduler
-from scheduling.turn_load import ALARM, SESSION, Burst, Kind, TurnLoad
+from decisions.scheduling.turn_load import ALARM, SESSION, Burst, Kind, TurnLoad
+from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 
 USUAL_SHARE = 0.5
 """Of the rates in ``turn_load``: at this share 24 engines of six places are 70% taken."""
--- a/tests/scheduling/test_turn_scheduler.py
+++ b/tests/decisions/scheduling/test_turn_scheduler.py
@@ -4,29 +4,29 @@
 
 import msgspec
 
-from passlane.messages.common import Address
-from passlane.messages.listing import BackendRecord, BackendState
-from passlane.messages.placement import TurnDemand, TurnOutcome
-from passlane.scheduling.program_admission import (
+from passlane.decisions.admission.program_admission import (
     LONGEST_HOLD_AFTER_RETURN_S,
     LONGEST_HOLD_S,
     LONGEST_RETRY_S,
     PROMISE_KEPT_S,
 )
-from passlane.scheduling.turn_events import (
+from passlane.decisions.inputs.turn_events import (
     TurnAsked,
     TurnEnded,
     TurnNotPlaced,
     TurnPlaced,
     TurnWithdrawn,
 )
-from passlane.scheduling.turn_queue import LONGEST_LATE_WAIT_S
-from passlane.scheduling.turn_scheduler import (
+from passlane.decisions.order.turn_queue import LONGEST_LATE_WAIT_S
+from passlane.decisions.scheduling.turn_scheduler import (
     LEARNING_S,
     LONGEST_LOOPING_HOLD_S,
     SHORTEST_PLACE_S,
     TurnScheduler,
 )
+from passlane.messages.common import Address
+from passlane.messages.listing import BackendRecord, BackendState
+from passlane.messages.placement import TurnDemand, TurnOutcome
 
 URGENT, USUAL = 0, 2
 
--- a/tests/scheduling/turn_load.py
+++ b/tests/decisions/scheduling/turn_load.py
@@ -11,17 +11,17 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from passlane.messages.common import Address
-from passlane.messages.listing import BackendRecord, BackendState
-from passlane.messages.placement import TurnDemand, TurnOutcome
-from passlane.scheduling.turn_events import (
+from passlane.decisions.inputs.turn_events import (
     TurnAsked,
     TurnDecision,
     TurnEnded,
     TurnNotPlaced,
     TurnPlaced,
 )
-from passlane.scheduling.turn_scheduler import TurnScheduler
+from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
+from passlane.messages.common import Address
+from passlane.messages.listing import BackendRecord, BackendState
+from passlane.messages.placement import TurnDemand, TurnOutcome
 
 STEP_S = 0.00313
 FIRST_STEP_S = 0.018
--- a/tests/relay/test_events.py
+++ b/tests/event_streams/test_whole_events.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from passlane.relay.events import EventSplitter
+from passlane.event_streams.whole_events import EventSplitter
 
 STREAM = b"id: 1\ndata: a\n\ndata:b\ndata: c\nid: 2\n\n: comment\n\nid: 3\ndata: end"
 
--- a/tests/fleet/test_backend_listing.py
+++ b/tests/fleet/state/test_backend_listing.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from passlane.fleet.backend_listing import REPORT_OVERDUE_S, BackendListing
+from passlane.fleet.state.backend_listing import REPORT_OVERDUE_S, BackendListing
 from passlane.messages.listing import ReportBackends
 from relay.fakes import backend
 
--- a/tests/fleet/test_listing_updates.py
+++ b/tests/fleet/state/test_listing_updates.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from passlane.fleet.listing_updates import (
+from passlane.fleet.state.listing_updates import (
     LISTS_REMEMBERED,
     ListingUpdates,
     apply_changes,
--- a/tests/fleet/test_machine.py
+++ b/tests/fleet/state/test_machine.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from passlane.fleet.directory import FORGET_AFTER_S, FOUNDING_PAUSE_S, FleetDirectory
-from passlane.fleet.machine import FleetStateMachine
+from passlane.fleet.state.directory import FORGET_AFTER_S, FOUNDING_PAUSE_S, FleetDirectory
+from passlane.fleet.state.machine import FleetStateMachine
 from passlane.messages.common import Address
 from passlane.messages.fleet import Announce, FleetRole, FoundStoreGroup, NamedAddress
 from passlane.messages.routes import ConfigurationReplaced, ReplaceConfiguration
--- a/tests/fleet/test_packed_configuration.py
+++ b/tests/fleet/state/test_packed_configuration.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from passlane.fleet.packed_configuration import PackedConfigurations, pack, unpack
+from passlane.fleet.state.packed_configuration import PackedConfigurations, pack, unpack
 from routes.test_checks import configuration, route
 
 
--- a/tests/node/test_policies_and_limits.py
+++ b/tests/node/test_policies_and_limits.py
@@ -7,6 +7,7 @@
 
 from node.nodes import PROGRAM, Answer, Fleet, charge, chat, in_fleet, whole_text
 from passlane.configuration.documents import PolicyBody, ServiceBody
+from passlane.decisions.inputs.call_events import CallArrived, Event
 from passlane.errors import ErrorCode, PasslaneError, Verdict
 from passlane.identifiers import ProgramId
 from passlane.messages.common import Amounts
@@ -15,7 +16,6 @@
 from passlane.node.housekeeping import INTERVAL_S, Housekeeping
 from passlane.node.node_metrics import NodeMetrics
 from passlane.observability.metrics import Metrics
-from passlane.scheduling.events import CallArrived, Event
 
 FIRST_POLICY = """
 def classify(call):
--- a/tests/on_platform/test_engine_answers.py
+++ b/tests/on_platform/test_engine_answers.py
@@ -7,13 +7,14 @@
 import anyio
 import msgspec
 
+from passlane.decisions.failure.answer_verdicts import Judgement, judge_answer
+from passlane.decisions.inputs.answer_head import Refusal
+from passlane.decisions.inputs.relayed_call import Header, RelayedCall
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.platform import engine_client
 from passlane.platform.engine_client import MAX_REFUSAL_BYTES, REFUSAL_READ_S, EngineClient
-from passlane.relay.backends import BackendRequest, Refusal
-from passlane.relay.calls import Header, RelayedCall
-from passlane.relay.verdicts import Judgement, judge_answer
+from passlane.relay.backends import BackendRequest
 from passlane.runtime.http_client import SingleConnectionHttpClient
 from passlane.runtime.interfaces import HttpConnectionError
 from passlane.simulation.network import DelayModel, SimulatedNetwork
--- a/tests/on_platform/test_formats.py
+++ b/tests/on_platform/test_formats.py
@@ -4,14 +4,14 @@
 
 import msgspec
 
+from passlane.decisions.failure.answer_verdicts import Judgement, judge_answer
+from passlane.decisions.inputs.answer_head import Refusal
+from passlane.decisions.inputs.relayed_call import Header, PromptPart
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.routes import Route, RoutedService, RouteKind, ServiceShare, Tenant
 from passlane.platform.configuration_format import document_of, parse_configuration
 from passlane.platform.engine_client import EngineAnswer
 from passlane.platform.request_format import parse_call
-from passlane.relay.backends import Refusal
-from passlane.relay.calls import Header, PromptPart
-from passlane.relay.verdicts import Judgement, judge_answer
 from passlane.routes.tenants import digest_of_key
 
 TURN_HEADERS = {
--- a/tests/on_platform/test_quotas.py
+++ b/tests/on_platform/test_quotas.py
@@ -10,10 +10,10 @@
 from on_platform.stand_in import StandInEngine
 from on_platform.test_fleet import on_seeds
 from passlane.api.asgi import read_request
+from passlane.decisions.limits.quota_ledger import QuotaLedger
 from passlane.messages.common import Address
 from passlane.messages.fleet import FleetRole
 from passlane.messages.quotas import QuotaGranted
-from passlane.quotas.ledger import QuotaLedger
 from passlane.relay.request_quota import RequestQuota
 from passlane.runtime.interfaces import HttpRequest
 
--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -14,6 +14,8 @@
 
 from on_platform.test_deploy import FILLED, NODE_ADDRESSES
 from passlane.daemon.node_bounds import NodeBounds
+from passlane.decisions.backends.registry import BackendRegistry
+from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.routes import RouteKind
@@ -21,8 +23,6 @@
 from passlane.platform import names
 from passlane.platform.client_ingress import ClientIngress
 from passlane.platform.engine_client import EngineClient
-from passlane.relay.placement import NodePlace
-from passlane.relay.registry import BackendRegistry
 from passlane.relay.service import RelayService
 from passlane.runtime.early_listening import ListeningSockets, bound_socket
 from passlane.runtime.http_client import SingleConnectionHttpClient
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -5,53 +5,16 @@
 """
 
 from passlane.configuration.documents import EngineBody
-from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
-from passlane.messages.backends import (
-    CacheEntry,
-    CacheEvent,
-    CacheEventKind,
-    CacheEvents,
-    CacheSnapshot,
-    EngineLoad,
-)
-from passlane.messages.common import Address
-from passlane.messages.listing import BackendRecord, BackendState
-from passlane.messages.placement import TurnDemand, TurnOutcome
-from passlane.messages.quotas import (
-    QuotaDraw,
-    QuotaGranted,
-    QuotaLimit,
-    QuotaRefused,
-    QuotaUse,
-    TenantUsage,
-)
-from passlane.messages.routes import Route, RouteKind
-from passlane.quotas.ledger import QuotaLedger, QuotaRules
-from passlane.relay.caller_patience import first_part_due_at
-from passlane.relay.health import AttemptWatch, congestion_level, stall_limit_s
-from passlane.relay.node_load import LoadChange, NodeCapacity, NodeLoad, NodeReading
-from passlane.relay.placement import (
-    NodePlace,
-    PlacementChoice,
-    PlacementKey,
-    choose_backend,
-    note_failure,
-    note_success,
-)
-from passlane.relay.plain_placement import PlainCall, PlainChoice, PlainView
-from passlane.relay.registry import BackendLoad, BackendRegistry, ServiceJudgement
-from passlane.relay.retry_after import retry_after_s as outage_retry_after_s
-from passlane.relay.room_wait import PauseRange, RoomTurn, WaitingCall
-from passlane.relay.service_room import ServiceRoom
-from passlane.scheduling.config import (
-    CrowdingConfig,
-    Ordering,
-    QueueConfig,
-    RetentionConfig,
-    SchedulerConfig,
-)
-from passlane.scheduling.engine_places import EnginePlaces, PlacedTurn
-from passlane.scheduling.events import (
+from passlane.decisions.admission.node_load import LoadChange, NodeCapacity, NodeLoad, NodeReading
+from passlane.decisions.admission.program_admission import ProgramAdmission
+from passlane.decisions.admission.program_admission import retry_after as promise_retry_after
+from passlane.decisions.backends.engine_places import EnginePlaces, PlacedTurn
+from passlane.decisions.backends.health import AttemptWatch, congestion_level, stall_limit_s
+from passlane.decisions.backends.registry import BackendLoad, BackendRegistry, ServiceJudgement
+from passlane.decisions.backends.speed import FleetSpeed
+from passlane.decisions.failure.client_timeout import first_part_due_at
+from passlane.decisions.failure.retry_after import retry_after_s as outage_retry_after_s
+from passlane.decisions.inputs.call_events import (
     CacheEventsReported,
     CacheSnapshotReported,
     CallArrived,
@@ -66,8 +29,7 @@
     ProgramPaused,
     TimeAdvanced,
 )
-from passlane.scheduling.expected_end import EngineChoice, TurnDurations, choose_engine
-from passlane.scheduling.instructions import (
+from passlane.decisions.inputs.call_instructions import (
     MoveCache,
     RefuseCall,
     ReleaseCache,
@@ -76,18 +38,56 @@
     WakeAt,
     WatchEngines,
 )
-from passlane.scheduling.program_admission import ProgramAdmission
-from passlane.scheduling.program_admission import retry_after as promise_retry_after
-from passlane.scheduling.scheduler import Scheduler
-from passlane.scheduling.speed import FleetSpeed
-from passlane.scheduling.turn_events import (
+from passlane.decisions.inputs.call_scheduler_config import (
+    CrowdingConfig,
+    Ordering,
+    QueueConfig,
+    RetentionConfig,
+    SchedulerConfig,
+)
+from passlane.decisions.inputs.turn_events import (
     TurnAsked,
     TurnEnded,
     TurnNotPlaced,
     TurnPlaced,
     TurnWithdrawn,
 )
-from passlane.scheduling.turn_scheduler import SchedulerFigures, TurnScheduler
+from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
+from passlane.decisions.order.room_queue import PauseRange, RoomTurn, WaitingCall
+from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.placement.plain_placement import PlainCall, PlainChoice, PlainView
+from passlane.decisions.placement.request_placement import (
+    NodePlace,
+    PlacementChoice,
+    PlacementKey,
+    choose_backend,
+    note_failure,
+    note_success,
+)
+from passlane.decisions.placement.turn_placement import EngineChoice, TurnDurations, choose_engine
+from passlane.decisions.scheduling.call_scheduler import Scheduler
+from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures, TurnScheduler
+from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
+from passlane.messages.backends import (
+    CacheEntry,
+    CacheEvent,
+    CacheEventKind,
+    CacheEvents,
+    CacheSnapshot,
+    EngineLoad,
+)
+from passlane.messages.common import Address
+from passlane.messages.listing import BackendRecord, BackendState
+from passlane.messages.placement import TurnDemand, TurnOutcome
+from passlane.messages.quotas import (
+    QuotaDraw,
+    QuotaGranted,
+    QuotaLimit,
+    QuotaRefused,
+    QuotaUse,
+    TenantUsage,
+)
+from passlane.messages.routes import Route, RouteKind
 
 __all__ = [
     "Address",
--- a/tests/recorded_machines/test_recorded_control.py
+++ b/tests/recorded_machines/test_recorded_control.py
@@ -18,8 +18,8 @@
 )
 from passlane.configuration.ledger import ConfigurationLedger
 from passlane.configuration.parsing import encode_body
-from passlane.control.acceptance import AcceptanceTracker
-from passlane.control.machine import ControlStateMachine
+from passlane.control.state.acceptance import AcceptanceTracker
+from passlane.control.state.machine import ControlStateMachine
 from passlane.errors import ErrorCode
 from passlane.identifiers import NodeId, Revision
 from passlane.messages.base import encode_message, message_decoder
--- a/tests/recorded_machines/test_recorded_fleet.py
+++ b/tests/recorded_machines/test_recorded_fleet.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
-from passlane.fleet.backend_listing import BackendListing
-from passlane.fleet.directory import FleetDirectory
-from passlane.fleet.listing_updates import apply_changes, unpack
-from passlane.fleet.machine import FleetCommand, FleetStateMachine
+from passlane.fleet.state.backend_listing import BackendListing
+from passlane.fleet.state.directory import FleetDirectory
+from passlane.fleet.state.listing_updates import apply_changes, unpack
+from passlane.fleet.state.machine import FleetCommand, FleetStateMachine
 from passlane.messages.base import encode_message, message_decoder
 from passlane.messages.common import Address
 from passlane.messages.fleet import (
--- a/tests/recorded_machines/test_recorded_turns.py
+++ b/tests/recorded_machines/test_recorded_turns.py
@@ -15,7 +15,7 @@
     TurnCommand,
     TurnResult,
 )
-from passlane.turns.machine import TurnStateMachine
+from passlane.turns.state.machine import TurnStateMachine
 from recorded_machines.recording import Recording
 
 KINDS: dict[type[Any], str] = {KeptTurn: "turn", TenantUsage: "usage"}
--- a/tests/relay/fakes.py
+++ b/tests/relay/fakes.py
@@ -6,14 +6,14 @@
 import anyio
 import anyio.lowlevel
 
+from passlane.decisions.inputs.answer_head import AnswerHead, Refusal
+from passlane.decisions.inputs.relayed_call import Header, ProgramContext, RelayedCall
+from passlane.decisions.placement.request_placement import choose_backend
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.quotas import QuotaGranted
 from passlane.messages.turns import TurnReserved, TurnSettled
-from passlane.relay.backends import AnswerHead, Refusal
-from passlane.relay.calls import Header, ProgramContext, RelayedCall
-from passlane.relay.placement import choose_backend
 from passlane.runtime.interfaces import HttpConnectionError
 from passlane.turns.client import Reservation
 
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -3,9 +3,9 @@
 import anyio
 from structlog.testing import capture_logs
 
+from passlane.decisions.admission.node_load import Admission, NodeCapacity, NodeReading
 from passlane.messages.turns import TurnReserved
 from passlane.relay.admission import REFUSED, NodeAdmission
-from passlane.relay.node_load import Admission, NodeCapacity, NodeReading
 from relay.fakes import Script, ScriptedStore, call, head
 from relay.test_service import EVENT_1, TURNS, RelayCase
 
--- a/tests/relay/test_delivery.py
+++ b/tests/relay/test_delivery.py
@@ -4,8 +4,8 @@
 
 import anyio
 
+from passlane.decisions.backends.health import BackendHealth
 from passlane.relay.delivery import StreamDelivery
-from passlane.relay.health import BackendHealth
 from relay.fakes import RecordingWriter, Script, head
 
 EVENTS = 50
--- a/tests/relay/test_list_reader.py
+++ b/tests/relay/test_list_reader.py
@@ -5,8 +5,8 @@
 
 import anyio
 
+from passlane.decisions.backends.registry import BackendRegistry
 from passlane.relay.list_reader import BackendListReader
-from passlane.relay.registry import BackendRegistry
 from relay.fakes import backend
 
 
--- a/tests/relay/test_room_waits.py
+++ b/tests/relay/test_room_waits.py
@@ -5,10 +5,10 @@
 import anyio
 import trio.testing
 
-from passlane.relay.placement import NodePlace
-from passlane.relay.room_wait import WaitingCall
+from passlane.decisions.order.room_queue import WaitingCall
+from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.placement.request_placement import NodePlace
 from passlane.relay.room_waits import RoomWaits
-from passlane.relay.service_room import ServiceRoom
 
 
 def waiting(name, arrived_at=0.0, left_s=1.0):
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -9,22 +9,22 @@
 import msgspec
 import trio.testing
 
+from passlane.decisions.backends.answer_times import UNKNOWN_ANSWER_S
+from passlane.decisions.backends.registry import BackendRegistry
+from passlane.decisions.failure.retry_after import LONGEST_RETRY_S, SHORTEST_RETRY_S
+from passlane.decisions.inputs.relayed_call import PromptPart
+from passlane.decisions.order.service_room import COME_BACK_SPREAD, LONGEST_COME_BACK_S
+from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.listing import BackendState
 from passlane.messages.placement import TurnRefused
 from passlane.messages.quotas import QuotaGranted, QuotaRefused, QuotaUse
 from passlane.messages.routes import RouteKind, ServiceShare, Tenant
 from passlane.messages.turns import BudgetSpent, TurnReserved, TurnUnknown
 from passlane.observability.metrics import Metrics
-from passlane.relay.answer_times import UNKNOWN_ANSWER_S
 from passlane.relay.attempts import RequestAttempts, RequestFailedError, RequestRefusedError
-from passlane.relay.calls import PromptPart
 from passlane.relay.delivery import MAX_BUFFERED_BYTES
-from passlane.relay.placement import NodePlace
-from passlane.relay.registry import BackendRegistry
 from passlane.relay.request import AnswerAbortedError
-from passlane.relay.retry_after import LONGEST_RETRY_S, SHORTEST_RETRY_S
 from passlane.relay.service import START_WAIT_S, RelayService
-from passlane.relay.service_room import COME_BACK_SPREAD, LONGEST_COME_BACK_S
 from passlane.routes.tenants import Identity, digest_of_key
 from passlane.simulation.replacement import Replacement, replaced
 from relay.fakes import (
--- a/tests/relay/test_unread_answers.py
+++ b/tests/relay/test_unread_answers.py
@@ -4,7 +4,7 @@
 
 from structlog.testing import capture_logs
 
-from passlane.relay.held_bytes import LONGEST_STALL_S, HeldBytesBounds
+from passlane.decisions.admission.held_bytes import LONGEST_STALL_S, HeldBytesBounds
 from passlane.relay.unread_answers import MOST_LOGGED_ENDINGS, UnreadAnswers
 
 PERIOD_S = 0.25
--- a/tests/soak/defective_daemon.py
+++ b/tests/soak/defective_daemon.py
@@ -15,8 +15,8 @@
 
 def place_never_given_back():
     """Forget the end of one turn, and give nothing back by time."""
-    from passlane.scheduling.engine_places import EngineTable
-    from passlane.scheduling.turn_scheduler import TurnScheduler
+    from passlane.decisions.backends.engine_places import EngineTable
+    from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 
     numbers = itertools.count(1)
     end = TurnScheduler.end
@@ -30,7 +30,7 @@
 
 def limit_counted_by_each_node():
     """Let each node grant from a ledger of its own."""
-    from passlane.quotas.ledger import QuotaLedger, QuotaRules
+    from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
     from passlane.turns.client import TurnStoreClient
 
     ledger = QuotaLedger(QuotaRules(window_s=5.0, overage=0.1, slack=10.0))
--- a/tests/stored_data/replicas.py
+++ b/tests/stored_data/replicas.py
@@ -12,12 +12,12 @@
 import anyio
 import msgspec
 
-from passlane.control.machine import ControlStateMachine
+from passlane.control.state.machine import ControlStateMachine
 from passlane.daemon.fleet_store import TURN_GROUP
 from passlane.daemon.parts import store_group_name
 from passlane.daemon.replicas import CONTROL_FOLDER, CONTROL_GROUP, STORE_FOLDER
 from passlane.errors import ErrorCode, PasslaneError
-from passlane.fleet.machine import FleetStateMachine
+from passlane.fleet.state.machine import FleetStateMachine
 from passlane.messages.common import Address
 from passlane.replication.interfaces import StateMachine
 from passlane.replication.replica_host import ReplicaHost
@@ -26,7 +26,7 @@
 from passlane.settings.model import GroupSettings, PeerSettings
 from passlane.store.machine import StoreStateMachine
 from passlane.transport.router import MessageRouter
-from passlane.turns.machine import TurnStateMachine
+from passlane.turns.state.machine import TurnStateMachine
 
 KEPT = Path(__file__).resolve().parent / "kept"
 FILES = "files"
--- a/tests/turns/test_machine.py
+++ b/tests/turns/state/test_machine.py
@@ -16,7 +16,7 @@
     TurnReserved,
     TurnUnknown,
 )
-from passlane.turns.machine import RETENTION_MARGIN_S, TurnStateMachine
+from passlane.turns.state.machine import RETENTION_MARGIN_S, TurnStateMachine
 
 
 def reserve(attempt, *, program="p", most=10, budget=30, previous=None):
--- a/tests/turns/test_service.py
+++ b/tests/turns/test_service.py
@@ -6,6 +6,8 @@
 import anyio
 import trio.testing
 
+from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
+from passlane.decisions.scheduling.turn_scheduler import LEARNING_S, TurnScheduler
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.base import Message, encode_message
 from passlane.messages.common import Address, NotLeaderError
@@ -13,12 +15,10 @@
 from passlane.messages.placement import TurnDemand, TurnRefused
 from passlane.messages.quotas import QuotaDraw, QuotaLimit, QuotaUse
 from passlane.messages.turns import BudgetSpent, ReserveTurn, SettleTurn, TurnReserved
-from passlane.quotas.ledger import QuotaLedger, QuotaRules
-from passlane.scheduling.turn_scheduler import LEARNING_S, TurnScheduler
 from passlane.transport.router import MessageRouter
 from passlane.turns.dispatch import TICK_S, TurnDispatcher
-from passlane.turns.machine import TurnStateMachine
 from passlane.turns.service import TurnService
+from passlane.turns.state.machine import TurnStateMachine
 
 PROPOSE_S = 0.01
 BEFORE = ReserveTurn(program_id="under-way", attempt_id="before", most_tokens=1, budget_tokens=100)
