--- a/tests/daemon/test_fleet_start.py
+++ b/tests/daemon/test_fleet_start.py
@@ -8,6 +8,8 @@
 
 from passlane.daemon.fleet_start import early_addresses
 
+RUNS_ALONE = "starts processes"
+
 SETTINGS = """
 [addresses]
 internal = "10.1.0.30:7380"
--- a/tests/on_platform/test_deploy.py
+++ b/tests/on_platform/test_deploy.py
@@ -12,6 +12,8 @@
 from passlane.settings.fleet import load_fleet_settings
 from passlane.settings.loader import SettingsError
 
+RUNS_ALONE = "starts processes"
+
 ROOT = Path(__file__).resolve().parents[2]
 PIN = re.compile(r"^[A-Za-z0-9_]+==.*?(?=^\S|\Z)", re.MULTILINE | re.DOTALL)
 IMPORT_WITH_ONLY = """
--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -33,6 +33,8 @@
 from relay.fakes import ScriptedStore
 from routes.test_checks import configuration, route
 
+RUNS_ALONE = "listens on real sockets and measures memory and time"
+
 EVENT = b"data: " + b"x" * 4_000 + b"\n\n"
 CHUNK = b"%x\r\n%s\r\n" % (len(EVENT), EVENT)
 STREAM_HEAD = (
--- a/tests/routes/test_tenants.py
+++ b/tests/routes/test_tenants.py
@@ -8,6 +8,8 @@
 from passlane.routes.tenants import NOBODY, TenantTable, digest_of_key
 from routes.test_checks import configuration, route
 
+RUNS_ALONE = "measures processor time"
+
 CORNER = Tenant(
     name="corner", key_digests=(digest_of_key("key-1"), digest_of_key("key-2")), priority=0
 )
--- a/tests/runtime/test_accepted_stream.py
+++ b/tests/runtime/test_accepted_stream.py
@@ -11,6 +11,8 @@
 from passlane.runtime.accepted_stream import UNREAD_LIMIT_BYTES
 from passlane.runtime.network import TcpNetwork
 
+RUNS_ALONE = "listens on real sockets"
+
 LARGE = bytes(range(256)) * 20_000
 TIMEOUT_S = 20.0
 
--- a/tests/runtime/test_early_listening.py
+++ b/tests/runtime/test_early_listening.py
@@ -10,6 +10,8 @@
 from passlane.runtime.early_listening import ListeningSockets, bound_socket
 from passlane.runtime.http_server import UvicornHttpServer
 
+RUNS_ALONE = "listens on real sockets"
+
 GUARD_S = 10.0
 """Against hanging; no time is asserted."""
 REQUEST = b"GET / HTTP/1.1\r\nHost: test\r\nConnection: close\r\n\r\n"
--- a/tests/runtime/test_http.py
+++ b/tests/runtime/test_http.py
@@ -21,6 +21,8 @@
 from passlane.simulation.replacement import Replacement, replaced
 from passlane.simulation.runner import run_simulation
 
+RUNS_ALONE = "listens on real sockets"
+
 CLIENT_HOST = "10.0.0.1"
 BACK_END = Address("10.0.0.2", 8000)
 
--- a/tests/runtime/test_http_limits.py
+++ b/tests/runtime/test_http_limits.py
@@ -9,6 +9,8 @@
 from passlane.runtime.http_server import UvicornHttpServer
 from passlane.runtime.interfaces import HttpLimits
 
+RUNS_ALONE = "listens on real sockets under short time limits"
+
 HOST = "127.0.0.1"
 LIMITS = HttpLimits(max_header_bytes=500, header_timeout_s=0.2, idle_timeout_s=0.4)
 
--- a/tests/runtime/test_worker_thread.py
+++ b/tests/runtime/test_worker_thread.py
@@ -8,6 +8,8 @@
 
 from passlane.runtime.worker_thread import WorkerThread
 
+RUNS_ALONE = "starts threads"
+
 
 class WorkerThreadTest(unittest.TestCase):
     def test_the_loop_goes_on_while_the_work_runs_on_another_thread(self):
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -8,6 +8,8 @@
 from passlane.soak.machines import loopback_network
 from passlane.soak.proxy import FaultyProxy, ProxyMode
 
+RUNS_ALONE = "listens on real sockets"
+
 PORT = 8090
 HELD_S = 0.2
 
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -15,6 +15,8 @@
 from passlane.soak.run import SoakSettings, run_soak
 from soak.defective_daemon import DEFECT_VARIABLE
 
+RUNS_ALONE = "starts processes of the daemon that serve under time limits"
+
 SEED = 1
 LOAD_S = 10.0
 DEFECT_LOAD_S = 8.0
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -18,6 +18,8 @@
 from passlane.messages.store import CallOutcome, FinishCall, StoreCommand, Turn
 from passlane.messages.turns import FindTurnStore
 
+RUNS_ALONE = "starts processes"
+
 
 class CodecTest(unittest.TestCase):
     def test_command_survives_encoding(self) -> None:
