--- /dev/null
+++ b/tests/daemon/node_start.py
@@ -0,0 +1,123 @@
+"""What a node of a fleet imports and holds at rest, started with the deployed packages alone.
+
+Run this file to print the figures.
+"""
+
+import os
+import re
+import subprocess
+import sys
+import tempfile
+import time
+from dataclasses import dataclass
+from importlib.metadata import distribution
+from pathlib import Path
+
+import passlane
+from passlane.bench.loopback import free_address
+from passlane.bench.process_usage import read_usage
+from passlane.platform.names import SETTINGS_VARIABLE
+
+ROOT = Path(__file__).resolve().parents[2]
+SOURCE = Path(passlane.__file__).parents[1]
+DEPLOYED = ROOT / "deploy" / "requirements.lock"
+OWN_PACKAGE = "passlane"
+REST_S = 3.0
+"""After its start a node does what it does once; then it waits for its seeds."""
+START_LIMIT_S = 60.0
+POLL_S = 0.05
+STARTED = '"event":"started"'
+IMPORTED = "imported:"
+PROGRAM = f"""
+import atexit, runpy, sys
+atexit.register(lambda: print({IMPORTED!r}, *filter(sys.modules.get, list(sys.modules))))
+runpy.run_module("passlane.daemon.fleet_start", run_name="__main__", alter_sys=True)
+"""
+SETTINGS = """
+seeds = ["{}"]
+process = {{ name = "node-1", role = "node", zone = "a", is_first_start = true }}
+addresses = {{ internal = "{}", callers = "{}", readiness = "{}", metrics = "{}" }}
+backend_list = {{ address = "{}", rate_per_s = 20.0 }}
+timing = {{ grace_s = 4 }}
+turns = {{ are_placed_by_store = true }}
+"""
+ADDRESSES = 6
+
+
+@dataclass(frozen=True)
+class NodeStart:
+    """Modules that a node has imported when it ends, and its resident memory at rest."""
+
+    packages: tuple[str, ...]
+    package_modules: int
+    own_modules: int
+    standard_modules: int
+    resident_bytes: int
+
+
+def measure_node_start() -> NodeStart:
+    """Start a node whose seeds nobody answers at, let it come to rest, and stop it."""
+    with tempfile.TemporaryDirectory() as folder:
+        packages, settings, log = (Path(folder, name) for name in ("packages", "settings", "log"))
+        link_deployed_packages(packages)
+        settings.write_text(SETTINGS.format(*(free_address() for _ in range(ADDRESSES))))
+        node = start_node(packages, settings, log)
+        try:
+            wait_for_start(node, log)
+            time.sleep(REST_S)
+            resident_bytes = read_usage(node.pid).resident_bytes
+        finally:
+            node.terminate()
+            node.wait()
+        return sort_modules(log.read_text(), packages, resident_bytes)
+
+
+def link_deployed_packages(folder: Path) -> None:
+    """Fill a folder with the packages that ``pip`` puts next to the deployed code."""
+    folder.mkdir()
+    for name in re.findall(r"^(\w+)==", DEPLOYED.read_text(), re.MULTILINE):
+        package = distribution(name)
+        for top in {file.parts[0] for file in package.files or () if file.suffix in (".py", ".so")}:
+            (folder / top).symlink_to(str(package.locate_file(top)))
+
+
+def start_node(packages: Path, settings: Path, log: Path) -> "subprocess.Popen[bytes]":
+    """Start a node as the deployment does, which writes what it imported when it ends."""
+    environment = {
+        "PYTHONPATH": f"{SOURCE}{os.pathsep}{packages}",
+        SETTINGS_VARIABLE: str(settings),
+    }
+    command = [sys.executable, "-S", "-P", "-c", PROGRAM]
+    with log.open("wb") as output:
+        return subprocess.Popen(
+            command, env=environment, stdout=output, stderr=subprocess.STDOUT, cwd=log.parent
+        )
+
+
+def wait_for_start(node: "subprocess.Popen[bytes]", log: Path) -> None:
+    """Return when the node has told that it started."""
+    until = time.monotonic() + START_LIMIT_S
+    while STARTED not in log.read_text():
+        if node.poll() is not None or time.monotonic() > until:
+            raise AssertionError(f"the node did not start: {log.read_text()}")
+        time.sleep(POLL_S)
+
+
+def sort_modules(output: str, packages: Path, resident_bytes: int) -> NodeStart:
+    """Return what a node imported, by where it comes from."""
+    line = next(line for line in output.splitlines() if line.startswith(IMPORTED))
+    modules = line.split()[1:]
+    deployed = {path.stem.partition(".")[0] for path in packages.iterdir()}
+    tops = [module.partition(".")[0] for module in modules]
+    found = [top for top in tops if top in deployed]
+    return NodeStart(
+        packages=tuple(sorted(set(found))),
+        package_modules=len(found),
+        own_modules=tops.count(OWN_PACKAGE),
+        standard_modules=sum(top in sys.stdlib_module_names for top in tops),
+        resident_bytes=resident_bytes,
+    )
+
+
+if __name__ == "__main__":
+    print(measure_node_start())
--- a/tests/daemon/test_fleet_start.py
+++ b/tests/daemon/test_fleet_start.py
@@ -6,6 +6,7 @@
 import unittest
 from pathlib import Path
 
+from daemon.node_start import measure_node_start
 from passlane.daemon.fleet_start import early_addresses
 
 RUNS_ALONE = "starts processes"
@@ -17,6 +18,18 @@
 readiness = "10.1.0.30:8141"
 metrics = "10.1.0.30:9464"
 """
+PACKAGES_OF_A_NODE = (
+    "anyio",
+    "h11",
+    "httpcore",
+    "httptools",
+    "msgspec",
+    "structlog",
+    "typing_extensions",
+    "uvicorn",
+    "xxhash",
+)
+"""All that a node imports of others; docs/measurements/starts.md has the figures."""
 
 
 class EarlyAddressesTest(unittest.TestCase):
@@ -58,6 +71,11 @@
         self.assertEqual(process.stdout.strip(), "[]")
 
 
+class NodeStartTest(unittest.TestCase):
+    def test_a_node_at_rest_has_imported_these_packages_and_no_other(self):
+        self.assertEqual(measure_node_start().packages, PACKAGES_OF_A_NODE)
+
+
 class PackagesTest(unittest.TestCase):
     def test_who_imports_a_package_later_gets_it_whole_with_the_same_modules(self):
         program = (
