--- a/tests/run.py
+++ b/tests/run.py
@@ -44,10 +44,12 @@
 
 
 def show_progress(report: UnitReport) -> None:
-    """Print a line for a unit that is done."""
+    """Print a line for a unit that is done, and what it wrote if a test of it failed."""
     failed = len({failure.test_id for failure in report.failures})
     mark = f"  {failed} FAILED" if failed else ""
     print(f"{report.seconds:6.1f} s {report.run:4} tests  {report.unit}{mark}", flush=True)
+    if report.output:
+        print(report.output, flush=True)
 
 
 def show_outcome(outcome: Outcome) -> None:
--- a/tests/runner/pool.py
+++ b/tests/runner/pool.py
@@ -67,7 +67,8 @@
         problems.append(f"no report: {error}")
     if code != 0:
         problems.append(f"the process ended with code {code}")
-    if not problems:
-        return report
-    failure = Failure(unit.module, "\n".join([*problems, output]))
-    return msgspec.structs.replace(report, failures=(*report.failures, failure))
+    failures = report.failures
+    if problems:
+        failures += (Failure(unit.module, "\n".join(problems)),)
+    kept = output if failures else ""
+    return msgspec.structs.replace(report, failures=failures, output=kept)
--- a/tests/runner/reports.py
+++ b/tests/runner/reports.py
@@ -14,7 +14,7 @@
 
 
 class UnitReport(msgspec.Struct, frozen=True):
-    """What came of one unit."""
+    """What came of one unit; ``output`` is what its process wrote, kept if a test failed."""
 
     unit: str
     run: int = 0
@@ -22,6 +22,7 @@
     skipped: int = 0
     failures: tuple[Failure, ...] = ()
     seconds: float = 0.0
+    output: str = ""
 
 
 @dataclass(frozen=True)
--- a/tests/runner/test_run.py
+++ b/tests/runner/test_run.py
@@ -75,6 +75,13 @@
         self.assertIn("FAIL: test_small.SmallTest.test_that_fails", done.output)
         self.assertIn("AssertionError: 1 != 2 : the reason", done.output)
 
+    def test_what_a_module_wrote_is_printed_if_a_test_of_it_failed(self):
+        says = "print('said by', 'the module')\n" + CLASS
+        for body, is_printed in ((ONE_THAT_FAILS, True), (ONE_THAT_PASSES, False)):
+            with self.subTest(is_printed):
+                done = run({"test_small": says + body})
+                self.assertEqual("said by the module" in done.output, is_printed)
+
     def test_a_test_fails_once_however_many_of_its_subtests_do(self):
         done = run({"test_small": CLASS + SUBTESTS_THAT_FAIL})
         self.expect(done, 1, "0 passed, 1 failed")
