--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -14,6 +14,8 @@
 
 from on_platform.test_deploy import FILLED, NODE_ADDRESSES
 from passlane.daemon.node_bounds import NodeBounds
+from passlane.decisions.backends.registry import BackendRegistry
+from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.routes import RouteKind
@@ -21,8 +23,6 @@
 from passlane.platform import names
 from passlane.platform.client_ingress import ClientIngress
 from passlane.platform.engine_client import EngineClient
-from passlane.relay.placement import NodePlace
-from passlane.relay.registry import BackendRegistry
 from passlane.relay.service import RelayService
 from passlane.runtime.early_listening import ListeningSockets, bound_socket
 from passlane.runtime.http_client import SingleConnectionHttpClient
@@ -33,6 +33,8 @@
 from relay.fakes import ScriptedStore
 from routes.test_checks import configuration, route
 
+RUNS_ALONE = "listens on real sockets and measures memory and time"
+
 EVENT = b"data: " + b"x" * 4_000 + b"\n\n"
 CHUNK = b"%x\r\n%s\r\n" % (len(EVENT), EVENT)
 STREAM_HEAD = (
--- /dev/null
+++ b/tests/recorded_decisions/names.py
@@ -0,0 +1,218 @@
+"""The one place that names the machines under record, their events and their instructions.
+
+A module that moves or a class that is renamed changes the imports and the tables here, and
+nothing else of this folder. The markers stand for the classes in the digests and stay.
+"""
+
+from passlane.configuration.documents import EngineBody
+from passlane.decisions.admission.node_load import LoadChange, NodeCapacity, NodeLoad, NodeReading
+from passlane.decisions.admission.program_admission import ProgramAdmission
+from passlane.decisions.admission.program_admission import retry_after as promise_retry_after
+from passlane.decisions.backends.engine_places import EnginePlaces, PlacedTurn
+from passlane.decisions.backends.health import AttemptWatch, congestion_level, stall_limit_s
+from passlane.decisions.backends.registry import BackendLoad, BackendRegistry, ServiceJudgement
+from passlane.decisions.backends.speed import FleetSpeed
+from passlane.decisions.failure.client_timeout import first_part_due_at
+from passlane.decisions.failure.retry_after import retry_after_s as outage_retry_after_s
+from passlane.decisions.inputs.call_events import (
+    CacheEventsReported,
+    CacheSnapshotReported,
+    CallArrived,
+    CallEnded,
+    CallFirstToken,
+    CallWithdrawn,
+    EnginesChanged,
+    EnginesLeaving,
+    EngineUnreachable,
+    LoadReported,
+    ProgramEnded,
+    ProgramPaused,
+    TimeAdvanced,
+)
+from passlane.decisions.inputs.call_instructions import (
+    MoveCache,
+    RefuseCall,
+    ReleaseCache,
+    RequestCacheSnapshot,
+    StartCall,
+    WakeAt,
+    WatchEngines,
+)
+from passlane.decisions.inputs.call_scheduler_config import (
+    CrowdingConfig,
+    Ordering,
+    QueueConfig,
+    RetentionConfig,
+    SchedulerConfig,
+)
+from passlane.decisions.inputs.turn_events import (
+    TurnAsked,
+    TurnEnded,
+    TurnNotPlaced,
+    TurnPlaced,
+    TurnWithdrawn,
+)
+from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
+from passlane.decisions.order.room_queue import PauseRange, RoomTurn, WaitingCall
+from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.placement.plain_placement import PlainCall, PlainChoice, PlainView
+from passlane.decisions.placement.request_placement import (
+    NodePlace,
+    PlacementChoice,
+    PlacementKey,
+    choose_backend,
+    note_failure,
+    note_success,
+)
+from passlane.decisions.placement.turn_placement import EngineChoice, TurnDurations, choose_engine
+from passlane.decisions.scheduling.call_scheduler import Scheduler
+from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures, TurnScheduler
+from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
+from passlane.messages.backends import (
+    CacheEntry,
+    CacheEvent,
+    CacheEventKind,
+    CacheEvents,
+    CacheSnapshot,
+    EngineLoad,
+)
+from passlane.messages.common import Address
+from passlane.messages.listing import BackendRecord, BackendState
+from passlane.messages.placement import TurnDemand, TurnOutcome
+from passlane.messages.quotas import (
+    QuotaDraw,
+    QuotaGranted,
+    QuotaLimit,
+    QuotaRefused,
+    QuotaUse,
+    TenantUsage,
+)
+from passlane.messages.routes import Route, RouteKind
+
+__all__ = [
+    "Address",
+    "AttemptWatch",
+    "BackendLoad",
+    "BackendRecord",
+    "BackendRegistry",
+    "BackendState",
+    "CacheEntry",
+    "CacheEvent",
+    "CacheEventKind",
+    "CacheEvents",
+    "CacheEventsReported",
+    "CacheSnapshot",
+    "CacheSnapshotReported",
+    "CallArrived",
+    "CallEnded",
+    "CallFirstToken",
+    "CallId",
+    "CallWithdrawn",
+    "CrowdingConfig",
+    "EngineBody",
+    "EngineChoice",
+    "EngineId",
+    "EngineLoad",
+    "EnginePlaces",
+    "EngineUnreachable",
+    "EnginesChanged",
+    "EnginesLeaving",
+    "FleetSpeed",
+    "LoadChange",
+    "LoadReported",
+    "MoveCache",
+    "NodeCapacity",
+    "NodeLoad",
+    "NodePlace",
+    "NodeReading",
+    "Ordering",
+    "PauseRange",
+    "PlacedTurn",
+    "PlacementChoice",
+    "PlacementKey",
+    "PlainCall",
+    "PlainChoice",
+    "PlainView",
+    "ProgramAdmission",
+    "ProgramEnded",
+    "ProgramId",
+    "ProgramPaused",
+    "QueueConfig",
+    "QuotaDraw",
+    "QuotaGranted",
+    "QuotaLedger",
+    "QuotaLimit",
+    "QuotaRefused",
+    "QuotaRules",
+    "QuotaUse",
+    "RefuseCall",
+    "ReleaseCache",
+    "RequestCacheSnapshot",
+    "RetentionConfig",
+    "RoomTurn",
+    "Route",
+    "RouteKind",
+    "Scheduler",
+    "SchedulerConfig",
+    "SchedulerFigures",
+    "ServiceJudgement",
+    "ServiceRoom",
+    "StartCall",
+    "TenantId",
+    "TenantUsage",
+    "TimeAdvanced",
+    "TurnAsked",
+    "TurnDemand",
+    "TurnDurations",
+    "TurnEnded",
+    "TurnNotPlaced",
+    "TurnOutcome",
+    "TurnPlaced",
+    "TurnScheduler",
+    "TurnWithdrawn",
+    "WaitingCall",
+    "WakeAt",
+    "WatchEngines",
+    "choose_backend",
+    "choose_engine",
+    "congestion_level",
+    "first_part_due_at",
+    "note_failure",
+    "note_success",
+    "outage_retry_after_s",
+    "promise_retry_after",
+    "stall_limit_s",
+]
+
+MARKERS: dict[type, str] = {
+    EngineChoice: "engine choice",
+    MoveCache: "move cache",
+    RefuseCall: "refuse call",
+    ReleaseCache: "release cache",
+    RequestCacheSnapshot: "request snapshot",
+    StartCall: "start call",
+    WakeAt: "wake at",
+    WatchEngines: "watch engines",
+    LoadChange: "load change",
+    PauseRange: "pauses",
+    PlacementChoice: "choice",
+    PlainChoice: "plain choice",
+    QuotaGranted: "granted",
+    QuotaRefused: "refused",
+    RoomTurn: "turn",
+    SchedulerFigures: "figures",
+    ServiceJudgement: "judgement",
+    TenantUsage: "usage",
+    TurnNotPlaced: "not placed",
+    TurnPlaced: "placed",
+    TurnWithdrawn: "withdrawn",
+}
+"""What stands in a digest for the class of an instruction or of a part of one."""
+
+SHORTENED: dict[type, str] = {
+    BackendLoad: "record.instance_id",
+    BackendRecord: "instance_id",
+    EnginePlaces: "instance_id",
+    WaitingCall: "request_id",
+}
+"""Objects with state of their own, for which the named path of attributes stands in a digest."""
