--- a/src/passlane/daemon/fleet_main.py
+++ b/src/passlane/daemon/fleet_main.py
@@ -112,7 +112,8 @@
         supervisor = Supervisor("fleet", children)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(supervisor.run)
-            tasks.start_soon(self._take_signals)
+            tasks.start_soon(self._reload_on_signal)
+            tasks.start_soon(self._stop_on_signal)
             await self._process.run()
             tasks.cancel_scope.cancel()
 
@@ -122,14 +123,25 @@
         application = MetricsApplication(self._metrics)
         await self._environment.http_server.serve(address, application)
 
-    async def _take_signals(self) -> None:
-        with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
+    async def _reload_on_signal(self) -> None:
+        """Reload the settings at each reload signal, until the process ends.
+
+        Its default action would end the process, also while requests under way are finished.
+        """
+        try:
+            with anyio.open_signal_receiver(signal.SIGHUP) as signals:
+                async for number in signals:
+                    _log.info("signal", number=int(number))
+                    self._reload()
+        finally:
+            signal.signal(signal.SIGHUP, signal.SIG_IGN)
+
+    async def _stop_on_signal(self) -> None:
+        """Drain and stop at the first signal to stop; a second one ends the process at once."""
+        with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for number in signals:
                 _log.info("signal", number=int(number))
-                if number == signal.SIGHUP:
-                    self._reload()
-                else:
-                    break
+                break
         await self._process.drain_and_stop()
 
     async def _watch_settings(self) -> None:
--- a/tests/daemon/node_start.py
+++ b/tests/daemon/node_start.py
@@ -5,17 +5,19 @@
 
 import os
 import re
+import resource
 import subprocess
 import sys
 import tempfile
 import time
+from collections.abc import Iterator
+from contextlib import contextmanager
 from dataclasses import dataclass
 from importlib.metadata import distribution
 from pathlib import Path
 
 import passlane
 from passlane.bench.loopback import free_address
-from passlane.bench.process_usage import read_usage
 from passlane.platform.names import SETTINGS_VARIABLE
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -24,7 +26,7 @@
 OWN_PACKAGE = "passlane"
 REST_S = 3.0
 """After its start a node does what it does once; then it waits for its seeds."""
-START_LIMIT_S = 60.0
+LINE_LIMIT_S = 60.0
 POLL_S = 0.05
 STARTED = '"event":"started"'
 IMPORTED = "imported:"
@@ -44,6 +46,10 @@
 ADDRESSES = 6
 
 
+_RESIDENT_FIELD = 1
+"""Position in ``/proc/PID/statm``, in pages."""
+
+
 @dataclass(frozen=True)
 class NodeStart:
     """Modules that a node has imported when it ends, and its resident memory at rest."""
@@ -55,21 +61,43 @@
     resident_bytes: int
 
 
+@dataclass(frozen=True)
+class RunningNode:
+    """A node's process, the file that it writes its lines to, and its packages."""
+
+    process: "subprocess.Popen[bytes]"
+    log: Path
+    packages: Path
+
+
 def measure_node_start() -> NodeStart:
     """Start a node whose seeds nobody answers at, let it come to rest, and stop it."""
     with tempfile.TemporaryDirectory() as folder:
-        packages, settings, log = (Path(folder, name) for name in ("packages", "settings", "log"))
-        link_deployed_packages(packages)
-        settings.write_text(SETTINGS.format(*(free_address() for _ in range(ADDRESSES))))
-        node = start_node(packages, settings, log)
-        try:
-            wait_for_start(node, log)
+        with running_node(Path(folder)) as running:
             time.sleep(REST_S)
-            resident_bytes = read_usage(node.pid).resident_bytes
-        finally:
-            node.terminate()
-            node.wait()
-        return sort_modules(log.read_text(), packages, resident_bytes)
+            resident_bytes = resident_bytes_of(running.process.pid)
+        return sort_modules(running.log.read_text(), running.packages, resident_bytes)
+
+
+@contextmanager
+def running_node(folder: Path) -> Iterator[RunningNode]:
+    """Run a node whose seeds nobody answers at, until it is left."""
+    packages, settings, log = (folder / name for name in ("packages", "settings", "log"))
+    link_deployed_packages(packages)
+    settings.write_text(SETTINGS.format(*(free_address() for _ in range(ADDRESSES))))
+    running = RunningNode(start_node(packages, settings, log), log, packages)
+    try:
+        wait_for_line(running, STARTED)
+        yield running
+    finally:
+        running.process.terminate()
+        running.process.wait()
+
+
+def resident_bytes_of(process_id: int) -> int:
+    """Return a process's resident memory."""
+    pages = Path(f"/proc/{process_id}/statm").read_text().split()[_RESIDENT_FIELD]
+    return int(pages) * resource.getpagesize()
 
 
 def link_deployed_packages(folder: Path) -> None:
@@ -94,12 +122,12 @@
         )
 
 
-def wait_for_start(node: "subprocess.Popen[bytes]", log: Path) -> None:
-    """Return when the node has told that it started."""
-    until = time.monotonic() + START_LIMIT_S
-    while STARTED not in log.read_text():
-        if node.poll() is not None or time.monotonic() > until:
-            raise AssertionError(f"the node did not start: {log.read_text()}")
+def wait_for_line(running: RunningNode, part: str) -> None:
+    """Return when the node has written a line with this part."""
+    until = time.monotonic() + LINE_LIMIT_S
+    while part not in running.log.read_text():
+        if running.process.poll() is not None or time.monotonic() > until:
+            raise AssertionError(f"no line with {part}: {running.log.read_text()}")
         time.sleep(POLL_S)
 
 
