--- a/src/passlane/decisions/placement/shared_parts.py
+++ b/src/passlane/decisions/placement/shared_parts.py
@@ -1,8 +1,10 @@
-"""Which engines are to hold a part that many prompts begin with.
+"""Answers which engines are to hold a part that many prompts begin with.
 
-An engine that gets a prompt for the first time reads its shared part anew, and holds up all
-that it generates meanwhile. So programs that share a large part go to half of the engines
-only, the same ones at every node, as long as one of these has no queue.
+It is for programs that share a large part, such as instructions. An engine that gets a prompt
+for the first time reads its shared part anew, and holds up all that it generates meanwhile. So
+such programs go to half of the engines only, the same ones at every node, as long as one of
+these has no queue. It owns no state, and relies on rendezvous hashing (``rendezvous``) for every
+node to name the same engines.
 """
 
 import math
@@ -13,11 +15,14 @@
 from passlane.messages.listing import BackendRecord
 
 ENGINE_SHARE = 0.5
-"""Share of the engines that hold a part: enough of them to spread its programs by load."""
+"""Share of the engines that hold a part: enough of them to spread its programs by load.
+Not measured; chosen."""
 FEWEST_ENGINES = 2
+"""Engines that hold a part at least, so that one may be lost. Not measured; chosen."""
 SMALLEST_LARGE_TOKENS = 4_000
-"""An engine reads some 60 to 160 tokens in a millisecond: smaller parts are read anew in
-little more time than a request takes to another zone and back."""
+"""Tokens of a part from which on it is large. An engine reads some 60 to 160 tokens in a
+millisecond: smaller parts are read anew in little more time than a request takes to another zone
+and back. Not measured; chosen."""
 
 
 def large_shared_part(parts: Sequence[PromptPart]) -> str:
--- a/src/passlane/decisions/scheduling/turn_scheduler.py
+++ b/src/passlane/decisions/scheduling/turn_scheduler.py
@@ -18,12 +18,8 @@
     ProgramAdmission,
     retry_after,
 )
-from passlane.decisions.backends.engine_places import (
-    FULL_PAUSE_S,
-    EnginePlaces,
-    EngineTable,
-    PlacedTurn,
-)
+from passlane.decisions.backends.engine_slots import EngineSlots, PlacedTurn
+from passlane.decisions.backends.engine_table import EngineTable
 from passlane.decisions.backends.health import STALL_WEIGHT
 from passlane.decisions.inputs.turn_events import (
     TurnAsked,
@@ -161,10 +157,9 @@
         placed = given_back or self._engines.take_expired(ended.attempt_id)
         if placed is None:
             return []
-        engine, turn = placed
-        self._programs.note_end(turn.program_id, ended.served_by, now)
-        self._learn(engine, turn, ended, now)
-        return self._fill(engine.record.service, now) if given_back is not None else []
+        self._programs.note_end(placed.turn.program_id, ended.served_by, now)
+        self._learn(placed.engine, placed.turn, ended, now)
+        return self._fill(placed.engine.record.service, now) if given_back is not None else []
 
     def advance(self, now: float) -> list[TurnDecision]:
         """Give back places by time, refuse what has waited too long, and go on."""
@@ -252,8 +247,7 @@
         waited_s = service.queue.longest_wait_under_way_s(turn.urgency, now)
         if waited_s < LONGEST_LATE_WAIT_S:
             return False
-        engines = self._engines.usable(turn.asked.demand.service, now)
-        return any(len(engine.turns) < engine.slots for engine in engines)
+        return self._engines.has_free_slot(turn.asked.demand.service, now)
 
     def _hold_or_refuse(
         self, turn: WaitingTurn, service: _Service, now: float
@@ -304,7 +298,7 @@
     def _start_rate(self, turn: WaitingTurn, service: _Service) -> float:
         """Return how many programs of a route a second all places together could serve."""
         demand = turn.asked.demand
-        slots = sum(engine.slots for engine in self._engines.of_service(demand.service))
+        slots = self._engines.all_slots(demand.service)
         return slots / (service.durations.mean_s * self._programs.mean_turns(demand.route))
 
     # Where turns go.
@@ -377,7 +371,7 @@
 
     # What is learnt.
 
-    def _learn(self, engine: EnginePlaces, turn: PlacedTurn, ended: TurnEnded, now: float) -> None:
+    def _learn(self, engine: EngineSlots, turn: PlacedTurn, ended: TurnEnded, now: float) -> None:
         """Learn from a turn that its engine answered whole, also if its place was over before."""
         outcome = ended.outcome
         if outcome is None or outcome.engine_s <= 0 or ended.served_by != engine.instance_id:
@@ -401,7 +395,7 @@
         for instance_id in outcome.full_at:
             engine = self._engines.get(instance_id)
             if engine is not None:
-                engine.full_until = now + FULL_PAUSE_S
+                engine.pause_as_full(now)
         self._engines.look_again()
 
     def _durations_of(self, name: str) -> TurnDurations:
--- a/tests/decisions/scheduling/test_turn_defects.py
+++ b/tests/decisions/scheduling/test_turn_defects.py
@@ -4,13 +4,13 @@
 import unittest
 from collections.abc import Iterator
 
+from decisions.scheduling import test_turn_figures, test_turn_scheduler
 from passlane.decisions.admission.program_admission import ProgramAdmission
-from passlane.decisions.backends.engine_places import EnginePlaces, EngineTable, PlacedTurn
+from passlane.decisions.backends.engine_table import EngineTable, HeldSlot
 from passlane.decisions.order.turn_queue import TurnQueue, WaitingTurn
 from passlane.decisions.placement.turn_placement import TurnDurations
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.simulation.replacement import Replacement, replaced
-from scheduling import test_turn_figures, test_turn_scheduler
 
 _give_back = EngineTable.give_back
 _take_expired = EngineTable.take_expired
@@ -22,15 +22,15 @@
     """Give no place back."""
 
 
-def give_back_twice(table: EngineTable, attempt_id: str) -> tuple[EnginePlaces, PlacedTurn] | None:
+def give_back_twice(table: EngineTable, attempt_id: str) -> HeldSlot | None:
     """Free another place of the engine with each end."""
     given_back = _give_back(table, attempt_id)
-    if given_back is not None and given_back[0].turns:
-        _give_back(table, next(iter(given_back[0].turns)))
+    if given_back is not None and given_back.engine.turns:
+        _give_back(table, next(iter(given_back.engine.turns)))
     return given_back
 
 
-def keep_expired(table: EngineTable, attempt_id: str) -> tuple[EnginePlaces, PlacedTurn] | None:
+def keep_expired(table: EngineTable, attempt_id: str) -> HeldSlot | None:
     """Let an end that comes late count again and again."""
     placed = _take_expired(table, attempt_id)
     if placed is not None:
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -8,7 +8,7 @@
 from passlane.decisions.admission.node_load import LoadChange, NodeCapacity, NodeLoad, NodeReading
 from passlane.decisions.admission.program_admission import ProgramAdmission
 from passlane.decisions.admission.program_admission import retry_after as promise_retry_after
-from passlane.decisions.backends.engine_places import EnginePlaces, PlacedTurn
+from passlane.decisions.backends.engine_slots import EngineSlots, PlacedTurn
 from passlane.decisions.backends.health import AttemptWatch, congestion_level, stall_limit_s
 from passlane.decisions.backends.registry import BackendLoad, BackendRegistry, ServiceJudgement
 from passlane.decisions.backends.speed import FleetSpeed
@@ -113,7 +113,7 @@
     "EngineChoice",
     "EngineId",
     "EngineLoad",
-    "EnginePlaces",
+    "EngineSlots",
     "EngineUnreachable",
     "EnginesChanged",
     "EnginesLeaving",
@@ -212,7 +212,7 @@
 SHORTENED: dict[type, str] = {
     BackendLoad: "record.instance_id",
     BackendRecord: "instance_id",
-    EnginePlaces: "instance_id",
+    EngineSlots: "instance_id",
     WaitingCall: "request_id",
 }
 """Objects with state of their own, for which the named path of attributes stands in a digest."""
--- a/tests/recorded_decisions/program_admission_load.py
+++ b/tests/recorded_decisions/program_admission_load.py
@@ -11,7 +11,7 @@
     Address,
     BackendRecord,
     BackendState,
-    EnginePlaces,
+    EngineSlots,
     FleetSpeed,
     PlacedTurn,
     ProgramAdmission,
@@ -42,7 +42,7 @@
         self.admission = ProgramAdmission()
         self.durations = TurnDurations()
         fleet_speed = FleetSpeed()
-        self.engines = [EnginePlaces(self.record(n), fleet_speed) for n in range(ENGINES)]
+        self.engines = [EngineSlots(self.record(n), fleet_speed) for n in range(ENGINES)]
         self.later(0.0, self.sweep)
         self.later(0.0, self.new_program)
 
@@ -155,7 +155,7 @@
         self.later(run_s, lambda: self.end(engine, turn, run_s))
         return self.step("begun", asked, choice)
 
-    def end(self, engine: EnginePlaces, turn: PlacedTurn, run_s: float) -> Step:
+    def end(self, engine: EngineSlots, turn: PlacedTurn, run_s: float) -> Step:
         engine.give_back(turn.attempt_id)
         outcome = TurnOutcome(engine_s=run_s, first_part_s=run_s / 3, events=5)
         engine.learn(turn, outcome, self.now)
--- a/tests/soak/defective_daemon.py
+++ b/tests/soak/defective_daemon.py
@@ -15,7 +15,7 @@
 
 def place_never_given_back():
     """Forget the end of one turn, and give nothing back by time."""
-    from passlane.decisions.backends.engine_places import EngineTable
+    from passlane.decisions.backends.engine_table import EngineTable
     from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 
     numbers = itertools.count(1)
