--- a/src/passlane/turns/client.py
+++ b/src/passlane/turns/client.py
@@ -1,4 +1,11 @@
-"""A node's access to the store group, whose replicas it learns as the fleet changes."""
+"""A node's access to the store group, whose replicas it learns as the fleet changes.
+
+It is for the relay of turns. It owns the requests on their way to the group's leader, and sends
+one again where another replica turns out to lead. It relies on ``StoreLeaderFinder`` for who
+leads, and on commands that are safe to repeat.
+
+Times are in seconds.
+"""
 
 import math
 import random as random_module
@@ -26,18 +33,24 @@
 from passlane.turns.leader_finder import StoreLeaderFinder
 
 ANSWER_TIMEOUT_S = 1.5
-"""How long a reservation or a draw waits for its answer: an election of the group takes less."""
+"""Seconds that a reservation or a draw waits for its answer: an election of the group takes less.
+Not measured; chosen."""
 TIMEOUT_WHILE_LOST_S = 0.3
+"""The same while the group counts as lost, so that the caller may soon turn elsewhere. Not
+measured; chosen."""
 SLOW_ANSWER_S = 0.12
-"""An answer that takes longer puts the leader in doubt."""
-SLOW_PLACE_S = 0.6
-"""The same for a reservation that may wait for a place at an engine; its answers and those to
-other requests of this node tell meanwhile whether the leader is there."""
-PLACE_TIMEOUT_S = 3.0
-"""How long a reservation waits for a place: turns under way are not refused, and a caller
-leaves a stream that stays silent for two seconds or longer."""
+"""Seconds after which an answer that has not come puts the leader in doubt. Not measured;
+chosen."""
+SLOW_SLOT_S = 0.6
+"""The same for a reservation that may wait for a slot of an engine; its answers and those to other
+requests of this node tell meanwhile whether the leader is there. Not measured; chosen."""
+SLOT_TIMEOUT_S = 3.0
+"""Seconds that a reservation waits for a slot: turns under way are not refused, and a caller
+leaves a stream that stays silent for two seconds or longer. Not measured; chosen."""
 WATCH_PERIOD_S = 0.06
+"""Seconds between two looks for answers that are overdue. Not measured; chosen."""
 RETRY_PAUSE_S = 0.02
+"""Seconds between a failed attempt and the next. Not measured; chosen."""
 
 
 class Reservation(msgspec.Struct, frozen=True):
@@ -118,10 +131,10 @@
             When no leader answered in time; the reservation may have been made. While
             the group is lost that is said early, so that the caller turns elsewhere.
         """
-        is_held = request.demand is not None
-        limit_s = self._shortened(min(timeout_s, PLACE_TIMEOUT_S if is_held else ANSWER_TIMEOUT_S))
-        slow_s = SLOW_PLACE_S if is_held else SLOW_ANSWER_S
-        outcome = await self._execute(request, limit_s, slow_s)
+        waits_for_slot = request.demand is not None
+        longest_s = SLOT_TIMEOUT_S if waits_for_slot else ANSWER_TIMEOUT_S
+        slow_s = SLOW_SLOT_S if waits_for_slot else SLOW_ANSWER_S
+        outcome = await self._execute(request, self._shortened(min(timeout_s, longest_s)), slow_s)
         answer = outcome.answer
         if not isinstance(answer, ReserveAnswer):
             raise self._unexpected(answer)
@@ -214,9 +227,13 @@
                 attempt.scope.cancel()
 
     def _note_failure(self, error: PasslaneError, address: Address) -> None:
+        """Let the finder judge a failed attempt; it logs the loss of a leader, and only that.
+
+        The request itself is tried again or ends with an error that its caller logs.
+        """
         hint = error.leader if isinstance(error, NotLeaderError) else None
         if error.code is ErrorCode.TIMEOUT:
-            # The request's own time is over; whether the leader is gone shows the search.
+            # The request's own time is over; the search shows whether the leader is gone.
             self._finder.suspect(address)
             return
         self._finder.reject(address, hint, error.code.value)
--- a/src/passlane/turns/leader_finder.py
+++ b/src/passlane/turns/leader_finder.py
@@ -1,4 +1,11 @@
-"""Finds the leader of the store group among its replicas, and notes when it moves."""
+"""Answers which replica of the store group leads, and notes when another one does.
+
+It is for ``TurnStoreClient``. It owns the leader as now believed and since when it is in doubt;
+one search serves all requests of the process. It relies on ``ReplicaSearch`` for asking all
+replicas, and on terms for telling a newer leader from an older one.
+
+Times are in seconds.
+"""
 
 import math
 import random as random_module
@@ -14,12 +21,16 @@
 from passlane.transport.replica_search import ReplicaSearch, SearchPauses
 
 LOST_AFTER_S = 1.0
-"""The store group counts as lost once nothing was heard of its leader for this long."""
+"""Seconds without a word of its leader after which the store group counts as lost. Not measured;
+chosen."""
 PROBE_TIMEOUT_S = 0.3
+"""Seconds that one replica has to say whether it leads. Not measured; chosen."""
 SEARCH_PAUSES = SearchPauses(first_s=0.04, longest_s=0.18, growth=2.0)
-"""The longest, together with a question that nobody answers, stays below half a second."""
+"""The longest, together with a question that nobody answers, stays below half a second. Not
+measured; chosen."""
 TRUST_S = 0.15
-"""A leader that has just answered is not put in doubt again for this long."""
+"""Seconds for which a leader that has just answered is not put in doubt again. Not measured;
+chosen."""
 
 _log = get_logger(__name__)
 
@@ -95,7 +106,10 @@
             self._doubt()
 
     def reject(self, address: Address, hint: Address | None, reason: str) -> None:
-        """Note that a replica doesn't lead, or can't be reached; ``hint`` may lead instead."""
+        """Note that a replica doesn't lead, or can't be reached; ``hint`` may lead instead.
+
+        Of a replica that is not taken to lead that is no news, so it is logged of the leader only.
+        """
         self._hint = hint
         if address != self.leader:
             return
--- a/src/passlane/turns/place_metrics.py
+++ b/src/passlane/turns/slot_metrics.py
@@ -1,4 +1,9 @@
-"""Metrics of the scheduler of turns on the replica that leads the store group."""
+"""Metrics of the scheduler of turns on the replica that leads the store group.
+
+They are for operators and rest on ``TurnScheduler.figures``; no state is owned. The metric keeps
+the name ``turn_places`` and the state ``told_to_return``, which operators' charts know: a place is
+a slot of an engine, and those told to return were refused and are to retry.
+"""
 
 from collections.abc import Callable
 
@@ -14,8 +19,8 @@
 }
 
 
-def expose_places(metrics: Metrics, scheduler: TurnScheduler) -> None:
-    """Show places and turns of all services together, one series for each state."""
+def expose_slots(metrics: Metrics, scheduler: TurnScheduler) -> None:
+    """Show slots and turns of all services together, one series for each state."""
     gauge = metrics.gauge(
         "turn_places", "Places of engines, and turns that run, wait or are to return", ("state",)
     )
