--- a/src/passlane/decisions/limits/quota_ledger.py
+++ b/src/passlane/decisions/limits/quota_ledger.py
@@ -12,7 +12,7 @@
 Replicas that follow note what the leader has granted (``usage_history``). A new leader goes
 on from there: no change of leader and no restart gives a tenant its burst anew.
 
-It owns, for each tenant, two windows (``sliding_window``): requests granted, and the needs of the
+It owns, for each tenant, two windows (``tenant_accounts``): requests granted, and the needs of the
 programs begun. It relies on ``program_needs`` for what a program needs by its route, on
 ``untold_grants`` for what replicas don't know, and on nodes to send each request at its moment.
 
@@ -28,7 +28,7 @@
 
 from passlane.decisions.limits.allowances import AHEAD_VALID_S
 from passlane.decisions.limits.program_needs import ProgramNeeds
-from passlane.decisions.limits.sliding_window import SlidingWindow
+from passlane.decisions.limits.tenant_accounts import TenantAccount, TenantAccounts
 from passlane.decisions.limits.untold_grants import UntoldGrants
 from passlane.decisions.limits.usage_history import UsageHistory
 from passlane.messages.quotas import (
@@ -83,9 +83,6 @@
 """Seconds by which requests differ in the time from their grant to the engine: a way between zones
 is 1.4 ms, the rest is waiting at a busy node. Windows are counted longer by it. Not measured;
 chosen."""
-SWEEP_PERIOD_S = 10.0
-"""Seconds between two looks for tenants with nothing in their window, which are forgotten. Not
-measured; chosen."""
 
 
 class QuotaRules(msgspec.Struct, frozen=True, kw_only=True):
@@ -108,16 +105,13 @@
     slack: float = 0.0
     puts_programs_first: bool = True
 
+    def capacity(self, limit: QuotaLimit) -> float:
+        """Return the requests that a limit holds within a window; at least one."""
+        return max(1.0, limit.rate_per_s * self.window_s + limit.burst)
 
-class _Account(msgspec.Struct):
-    """What one tenant was granted within the window.
-
-    ``programs`` counts, when a program begins, all that it is expected to need.
-    """
-
-    sent: SlidingWindow
-    programs: SlidingWindow
-    limit: QuotaLimit | None = None
+    def excess(self, capacity: float) -> float:
+        """Return the requests by which a limit may be exceeded within a window."""
+        return capacity * self.overage + self.slack
 
 
 class QuotaLedger:
@@ -125,14 +119,13 @@
 
     def __init__(self, rules: QuotaRules) -> None:
         self._rules = rules
-        self._accounts: dict[str, _Account] = {}
+        self._accounts = TenantAccounts(rules.window_s + TRAVEL_S)
         self._history = UsageHistory(rules.window_s + TRAVEL_S)
         self._needs = ProgramNeeds()
         self._untold = UntoldGrants()
         self._began_at = 0.0
         self._group_began_s = 0.0
         self._term = -1
-        self._swept_at = 0.0
 
     def __len__(self) -> int:
         return len(self._accounts)
@@ -142,10 +135,11 @@
         if term == self._term:
             return
         self._term = term
-        self._accounts, self._untold = {}, UntoldGrants()
+        self._accounts.forget_all()
+        self._untold = UntoldGrants()
         self._began_at, self._group_began_s = now, self._history.newest_s
         for grant in self._history.grants(now):
-            self._account_of(grant.tenant).sent.add(grant.granted, grant.at)
+            self._accounts.of(grant.tenant).sent.add(grant.granted, grant.at)
 
     def note_replicated(self, usages: Iterable[TenantUsage], group_s: float) -> None:
         """Note what a leader has granted, as of a moment on the group's clock."""
@@ -168,15 +162,14 @@
 
     def must_tell(self, limit: QuotaLimit) -> bool:
         """Whether so much of a tenant's grants is untold that no more may be sent before."""
-        account = self._account_under(limit)
-        excess = self._excess(self._capacity(account))
-        most_untold = max(FEWEST_UNTOLD, UNTOLD_SHARE * excess)
+        capacity = self._rules.capacity(self._accounts.under(limit).known_limit)
+        most_untold = max(FEWEST_UNTOLD, UNTOLD_SHARE * self._rules.excess(capacity))
         return self._untold.granted(limit.tenant) > most_untold
 
     def draw(self, draw: QuotaDraw, now: float) -> QuotaAnswer:
         """Grant what is asked for, or refuse it with the time to retry."""
-        self._forget_idle(now)
-        account = self._account_under(draw.limit)
+        self._accounts.forget_idle(now)
+        account = self._accounts.under(draw.limit)
         start_after_s = 0.0
         if draw.use is not None:
             self._needs.note(draw.route, draw.use)
@@ -208,61 +201,37 @@
             account.programs.take_back(self._needs.of(draw.route))
             self._needs.forget_begun(draw.route)
 
-    def _account_of(self, tenant: str) -> _Account:
-        account = self._accounts.get(tenant)
-        if account is None:
-            span_s = self._rules.window_s + TRAVEL_S
-            account = _Account(SlidingWindow(span_s), SlidingWindow(span_s))
-            self._accounts[tenant] = account
-        return account
-
-    def _account_under(self, limit: QuotaLimit) -> _Account:
-        """Return a tenant's account under the newest limit that any node has told."""
-        account = self._account_of(limit.tenant)
-        if account.limit is None or limit.version > account.limit.version:
-            account.limit = limit
-        return account
-
-    def _capacity(self, account: _Account) -> float:
-        """Return the requests that a tenant's limit holds within a window; at least one."""
-        assert account.limit is not None
-        return max(1.0, account.limit.rate_per_s * self._rules.window_s + account.limit.burst)
-
-    def _excess(self, capacity: float) -> float:
-        """Return by how much a limit may be exceeded within a window."""
-        return capacity * self._rules.overage + self._rules.slack
-
-    def _wait_s(self, account: _Account, draw: QuotaDraw, use: QuotaUse, now: float) -> float:
+    def _wait_s(self, account: TenantAccount, draw: QuotaDraw, use: QuotaUse, now: float) -> float:
         """Return the seconds until a request's moment."""
-        capacity = self._capacity(account)
+        capacity = self._rules.capacity(account.known_limit)
         if use is QuotaUse.CONTINUE_PROGRAM:
-            with_excess = capacity + EXCESS_SHARE * self._excess(capacity)
+            with_excess = capacity + EXCESS_SHARE * self._rules.excess(capacity)
             return account.sent.wait_s(1, with_excess, now)
         wait_s = account.sent.wait_s(1, capacity, now)
         if use is QuotaUse.BEGIN_PROGRAM and self._rules.puts_programs_first:
             wait_s = max(wait_s, self._wait_to_begin_s(account, draw.route, now))
         return wait_s
 
-    def _wait_to_begin_s(self, account: _Account, route: str, now: float) -> float:
+    def _wait_to_begin_s(self, account: TenantAccount, route: str, now: float) -> float:
         """Return the seconds until the programs begun within the window leave room for one more.
 
         A program that needs more than a whole window holds may begin when it is alone.
         """
-        capacity = self._capacity(account)
+        capacity = self._rules.capacity(account.known_limit)
         need = min(self._needs.of(route), capacity)
         return account.programs.wait_s(need, BEGIN_SHARE * capacity, now)
 
-    def _take(self, account: _Account, draw: QuotaDraw, at: float) -> None:
+    def _take(self, account: TenantAccount, draw: QuotaDraw, at: float) -> None:
         self._grant(account, draw.limit.tenant, 1, at)
         if draw.use is QuotaUse.BEGIN_PROGRAM:
             account.programs.add(self._needs.of(draw.route), at)
 
-    def _take_ahead(self, account: _Account, draw: QuotaDraw, now: float) -> int:
+    def _take_ahead(self, account: TenantAccount, draw: QuotaDraw, now: float) -> int:
         """Grant requests ahead as long as enough is left for those that come without.
 
         They count until a window after the last moment at which they may be sent.
         """
-        capacity = self._capacity(account)
+        capacity = self._rules.capacity(account.known_limit)
         if capacity < SMALLEST_AHEAD_CAPACITY:
             return 0
         spare = AHEAD_SHARE * capacity - account.sent.total(now)
@@ -272,26 +241,14 @@
             self._grant(account, draw.limit.tenant, granted, now + AHEAD_VALID_S)
         return granted
 
-    def _grant(self, account: _Account, tenant: str, count: int, at: float) -> None:
+    def _grant(self, account: TenantAccount, tenant: str, count: int, at: float) -> None:
         account.sent.add(count, at)
         self._untold.note(tenant, count, at)
 
-    def _refuse(self, account: _Account, wait_s: float, now: float) -> QuotaRefused:
-        assert account.limit is not None
+    def _refuse(self, account: TenantAccount, wait_s: float, now: float) -> QuotaRefused:
         return QuotaRefused(
             retry_after_s=max(wait_s, SHORTEST_RETRY_S),
             used=account.sent.total(now),
-            capacity=self._capacity(account),
-            version=account.limit.version,
+            capacity=self._rules.capacity(account.known_limit),
+            version=account.known_limit.version,
         )
-
-    def _forget_idle(self, now: float) -> None:
-        """Forget tenants that were granted nothing within the window."""
-        if now - self._swept_at < SWEEP_PERIOD_S:
-            return
-        self._swept_at = now
-        self._accounts = {
-            tenant: account
-            for tenant, account in self._accounts.items()
-            if account.sent.total(now) > 0 or account.programs.total(now) > 0
-        }
--- a/tests/on_platform/test_quotas.py
+++ b/tests/on_platform/test_quotas.py
@@ -265,7 +265,8 @@
 
 def forget_all(ledger, term, now):
     if term != ledger._term:
-        ledger._term, ledger._accounts = term, {}
+        ledger._term = term
+        ledger._accounts.forget_all()
 
 
 async def grant_always(quota, *, is_in_program, limit_at):
