--- a/src/passlane/decisions/admission/program_admission.py
+++ b/src/passlane/decisions/admission/program_admission.py
@@ -27,14 +27,14 @@
 LONGEST_HOLD_S = 0.5
 """Seconds. A program expected to begin within this time waits here. A retry takes its caller a
 new connection and two ways more, and callers bear a silence of 2 s. Not measured; chosen."""
-LONGEST_HOLD_AFTER_RETURN_S = 1.5
+LONGEST_HOLD_AFTER_RETRY_S = 1.5
 """Seconds. A caller that retried when it was told to is not sent away again for less. Callers
 leave a stream that is silent for 2 s; sent away too often, they give up the program. Not
 measured; chosen."""
 EARLY_TOLERANCE_S = 0.15
 """Seconds by which callers retry earlier than told and have still done as told: clocks and ways.
 Not measured; chosen."""
-PROMISE_KEPT_S = 1.0
+RETRY_GRACE_S = 1.0
 """Seconds after its time to retry after which a caller is not waited for. Not measured; chosen."""
 RATE_MEMORY_S = 1.5
 """Seconds over which the rate at which programs begin is taken: bursts begin and end within three
@@ -79,10 +79,10 @@
 
 def hold_s(*, came_as_told: bool) -> float:
     """Return for how many seconds a new program waits here before it is refused."""
-    return LONGEST_HOLD_AFTER_RETURN_S if came_as_told else LONGEST_HOLD_S
+    return LONGEST_HOLD_AFTER_RETRY_S if came_as_told else LONGEST_HOLD_S
 
 
-class _Promise(NamedTuple):
+class _Refusal(NamedTuple):
     """What a refused program was told, in local time."""
 
     first_asked_at: float
@@ -122,7 +122,7 @@
     """New programs of one service: who was told to retry, and when the next can begin."""
 
     def __init__(self) -> None:
-        self._promises: dict[str, _Promise] = {}
+        self._refused: dict[str, _Refusal] = {}
         self._lapses: list[_Lapse] = []
         self._waiting: Counter[str] = Counter()
         self._programs = NewPrograms()
@@ -130,17 +130,17 @@
 
     def __len__(self) -> int:
         """Return how many programs were told to retry and have not."""
-        return len(self._promises)
+        return len(self._refused)
 
     def first_asked_at(self, program_id: str, now: float) -> float:
         """Return when a program asked first."""
-        promise = self._promises.get(program_id)
-        return promise.first_asked_at if promise is not None else now
+        refusal = self._refused.get(program_id)
+        return refusal.first_asked_at if refusal is not None else now
 
     def came_as_told(self, program_id: str, now: float) -> bool:
         """Whether a program that asks now was told to retry by now."""
-        promise = self._promises.get(program_id)
-        return promise is not None and now >= promise.retry_at - EARLY_TOLERANCE_S
+        refusal = self._refused.get(program_id)
+        return refusal is not None and now >= refusal.retry_at - EARLY_TOLERANCE_S
 
     def expected_start(
         self, asked: TurnAsked, asked_at: float, all_slots_per_s: float, now: float
@@ -176,12 +176,12 @@
         if self._waiting[program_id] > 0:
             return
         del self._waiting[program_id]
-        if program_id not in self._promises:
+        if program_id not in self._refused:
             self._programs.drop(program_id)
 
     def note_begun(self, program_id: str, now: float) -> None:
         """Note that a program begins."""
-        self._promises.pop(program_id, None)
+        self._refused.pop(program_id, None)
         self._programs.drop(program_id)
         self._rate.note(now)
 
@@ -190,18 +190,18 @@
     ) -> None:
         """Note that a program is told to retry after so many seconds."""
         retry_at = now + retry_after_s
-        self._promises[asked.program_id] = _Promise(asked_at, retry_at)
-        heapq.heappush(self._lapses, _Lapse(retry_at + PROMISE_KEPT_S, asked.program_id))
+        self._refused[asked.program_id] = _Refusal(asked_at, retry_at)
+        heapq.heappush(self._lapses, _Lapse(retry_at + RETRY_GRACE_S, asked.program_id))
         self._programs.put(_program_of(asked, asked_at))
 
     def forget_lapsed(self, now: float) -> None:
         """Forget the refused programs that have not asked again in time."""
         while self._lapses and self._lapses[0].at < now:
             lapse = heapq.heappop(self._lapses)
-            promise = self._promises.get(lapse.program_id)
-            if promise is None or promise.retry_at + PROMISE_KEPT_S > lapse.at:
+            refusal = self._refused.get(lapse.program_id)
+            if refusal is None or refusal.retry_at + RETRY_GRACE_S > lapse.at:
                 continue
-            del self._promises[lapse.program_id]
+            del self._refused[lapse.program_id]
             if lapse.program_id not in self._waiting:
                 self._programs.drop(lapse.program_id)
 
--- a/src/passlane/decisions/limits/sliding_window.py
+++ b/src/passlane/decisions/limits/sliding_window.py
@@ -1,6 +1,6 @@
 """Answers how much was granted within the last seconds, and from when on more may be.
 
-It is for ``quota_ledger``. It owns the grants of one window, in short slots of time, and relies
+It is for ``quota_ledger``. It owns the grants of one window, in short buckets of time, and relies
 on moments of one clock: local monotonic seconds. Amounts are requests, or needs of programs.
 """
 
@@ -9,12 +9,12 @@
 
 import msgspec
 
-SLOT_S = 0.05
+BUCKET_S = 0.05
 """Seconds; grants of so short a time are counted as one, as of its end: a hundredth of the usual
 window. Not measured; chosen."""
 
 
-class _Slot(msgspec.Struct):
+class _Bucket(msgspec.Struct):
     """Grants that count as made at one moment."""
 
     at: float
@@ -30,7 +30,7 @@
 
     def __init__(self, span_s: float) -> None:
         self._span_s = span_s
-        self._slots: list[_Slot] = []
+        self._buckets: list[_Bucket] = []
         self._total = 0.0
 
     def total(self, now: float) -> float:
@@ -43,56 +43,56 @@
         excess = self.total(now) + count - capacity
         if excess <= 0:
             return 0.0
-        for slot in self._slots:
-            excess -= slot.count
+        for bucket in self._buckets:
+            excess -= bucket.count
             if excess <= 0:
-                return max(0.0, slot.at + self._span_s - now)
+                return max(0.0, bucket.at + self._span_s - now)
         return math.inf
 
     def add(self, count: float, at: float) -> None:
         """Count what was granted for the moment ``at``."""
-        at = math.ceil(at / SLOT_S) * SLOT_S
-        place = bisect_left(self._slots, at, key=_moment)
-        if place < len(self._slots) and self._slots[place].at == at:
-            self._slots[place].count += count
+        at = math.ceil(at / BUCKET_S) * BUCKET_S
+        index = bisect_left(self._buckets, at, key=_moment)
+        if index < len(self._buckets) and self._buckets[index].at == at:
+            self._buckets[index].count += count
         else:
-            self._slots.insert(place, _Slot(at, count))
+            self._buckets.insert(index, _Bucket(at, count))
         self._total += count
 
     def move(self, granted_for: float, at: float) -> None:
         """Count one that was granted for a moment as of a later one, if it still counts."""
-        granted_for = math.ceil(granted_for / SLOT_S) * SLOT_S
-        place = bisect_left(self._slots, granted_for, key=_moment)
-        if place == len(self._slots) or self._slots[place].at != granted_for:
+        granted_for = math.ceil(granted_for / BUCKET_S) * BUCKET_S
+        index = bisect_left(self._buckets, granted_for, key=_moment)
+        if index == len(self._buckets) or self._buckets[index].at != granted_for:
             return
-        slot = self._slots[place]
-        if slot.count < 1:
+        bucket = self._buckets[index]
+        if bucket.count < 1:
             return
-        slot.count -= 1
+        bucket.count -= 1
         self._total -= 1
-        if slot.count <= 0:
-            del self._slots[place]
+        if bucket.count <= 0:
+            del self._buckets[index]
         self.add(1, at)
 
     def take_back(self, count: float) -> None:
         """Count so much less, from the newest on; never less than nothing."""
-        while count > 0 and self._slots:
-            newest = self._slots[-1]
+        while count > 0 and self._buckets:
+            newest = self._buckets[-1]
             taken = min(count, newest.count)
             newest.count -= taken
             self._total -= taken
             count -= taken
             if newest.count <= 0:
-                self._slots.pop()
+                self._buckets.pop()
 
     def _forget_before(self, horizon: float) -> None:
-        place = 0
-        while place < len(self._slots) and self._slots[place].at <= horizon:
-            self._total -= self._slots[place].count
-            place += 1
-        if place:
-            del self._slots[:place]
+        index = 0
+        while index < len(self._buckets) and self._buckets[index].at <= horizon:
+            self._total -= self._buckets[index].count
+            index += 1
+        if index:
+            del self._buckets[:index]
 
 
-def _moment(slot: _Slot) -> float:
-    return slot.at
+def _moment(bucket: _Bucket) -> float:
+    return bucket.at
--- a/src/passlane/turns/state/machine.py
+++ b/src/passlane/turns/state/machine.py
@@ -1,12 +1,14 @@
 """The replicated state of turns: what programs spent and reserved, and histories.
 
+It is for the service of turns. It owns programs' reservations and spending, and kept turns; it
+relies on the group to apply the same commands in the same order at each replica.
+
 Turns form a tree and are found by their id alone, whatever program they belong to.
 The machine has no clock: the leader tells by ``AdvanceAge`` that time has passed, so
 what must be kept for some seconds is never forgotten early, whoever leads.
 """
 
 from collections.abc import Callable, Iterable, Iterator
-from typing import Any
 
 import msgspec
 
@@ -29,10 +31,13 @@
 )
 
 RETENTION_MARGIN_S = 15.0
-"""Kept beyond what was asked: the age of the state lags behind real time."""
+"""Seconds for which records are kept beyond what was asked: the age of the state lags behind real
+time. Not measured; chosen."""
 PROGRAM_RETENTION_S = 60.0
-"""Shortest time for which a program's spending is remembered after its last turn."""
+"""Seconds for which a program's spending is remembered after its last turn, at least. Not
+measured; chosen."""
 RECORDS_IN_PART = 100
+"""Programs or turns in one part of a snapshot. Not measured; chosen."""
 
 _command_decoder = message_decoder(TurnCommand)
 
@@ -85,7 +90,7 @@
         """Apply one committed command and return its encoded result."""
         return encode_message(self.execute(_command_decoder.decode(command)))
 
-    def execute(self, command: Any) -> TurnResult:
+    def execute(self, command: TurnCommand) -> TurnResult:
         """Apply one command and return its result."""
         if isinstance(command, ReserveTurn):
             return self._reserve(command)
@@ -93,7 +98,6 @@
             return self._settle(command)
         if isinstance(command, NoteUsage):
             return self._pass_usage_on(command)
-        assert isinstance(command, AdvanceAge)
         return self._advance_age(command)
 
     def knows_program(self, program_id: str) -> bool:
--- a/tests/decisions/limits/test_sliding_window.py
+++ b/tests/decisions/limits/test_sliding_window.py
@@ -4,7 +4,7 @@
 import random
 import unittest
 
-from passlane.decisions.limits.sliding_window import SLOT_S, SlidingWindow
+from passlane.decisions.limits.sliding_window import BUCKET_S, SlidingWindow
 
 
 class SlidingWindowTest(unittest.TestCase):
@@ -13,16 +13,16 @@
         window.add(3, 10.0)
         window.add(2, 12.0)
         self.assertEqual(window.total(14.9), 5)
-        self.assertEqual(window.total(15.0 + SLOT_S), 2)
-        self.assertEqual(window.total(17.0 + SLOT_S), 0)
+        self.assertEqual(window.total(15.0 + BUCKET_S), 2)
+        self.assertEqual(window.total(17.0 + BUCKET_S), 0)
 
     def test_what_is_sent_later_than_granted_counts_from_then_on(self):
         window = SlidingWindow(5.0)
         window.add(2, 10.0)
         window.move(10.0, 12.0)
         self.assertEqual(window.total(14.9), 2)
-        self.assertEqual(window.total(15.0 + SLOT_S), 1)
-        self.assertEqual(window.total(17.0 + SLOT_S), 0)
+        self.assertEqual(window.total(15.0 + BUCKET_S), 1)
+        self.assertEqual(window.total(17.0 + BUCKET_S), 0)
 
     def test_what_counts_no_longer_is_not_moved(self):
         window = SlidingWindow(5.0)
@@ -61,4 +61,4 @@
         for number in range(20_000):
             window.add(1, 10.0 + number / 1_000 + source.uniform(0, 0.4))
             window.total(10.0 + number / 1_000)
-        self.assertLessEqual(len(window._slots), 5.5 / SLOT_S)
+        self.assertLessEqual(len(window._buckets), 5.5 / BUCKET_S)
--- a/tests/decisions/scheduling/test_turn_scheduler.py
+++ b/tests/decisions/scheduling/test_turn_scheduler.py
@@ -5,10 +5,10 @@
 import msgspec
 
 from passlane.decisions.admission.program_admission import (
-    LONGEST_HOLD_AFTER_RETURN_S,
+    LONGEST_HOLD_AFTER_RETRY_S,
     LONGEST_HOLD_S,
     LONGEST_RETRY_S,
-    PROMISE_KEPT_S,
+    RETRY_GRACE_S,
 )
 from passlane.decisions.inputs.turn_events import (
     TurnAsked,
@@ -406,7 +406,7 @@
         others = [self.refuse(f"later{number}", now=0.1) for number in range(5)]
         self.assertEqual(others[-1].waiting, waiting + 6)
         self.wait("back", program="told", now=0.05 + told)
-        decisions = self.scheduler.advance(0.06 + told + LONGEST_HOLD_AFTER_RETURN_S)
+        decisions = self.scheduler.advance(0.06 + told + LONGEST_HOLD_AFTER_RETRY_S)
         again = next(d for d in decisions if d.attempt_id == "back")
         self.assertLessEqual(again.waiting, waiting + 1)
 
@@ -417,7 +417,7 @@
         self.assertEqual(self.scheduler.figures("llm").told_to_return, 2)
         for number in range(waiting):
             self.scheduler.end(TurnEnded(attempt_id=f"crowd{number}"), 0.1)
-        self.scheduler.advance(LONGEST_RETRY_S + PROMISE_KEPT_S + 0.1)
+        self.scheduler.advance(LONGEST_RETRY_S + RETRY_GRACE_S + 0.1)
         self.assertEqual(self.scheduler.figures("llm").told_to_return, 0)
 
     def test_two_first_turns_of_a_program_count_once(self):
