--- a/tests/decisions/scheduling/test_turn_load.py
+++ b/tests/decisions/scheduling/test_turn_load.py
@@ -30,9 +30,9 @@
 class CompetingKindsTest(unittest.TestCase):
     """Sessions at 2.5 times, then alarms at 1.5 times the usual, and one tenant at 5.4 times.
 
-    Worth of all, of alarms and of sessions: 0.70, 0.63 and 0.81 where ranks of tenants hide
-    those of kinds and nodes choose by themselves; 0.88, 0.94 and 0.79 where engines alone
-    know the ranks; 0.96, 0.99 and 0.91 with the scheduler.
+    Share that callers get of what they came for, of all, of alarms and of sessions: 0.70, 0.63
+    and 0.81 where ranks of tenants hide those of kinds and nodes choose by themselves; 0.88,
+    0.94 and 0.79 where engines alone know the ranks; 0.96, 0.99 and 0.91 with the scheduler.
     """
 
     BURSTS = (
@@ -91,8 +91,9 @@
 class UnevenEnginesTest(unittest.TestCase):
     """Engines of which two thirds take 0.7 and one third 1.7 times as long; nobody says which.
 
-    Worth: 0.90 where nodes choose by themselves, each engine with the same share of turns;
-    0.99 with the scheduler, the slow ones with a quarter of the turns of the others.
+    Callers get 0.90 of what they came for where nodes choose by themselves, each engine with the
+    same share of turns; 0.99 with the scheduler, the slow ones with a quarter of the turns of the
+    others.
     """
 
     def test_turns_go_by_the_engines_pace(self):
