--- a/src/passlane/decisions/placement/shared_parts.py
+++ b/src/passlane/decisions/placement/shared_parts.py
@@ -16,13 +16,17 @@
 
 ENGINE_SHARE = 0.5
 """Share of the engines that hold a part: enough of them to spread its programs by load.
-Not measured; chosen."""
+
+Engines read 0.78 and 0.86 million tokens of shared parts again with it, 1.24 and 1.37 million where
+all engines held each part (docs/measurements/further-deployment.md); other shares were not
+measured."""
 FEWEST_ENGINES = 2
 """Engines that hold a part at least, so that one may be lost. Not measured; chosen."""
 SMALLEST_LARGE_TOKENS = 4_000
 """Tokens of a part from which on it is large. An engine reads some 60 to 160 tokens in a
 millisecond: smaller parts are read anew in little more time than a request takes to another zone
-and back. Not measured; chosen."""
+and back. A part of 12,600 tokens takes 77 ms (docs/measurements/further-deployment.md); the bound
+itself was not measured, but chosen."""
 
 
 def large_shared_part(parts: Sequence[PromptPart]) -> str:
--- a/src/passlane/decisions/placement/turn_placement.py
+++ b/src/passlane/decisions/placement/turn_placement.py
@@ -19,7 +19,8 @@
 from passlane.messages.placement import TurnDemand, TurnOutcome
 
 READ_TOKENS_PER_S = 70_000.0
-"""Prompt tokens that an engine reads in a second; engines read 60 to 160 in a millisecond."""
+"""Prompt tokens that an engine reads in a second. Engines read 60 to 160 in a millisecond, for
+one of them 12,600 in 77 ms (docs/measurements/further-deployment.md). Near the slowest; chosen."""
 NEIGHBOUR_SHARE = 2.0
 """Delay by a prompt that is read, for each turn that runs there, as a share of the time that
 reading takes: it holds up the turn, and with it those that wait for its slot.
--- a/src/passlane/decisions/scheduling/turn_outcomes.py
+++ b/src/passlane/decisions/scheduling/turn_outcomes.py
@@ -18,7 +18,7 @@
 """Turns with failures that are remembered; more than fail within the seconds for which a
 settlement is repeated. Not measured; chosen."""
 FAILURE_WEIGHT = 1.0
-"""Weight of one failed attempt in an engine's health; failures are counted by it."""
+"""Weight of one failed attempt in an engine's health: it counts as one failure."""
 
 
 class TurnOutcomes:
--- a/src/passlane/turns/client.py
+++ b/src/passlane/turns/client.py
@@ -33,8 +33,8 @@
 from passlane.turns.leader_finder import StoreLeaderFinder
 
 ANSWER_TIMEOUT_S = 1.5
-"""Seconds that a reservation or a draw waits for its answer: an election of the group takes less.
-Not measured; chosen."""
+"""Seconds that a reservation or a draw waits for its answer: an election of the group takes less,
+0.4 s (docs/design/store-groups.md). Not measured; chosen."""
 TIMEOUT_WHILE_LOST_S = 0.3
 """The same while the group counts as lost, so that the caller may soon turn elsewhere. Not
 measured; chosen."""
