--- a/src/passlane/decisions/admission/node_load.py
+++ b/src/passlane/decisions/admission/node_load.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from passlane.decisions.failure.retry_after import retry_after_s
+from passlane.decisions.failure.retry_after import retry_after_outage_s
 
 LATE_LOOP_S = 0.06
 """An event that is passed on 0.12 s late makes its stream late; a loop that is late by half of
@@ -123,7 +123,7 @@
 
     def retry_after_s(self, now: float) -> float:
         """Return when a refused caller is to come back, in seconds."""
-        return retry_after_s(now - self._refusing_since)
+        return retry_after_outage_s(now - self._refusing_since)
 
     def _wanted(self, reading: NodeReading) -> tuple[str, Admission]:
         """Return the worst of what the single readings ask for, and which reading it is."""
--- a/src/passlane/decisions/failure/client_timeout.py
+++ b/src/passlane/decisions/failure/client_timeout.py
@@ -2,9 +2,9 @@
 
 from passlane.messages.routes import Route, RouteKind
 
-SHORTEST_STREAM_PATIENCE_S = 2.0
-TARGETS_OF_PATIENCE = 4.0
-GAPS_OF_PATIENCE = 8.0
+SHORTEST_CLIENT_TIMEOUT_S = 2.0
+CLIENT_TIMEOUT_TARGETS = 4.0
+CLIENT_TIMEOUT_GAPS = 8.0
 """A caller abandons a stream that has been silent for the longest of these: the seconds, the
 multiple of its target latency, and that of the longest pause that counts in full."""
 
@@ -20,8 +20,8 @@
     if route.kind is not RouteKind.STREAM:
         return limit_at
     patience_s = max(
-        SHORTEST_STREAM_PATIENCE_S,
-        TARGETS_OF_PATIENCE * route.target_latency_s,
-        GAPS_OF_PATIENCE * route.target_gap_s,
+        SHORTEST_CLIENT_TIMEOUT_S,
+        CLIENT_TIMEOUT_TARGETS * route.target_latency_s,
+        CLIENT_TIMEOUT_GAPS * route.target_gap_s,
     )
     return min(limit_at, silent_since + patience_s)
--- a/src/passlane/decisions/failure/retry_after.py
+++ b/src/passlane/decisions/failure/retry_after.py
@@ -6,10 +6,10 @@
 draws few repeats.
 """
 
-SHORTEST_RETRY_S = 0.1
-LONGEST_RETRY_S = 1.0
+SHORTEST_OUTAGE_RETRY_S = 0.1
+LONGEST_OUTAGE_RETRY_S = 1.0
 
 
-def retry_after_s(outage_s: float) -> float:
+def retry_after_outage_s(outage_s: float) -> float:
     """Return the seconds to wait when something has been missing for ``outage_s``."""
-    return round(min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, outage_s)), 2)
+    return round(min(LONGEST_OUTAGE_RETRY_S, max(SHORTEST_OUTAGE_RETRY_S, outage_s)), 2)
--- a/src/passlane/decisions/order/room_queue.py
+++ b/src/passlane/decisions/order/room_queue.py
@@ -55,7 +55,7 @@
     refusals: int = 0
 
 
-class RoomTurn(msgspec.Struct, frozen=True):
+class RetryPermit(msgspec.Struct, frozen=True):
     """Allows one try; ``offered`` is the back end where a place got free, empty if unknown."""
 
     offered: str = ""
@@ -105,7 +105,7 @@
         if call in self._waiting:
             self._waiting.remove(call)
 
-    def take_turn(self, call: WaitingCall, pauses: PauseRange, now: float) -> RoomTurn | None:
+    def take_turn(self, call: WaitingCall, pauses: PauseRange, now: float) -> RetryPermit | None:
         """Return the turn of a request if it has come; the request then no longer waits.
 
         The next one's turn comes when a refusal of this one would have arrived.
@@ -114,7 +114,7 @@
             return None
         self._waiting.remove(call)
         self._next_try_at = now + pauses.shortest_s
-        return RoomTurn()
+        return RetryPermit()
 
     def note_answered(self, now: float) -> None:
         """Note that a request of this node was served: room is less scarce than it seemed."""
--- a/src/passlane/decisions/order/service_room.py
+++ b/src/passlane/decisions/order/service_room.py
@@ -7,7 +7,7 @@
 import math
 
 from passlane.decisions.backends.answer_times import AnswerTimes
-from passlane.decisions.order.room_queue import PauseRange, RoomQueue, RoomTurn, WaitingCall
+from passlane.decisions.order.room_queue import PauseRange, RetryPermit, RoomQueue, WaitingCall
 from passlane.decisions.placement.plain_placement import PlainBackends
 from passlane.decisions.placement.request_placement import NodePlace
 
@@ -15,11 +15,11 @@
 """A refusal takes a way to another zone and back: a shorter pause learns nothing."""
 LONGEST_PAUSE_S = 0.1
 """A caller whose objective is some hundred milliseconds bears no longer blind spell."""
-SHORTEST_COME_BACK_S = 0.05
+SHORTEST_RETRY_AFTER_S = 0.05
 """A caller's way to another node takes some milliseconds and a new connection."""
-LONGEST_COME_BACK_S = 0.6
+LONGEST_RETRY_AFTER_S = 0.6
 """Callers have one to three seconds; a longer pause leaves no time for an answer."""
-COME_BACK_SPREAD = 0.5
+RETRY_AFTER_SPREAD = 0.5
 """Times to come back are lengthened by up to this share, also the longest one, so that
 callers that were refused together don't return together."""
 WAIT_MEMORY_S = 1.0
@@ -77,7 +77,7 @@
         """Forget a request that no longer waits."""
         self._queue.leave(call)
 
-    def take_turn(self, call: WaitingCall, now: float) -> RoomTurn | None:
+    def take_turn(self, call: WaitingCall, now: float) -> RetryPermit | None:
         """Return the turn of a waiting request if it has come."""
         return self._queue.take_turn(call, self.pauses, now)
 
@@ -117,5 +117,5 @@
         is_recent = now - self._last_wait_at <= WAIT_MEMORY_S
         last_s = self._last_wait_s if is_recent else 0.0
         wait_s = max(self.times.typical_s, last_s, self._queue.longest_wait_s(now))
-        within_s = min(LONGEST_COME_BACK_S, max(SHORTEST_COME_BACK_S, wait_s))
-        return round(within_s * (1.0 + COME_BACK_SPREAD * draw), 3)
+        within_s = min(LONGEST_RETRY_AFTER_S, max(SHORTEST_RETRY_AFTER_S, wait_s))
+        return round(within_s * (1.0 + RETRY_AFTER_SPREAD * draw), 3)
--- a/src/passlane/decisions/placement/request_placement.py
+++ b/src/passlane/decisions/placement/request_placement.py
@@ -38,7 +38,7 @@
     is_without_part: bool
     fullness: int
     needs_connection: bool
-    dislike: float
+    negative_score: float
 
 
 class NodePlace(msgspec.Struct, frozen=True):
@@ -145,7 +145,7 @@
             is_without_part=bool(holders) and instance_id not in holders,
             fullness=load.in_flight if holders else _fullness(load, key),
             needs_connection=key.is_plain and instance_id not in connected,
-            dislike=-weights.score(key.affinity or key.node.name, load.record),
+            negative_score=-weights.score(key.affinity or key.node.name, load.record),
         )
 
     ranks = [rank(load) for load in fresh]
--- a/src/passlane/relay/attempts.py
+++ b/src/passlane/relay/attempts.py
@@ -14,7 +14,7 @@
     may_run_again,
 )
 from passlane.decisions.failure.client_timeout import first_part_due_at
-from passlane.decisions.order.room_queue import RoomTurn, WaitingCall
+from passlane.decisions.order.room_queue import RetryPermit, WaitingCall
 from passlane.decisions.placement.plain_placement import PlainBackends, PlainCall, PlainView
 from passlane.decisions.placement.request_placement import (
     PlacementChoice,
@@ -116,7 +116,7 @@
         RequestFailedError
             When it may have run and cannot be sent again.
         """
-        turn: RoomTurn | None = None
+        turn: RetryPermit | None = None
         while True:
             now = anyio.current_time()
             judgement = self._judge(now)
@@ -165,7 +165,7 @@
         )
 
     def _choose(
-        self, judgement: ServiceJudgement, turn: RoomTurn | None, limit_at: float, now: float
+        self, judgement: ServiceJudgement, turn: RetryPermit | None, limit_at: float, now: float
     ) -> BackendLoad | None:
         """Choose the back end for the next attempt; ``None`` to wait for room.
 
@@ -199,7 +199,7 @@
         self,
         plain: PlainBackends,
         judgement: ServiceJudgement,
-        turn: RoomTurn | None,
+        turn: RetryPermit | None,
         limit_at: float,
         now: float,
     ) -> BackendLoad | None:
@@ -319,7 +319,7 @@
         updated_at = self._registry.updated_at
         return round(now - updated_at, 3) if updated_at is not None else None
 
-    async def _wait_for_room(self, judgement: ServiceJudgement, limit_at: float) -> RoomTurn:
+    async def _wait_for_room(self, judgement: ServiceJudgement, limit_at: float) -> RetryPermit:
         """Wait until the request may try again.
 
         Raises
@@ -344,7 +344,7 @@
         self._room.note_wait_ended(self._waiting, anyio.current_time())
         if self.verdict is not Verdict.NOT_RUN:
             raise RequestFailedError("no further back end took the request")
-        raise RequestRefusedError("no back end took the request", self._waits.come_back_s())
+        raise RequestRefusedError("no back end took the request", self._waits.retry_after_s())
 
     def _gives_up_at(self, judgement: ServiceJudgement, limit_at: float, now: float) -> float:
         """Return when what is left is too little for a whole answer, or for its first part."""
--- a/src/passlane/relay/plain_log.py
+++ b/src/passlane/relay/plain_log.py
@@ -1,6 +1,6 @@
 """The log line of a choice among plain back ends: what decided, and how old that was."""
 
-from passlane.decisions.order.room_queue import RoomTurn
+from passlane.decisions.order.room_queue import RetryPermit
 from passlane.decisions.placement.plain_placement import PlainChoice
 from passlane.observability.logging import get_logger
 
@@ -9,7 +9,7 @@
 
 def log_plain_choice(
     choice: PlainChoice,
-    turn: RoomTurn | None,
+    turn: RetryPermit | None,
     *,
     request_id: str,
     attempt: int,
--- a/src/passlane/relay/request.py
+++ b/src/passlane/relay/request.py
@@ -8,7 +8,7 @@
     status_when_given_up,
     truthful_status,
 )
-from passlane.decisions.failure.retry_after import retry_after_s
+from passlane.decisions.failure.retry_after import retry_after_outage_s
 from passlane.errors import PasslaneError, Verdict
 from passlane.messages.placement import TurnOutcome, TurnRefused
 from passlane.messages.quotas import QuotaRefused
@@ -109,7 +109,7 @@
             else:
                 admitted = await self._count(limit_at)
         except PasslaneError as error:
-            pause_s = retry_after_s(self._context.quota.store_outage_s)
+            pause_s = retry_after_outage_s(self._context.quota.store_outage_s)
             await self._refuse(UNAVAILABLE, f"store_{error.code.value}", pause_s)
             return None
         if admitted is not None and self._context.quota.limit is not None:
@@ -262,14 +262,14 @@
     async def _give_up(self, reason: str, *, is_late: bool) -> None:
         """Give the final answer of a request that has none from a back end."""
         status = status_when_given_up(self._verdict, is_late=is_late)
-        come_back_s = self._come_back_s() if status == UNAVAILABLE else None
-        await self._refuse(status, reason, come_back_s)
+        pause_s = self._retry_after_s() if status == UNAVAILABLE else None
+        await self._refuse(status, reason, pause_s)
 
-    def _come_back_s(self) -> float:
+    def _retry_after_s(self) -> float:
         """Return when the caller of a request that did not run is to come back."""
         if self._attempts is None:
-            return retry_after_s(self._context.quota.store_outage_s)
-        return self._context.waits.come_back_s()
+            return retry_after_outage_s(self._context.quota.store_outage_s)
+        return self._context.waits.retry_after_s()
 
     async def _refuse_if_stopped(self) -> None:
         """Tell a caller whose request this node will not send any more that it did not run.
@@ -280,7 +280,7 @@
         if is_answered or self._verdict is not Verdict.NOT_RUN:
             return
         with anyio.CancelScope(shield=True):
-            await self._refuse(UNAVAILABLE, "stopped", self._come_back_s())
+            await self._refuse(UNAVAILABLE, "stopped", self._retry_after_s())
 
     def _note_progress(self) -> None:
         if self._attempts is not None:
--- a/src/passlane/relay/room_waits.py
+++ b/src/passlane/relay/room_waits.py
@@ -1,10 +1,15 @@
-"""Lets requests wait for their turn at the back ends of one service."""
+"""Suspends the requests of one node until they may try the back ends of one service again.
+
+Owns one event for each waiting request, and the free places that were offered to one and not
+yet used. Relies on ``decisions.order.service_room`` for all that is decided: who tries next,
+when, and when a wait is hopeless.
+"""
 
 from collections.abc import Callable
 
 import anyio
 
-from passlane.decisions.order.room_queue import RoomTurn, WaitingCall
+from passlane.decisions.order.room_queue import RetryPermit, WaitingCall
 from passlane.decisions.order.service_room import ServiceRoom
 from passlane.observability.logging import get_logger
 
@@ -17,7 +22,7 @@
     Parameters
     ----------
     room
-        Decides whose turn it is.
+        Decides which request tries next.
     draw
         Gives a uniform number from 0 to 1; spreads pauses.
     """
@@ -28,7 +33,7 @@
         self._woken: dict[WaitingCall, anyio.Event] = {}
         self._offered: dict[WaitingCall, str] = {}
 
-    async def wait(self, call: WaitingCall, slots: int) -> RoomTurn | None:
+    async def wait(self, call: WaitingCall, slots: int) -> RetryPermit | None:
         """Return when a request may try again; ``None`` when its time has run out.
 
         Parameters
@@ -41,32 +46,32 @@
         self._woken[call] = anyio.Event()
         if call.refusals == 0:
             self._log_begin(call, began_at)
-        turn: RoomTurn | None = None
+        permit: RetryPermit | None = None
         try:
-            turn = await self._take_turn(call)
+            permit = await self._take_permit(call)
         finally:
             self._leave(call)
-            self._log_end(call, turn, began_at)
-        return turn
+            self._log_end(call, permit, began_at)
+        return permit
 
     def note_answered(self, instance_id: str, route: str, seconds: float) -> None:
         """Note a whole answer; at a plain back end the first request goes there at once."""
         now = anyio.current_time()
         self._hand_on(self.room.note_answered(instance_id, route, seconds, now), instance_id)
 
-    def come_back_s(self) -> float:
+    def retry_after_s(self) -> float:
         """Return the seconds after which a caller that is refused now is to come back."""
         return self.room.come_back_s(anyio.current_time(), self._draw())
 
-    async def _take_turn(self, call: WaitingCall) -> RoomTurn | None:
+    async def _take_permit(self, call: WaitingCall) -> RetryPermit | None:
         while True:
             now = anyio.current_time()
             offered = self._offered.pop(call, None)
             if offered is not None:
-                return RoomTurn(offered)
-            turn = self.room.take_turn(call, now)
-            if turn is not None or now >= call.give_up_at:
-                return turn
+                return RetryPermit(offered)
+            permit = self.room.take_turn(call, now)
+            if permit is not None or now >= call.give_up_at:
+                return permit
             with anyio.CancelScope(deadline=self.room.wakes_at(call)):
                 await self._woken[call].wait()
                 self._woken[call] = anyio.Event()
@@ -97,12 +102,13 @@
             gives_up_in_s=round(call.give_up_at - now, 3),
         )
 
-    def _log_end(self, call: WaitingCall, turn: RoomTurn | None, began_at: float) -> None:
+    def _log_end(self, call: WaitingCall, permit: RetryPermit | None, began_at: float) -> None:
         _log.info(
             "room_wait_ended",
             request_id=call.request_id,
-            has_turn=turn is not None,
-            offered=turn.offered if turn is not None else None,
+            # Whether the wait ended with leave for one more try; else its time had run out.
+            has_turn=permit is not None,
+            offered=permit.offered if permit is not None else None,
             refusals=call.refusals,
             waited_s=round(anyio.current_time() - began_at, 4),
             waiting=len(self.room),
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -7,7 +7,7 @@
 
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.failure.answer_verdicts import UNAVAILABLE
-from passlane.decisions.failure.retry_after import retry_after_s
+from passlane.decisions.failure.retry_after import retry_after_outage_s
 from passlane.decisions.inputs.relayed_call import RelayedCall
 from passlane.decisions.limits.allowances import Allowances
 from passlane.decisions.placement.request_placement import NodePlace
@@ -118,7 +118,7 @@
         if table is None:
             progress.status, progress.reason = UNAVAILABLE, "no_configuration"
             outage_s = anyio.current_time() - self._started_at
-            await writer.refuse(UNAVAILABLE, progress.reason, retry_after_s(outage_s))
+            await writer.refuse(UNAVAILABLE, progress.reason, retry_after_outage_s(outage_s))
             return
         progress.version = table.version
         route = table.find(call.host, call.path)
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -13,7 +13,7 @@
 from passlane.decisions.backends.registry import BackendLoad, BackendRegistry, ServiceJudgement
 from passlane.decisions.backends.speed import FleetSpeed
 from passlane.decisions.failure.client_timeout import first_part_due_at
-from passlane.decisions.failure.retry_after import retry_after_s as outage_retry_after_s
+from passlane.decisions.failure.retry_after import retry_after_outage_s as outage_retry_after_s
 from passlane.decisions.inputs.call_events import (
     CacheEventsReported,
     CacheSnapshotReported,
@@ -53,7 +53,8 @@
     TurnWithdrawn,
 )
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
-from passlane.decisions.order.room_queue import PauseRange, RoomTurn, WaitingCall
+from passlane.decisions.order.room_queue import PauseRange, WaitingCall
+from passlane.decisions.order.room_queue import RetryPermit as RoomTurn
 from passlane.decisions.order.service_room import ServiceRoom
 from passlane.decisions.placement.plain_placement import PlainCall, PlainChoice, PlainView
 from passlane.decisions.placement.request_placement import (
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -11,9 +11,9 @@
 
 from passlane.decisions.backends.answer_times import UNKNOWN_ANSWER_S
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.failure.retry_after import LONGEST_RETRY_S, SHORTEST_RETRY_S
+from passlane.decisions.failure.retry_after import LONGEST_OUTAGE_RETRY_S, SHORTEST_OUTAGE_RETRY_S
 from passlane.decisions.inputs.relayed_call import PromptPart
-from passlane.decisions.order.service_room import COME_BACK_SPREAD, LONGEST_COME_BACK_S
+from passlane.decisions.order.service_room import LONGEST_RETRY_AFTER_S, RETRY_AFTER_SPREAD
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.listing import BackendState
 from passlane.messages.placement import TurnRefused
@@ -127,8 +127,8 @@
 
     def test_whoever_is_refused_after_a_long_wait_is_told_the_longest_time_to_come_back(self):
         self.relay([Script(FULL)] * 400)
-        spread = self.writer.retry_after_s / LONGEST_COME_BACK_S
-        self.assertTrue(1.0 <= spread <= 1.0 + COME_BACK_SPREAD)
+        spread = self.writer.retry_after_s / LONGEST_RETRY_AFTER_S
+        self.assertTrue(1.0 <= spread <= 1.0 + RETRY_AFTER_SPREAD)
 
     def test_a_place_that_gets_free_late_still_serves(self):
         self.relay([*[Script(FULL)] * 20, Script(head(), b"ok")])
@@ -638,7 +638,7 @@
             store = ScriptedStore(is_lost=True, outage_s=outage_s)
             self.relay([], call_changes=self.changes, store=store, **TURNS)
             pauses.append(self.writer.retry_after_s)
-        self.assertEqual(pauses, [SHORTEST_RETRY_S, 0.4, LONGEST_RETRY_S])
+        self.assertEqual(pauses, [SHORTEST_OUTAGE_RETRY_S, 0.4, LONGEST_OUTAGE_RETRY_S])
 
     def test_a_turn_that_did_not_run_gives_its_reservation_back(self):
         self.relay([Script(FULL)] * 400, call_changes=self.changes, **TURNS)
