--- a/src/passlane/decisions/failure/answer_verdicts.py
+++ b/src/passlane/decisions/failure/answer_verdicts.py
@@ -1,10 +1,15 @@
-"""Judges what a back end's answer means for a request: pass it on, try again, or fail."""
+"""Judges what a back end's answer means for a request, and what its own caller may be promised.
+
+Statuses 408, 421, 429 and 503 promise that a request has not run. Such a promise is believed
+of a back end, and made to a caller, only if it is proved (``docs/design/verdicts-and-retries.md``).
+The log lines ``backend_refused``, ``backend_answer_untrusted`` and ``refusal_withheld`` tell of
+what is decided here.
+"""
 
 import enum
 
 from passlane.decisions.inputs.answer_head import AnswerHead, Refusal
 from passlane.errors import Verdict
-from passlane.messages.routes import Route
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise a caller that its request has not run and never will."""
@@ -41,11 +46,6 @@
     return head.refusal is Refusal.WRONG_INSTANCE
 
 
-def may_run_again(route: Route, runs: int) -> bool:
-    """Whether a request that may have run ``runs`` times may be sent to one more back end."""
-    return route.is_repeatable and runs < route.max_attempts
-
-
 def truthful_status(status: int, verdict: Verdict) -> int:
     """Return the status of a refusal, or one that promises nothing if the refusal would be false.
 
--- a/src/passlane/decisions/failure/retry_after.py
+++ b/src/passlane/decisions/failure/retry_after.py
@@ -1,4 +1,4 @@
-"""When a refused caller is told to come back.
+"""Decides when a caller is told to come back that was refused for an outage.
 
 What is missing (the configuration, the store group's leader) mostly returns soon after it
 was lost, and the longer it stays away the longer it is likely to. So a caller is asked to
@@ -8,6 +8,7 @@
 
 SHORTEST_OUTAGE_RETRY_S = 0.1
 LONGEST_OUTAGE_RETRY_S = 1.0
+"""Seconds; as documented in ``docs/design/node-bounds.md``. Not measured; chosen."""
 
 
 def retry_after_outage_s(outage_s: float) -> float:
--- a/src/passlane/platform/client_ingress.py
+++ b/src/passlane/platform/client_ingress.py
@@ -17,7 +17,7 @@
 from passlane.observability.logging import get_logger
 from passlane.platform.answer_writer import AsgiAnswerWriter
 from passlane.platform.request_format import parse_call
-from passlane.relay.request import AnswerAbortedError
+from passlane.relay.request_errors import AnswerAbortedError
 from passlane.relay.service import RelayService
 from passlane.runtime.interfaces import ENDING_STATE, ConnectionEnding
 
--- a/src/passlane/relay/admission.py
+++ b/src/passlane/relay/admission.py
@@ -1,29 +1,23 @@
-"""Takes requests on, or refuses them, by how the node fares."""
+"""Takes requests on, or refuses them, by how the node fares.
+
+Owns the counts of what is under way. ``decisions.admission.node_load`` decides what is taken on,
+``decisions.admission.known_programs`` which program is new.
+"""
 
 from collections import Counter
 from collections.abc import Iterator
 from contextlib import contextmanager
 
-import msgspec
-
 from passlane.decisions.admission.known_programs import KnownPrograms
 from passlane.decisions.admission.node_load import Admission, NodeCapacity, NodeLoad, NodeReading
 from passlane.decisions.inputs.relayed_call import RelayedCall
 from passlane.observability.logging import get_logger
-
-REFUSED = "node_at_its_bounds"
-"""Reason of a refusal, for the caller and the log."""
+from passlane.relay.end_reasons import RequestEndReason
+from passlane.relay.request_errors import Refusal
 
 _log = get_logger(__name__)
 
 
-class NodeRefusal(msgspec.Struct, frozen=True):
-    """A refusal before anything was sent, and the seconds after which to come back."""
-
-    reason: str
-    retry_after_s: float
-
-
 class NodeAdmission:
     """Decides for each request, and counts those under way.
 
@@ -78,7 +72,7 @@
             descriptors=reading.descriptors,
         )
 
-    def refusal(self, call: RelayedCall, now: float) -> NodeRefusal | None:
+    def refusal(self, call: RelayedCall, now: float) -> Refusal | None:
         """Return how to refuse a request; ``None`` if it is taken on."""
         if not self._is_enabled or self._load.admission is Admission.ALL:
             return None
@@ -86,7 +80,8 @@
         if not self._load.refuses(is_new_program=is_new_program):
             return None
         self.refused[self._load.admission.name.lower()] += 1
-        return NodeRefusal(REFUSED, self._load.retry_after_s(now))
+        retry_after_s = self._load.retry_after_s(now)
+        return Refusal.of(RequestEndReason.NODE_AT_ITS_BOUNDS, retry_after_s)
 
     @contextmanager
     def taken_on(self, call: RelayedCall, now: float) -> Iterator[None]:
--- /dev/null
+++ b/src/passlane/relay/answer_delivery.py
@@ -0,0 +1,112 @@
+"""Passes the answer to one request on to its caller, and makes a whole turn durable first.
+
+Owns the state of the stream that the caller gets, over several attempts. Relies on
+``relay.delivery`` for the writing and on ``relay.turn_account`` for the store group.
+"""
+
+import anyio
+
+from passlane.decisions.backends.health import AttemptWatch
+from passlane.errors import PasslaneError
+from passlane.messages.routes import RouteKind
+from passlane.relay.attempt_history import AttemptHistory
+from passlane.relay.backends import AnswerWriter, BackendAnswer
+from passlane.relay.context import RequestContext
+from passlane.relay.delivery import StreamDelivery, WholeDelivery
+from passlane.relay.end_reasons import RequestEnd, RequestEndReason
+from passlane.relay.progress import RequestProgress
+from passlane.relay.request_errors import AnswerAbortedError
+from passlane.relay.turn_account import TurnAccount
+
+FIRST_FAILURE_STATUS = 300
+"""From this status on, an answer of a route of streams is no event stream."""
+TURN_SETTLE_TIMEOUT_S = 3.0
+"""Seconds for which the end of a stream waits for the store group. Not measured; chosen."""
+
+
+class AnswerDelivery:
+    """Delivers the answers of one request's attempts.
+
+    Parameters
+    ----------
+    account
+        The turn's account in the store group; ``None`` for requests without one.
+    """
+
+    def __init__(
+        self,
+        context: RequestContext,
+        writer: AnswerWriter,
+        account: TurnAccount | None,
+        history: AttemptHistory,
+        progress: RequestProgress,
+    ) -> None:
+        self._context = context
+        self._writer = writer
+        self._account = account
+        self._history = history
+        self._progress = progress
+        self._stream: StreamDelivery | None = None
+
+    @property
+    def events(self) -> int:
+        """Events of a stream that were written to the caller."""
+        return self._stream.events if self._stream is not None else 0
+
+    @property
+    def tokens(self) -> int:
+        """Tokens of these events, as far as the service counts them."""
+        return self.events * self._context.service.tokens_per_event
+
+    @property
+    def is_whole(self) -> bool:
+        """Whether a stream came to its end."""
+        return self._stream is not None and self._stream.is_whole
+
+    async def deliver(self, answer: BackendAnswer, watch: AttemptWatch) -> None:
+        """Pass an answer on.
+
+        Raises
+        ------
+        HttpConnectionError
+            When the answer breaks off.
+        AnswerAbortedError
+            When it is whole, and its turn is not durable.
+        """
+        self._progress.first_part_s = anyio.current_time() - self._context.call.arrived_at
+        is_event_stream = answer.head.status < FIRST_FAILURE_STATUS or self._stream is not None
+        if self._context.route.kind is not RouteKind.STREAM or not is_event_stream:
+            await self._deliver_whole(answer, watch)
+        else:
+            await self._deliver_stream(answer, watch)
+
+    async def _deliver_stream(self, answer: BackendAnswer, watch: AttemptWatch) -> None:
+        if self._stream is None:
+            self._stream = StreamDelivery(
+                self._writer, self._before_end, keeps_output=self._context.route.keeps_turns
+            )
+        try:
+            await self._stream.deliver(answer, watch)
+        finally:
+            if self._stream.last_event_id is not None:
+                self._history.last_event_id = self._stream.last_event_id
+
+    async def _deliver_whole(self, answer: BackendAnswer, watch: AttemptWatch) -> None:
+        try:
+            await WholeDelivery(self._writer).deliver(answer, watch)
+        finally:
+            self._history.is_answer_final = self._writer.has_started
+
+    async def _before_end(self, stream: StreamDelivery) -> None:
+        """Make a whole turn durable before its caller learns that it has ended."""
+        if self._account is None:
+            return
+        self._account.outcome = self._history.outcome(is_whole=self.is_whole, events=self.events)
+        output = bytes(stream.output)
+        served_by = self._history.served_by
+        try:
+            await self._account.settle_whole(self.tokens, output, served_by, TURN_SETTLE_TIMEOUT_S)
+        except PasslaneError as error:
+            end = RequestEnd(RequestEndReason.TURN_NOT_DURABLE, error.code.value)
+            self._progress.end = end
+            raise AnswerAbortedError(end) from error
--- /dev/null
+++ b/src/passlane/relay/attempt_log.py
@@ -0,0 +1,120 @@
+"""The log lines of one request's attempts: what decided each choice, and how old that was."""
+
+import msgspec
+
+from passlane.decisions.backends.registry import BackendLoad, ServiceJudgement
+from passlane.decisions.order.room_queue import RetryPermit
+from passlane.decisions.placement.plain_placement import PlainChoice
+from passlane.decisions.placement.request_placement import PlacementChoice, PlacementKey
+from passlane.observability.logging import get_logger
+from passlane.relay.backends import BackendAnswer
+
+_log = get_logger(__name__)
+
+
+class AttemptStamp(msgspec.Struct, frozen=True):
+    """Which attempt of which request a line is about.
+
+    Attributes
+    ----------
+    attempt
+        Number of the attempt, from 1.
+    list_age_s
+        Seconds since the list of back ends was last known to be right; ``None`` without one.
+    """
+
+    request_id: str
+    service: str
+    attempt: int
+    list_age_s: float | None = None
+
+
+def log_outliers(judgement: ServiceJudgement, *, request_id: str, service: str) -> None:
+    """Log which back ends are outliers; decided in ``decisions.backends.health``."""
+    _log.info(
+        "outliers_changed",
+        request_id=request_id,
+        service=service,
+        outliers=sorted(judgement.outliers),
+        before=sorted(judgement.outliers_before),
+    )
+
+
+def log_engine_choice(choice: PlacementChoice, key: PlacementKey, stamp: AttemptStamp) -> None:
+    """Log which back end was chosen; decided in ``decisions.placement.request_placement``."""
+    _log.info(
+        "backend_chosen",
+        request_id=stamp.request_id,
+        service=stamp.service,
+        instance=choice.load.record.instance_id,
+        attempt=stamp.attempt,
+        candidates=choice.candidates,
+        in_flight=choice.load.in_flight,
+        is_outlier=choice.rank.is_outlier,
+        is_avoided=choice.rank.is_avoided,
+        long_queue=choice.rank.long_queue,
+        is_without_part=choice.rank.is_without_part,
+        shared_part=key.shared_part,
+        short_queue=choice.rank.short_queue,
+        needs_connection=choice.rank.needs_connection,
+        used_last=key.used_last,
+        assigned=key.assigned,
+        typical_s=round(choice.typical_s, 4),
+        list_age_s=stamp.list_age_s,
+    )
+
+
+def log_plain_choice(choice: PlainChoice, permit: RetryPermit | None, stamp: AttemptStamp) -> None:
+    """Log which plain back end was chosen; decided in ``decisions.placement.plain_placement``.
+
+    Parameters
+    ----------
+    permit
+        The leave to try that the request waited for; ``None`` if it did not wait.
+    """
+    age_s = choice.refusal_age_s
+    _log.info(
+        "plain_backend_chosen",
+        request_id=stamp.request_id,
+        service=choice.load.record.service,
+        instance=choice.load.record.instance_id,
+        attempt=stamp.attempt,
+        candidates=choice.candidates,
+        # Whether the request had waited and was given leave for this one try.
+        has_turn=permit is not None,
+        offered=permit.offered if permit is not None else None,
+        in_flight=choice.load.in_flight,
+        is_unsound=choice.rank.is_unsound,
+        is_beyond_subset=choice.rank.is_beyond_subset,
+        expected_s=round(choice.rank.expected_s, 4),
+        refusal_chance=round(choice.refusal_chance, 3),
+        refusal_age_s=round(age_s, 4) if age_s is not None else None,
+        slowness=round(choice.slowness, 2),
+        typical_s=round(choice.typical_s, 4),
+        list_age_s=stamp.list_age_s,
+    )
+
+
+def log_backend_refusal(answer: BackendAnswer, load: BackendLoad, stamp: AttemptStamp) -> None:
+    """Log how a back end said that it did not run the request."""
+    refusal = answer.head.refusal
+    _log.info(
+        "backend_refused",
+        request_id=stamp.request_id,
+        instance=load.record.instance_id,
+        attempt=stamp.attempt,
+        status=answer.head.status,
+        refusal=refusal.value if refusal is not None else None,
+    )
+
+
+def log_untrusted_answer(answer: BackendAnswer, load: BackendLoad, stamp: AttemptStamp) -> None:
+    """Log an answer that does not prove to be one to this request."""
+    _log.warning(
+        "backend_answer_untrusted",
+        request_id=stamp.request_id,
+        instance=load.record.instance_id,
+        attempt=stamp.attempt,
+        status=answer.head.status,
+        is_authentic=answer.head.is_authentic,
+    )
--- a/src/passlane/relay/backends.py
+++ b/src/passlane/relay/backends.py
@@ -9,8 +9,9 @@
 from passlane.decisions.inputs.answer_head import AnswerHead
 from passlane.decisions.inputs.relayed_call import Header, RelayedCall
 from passlane.messages.listing import BackendRecord
+from passlane.relay.end_reasons import RequestEndReason
 
-CLIENT_LEFT = "client_left"
+CLIENT_LEFT = RequestEndReason.CLIENT_LEFT.text
 """Why an answer was abandoned whose caller has closed the connection."""
 
 
--- a/src/passlane/relay/progress.py
+++ b/src/passlane/relay/progress.py
@@ -3,6 +3,8 @@
 import msgspec
 
 from passlane.errors import Verdict
+from passlane.messages.routes import Route
+from passlane.relay.end_reasons import RequestEnd, RequestEndReason
 
 
 class RequestProgress(msgspec.Struct):
@@ -22,7 +24,7 @@
         Of the route.
     status
         Status told to the caller; 0 for none.
-    reason
+    end
         Why the request ended as it did.
     tried
         Instances that it was sent to, in order.
@@ -47,7 +49,7 @@
     priority: int | None = None
     target_latency_s: float = 0.0
     status: int = 0
-    reason: str = "answered"
+    end: RequestEnd = RequestEnd(RequestEndReason.ANSWERED)
     verdict: Verdict = Verdict.NOT_RUN
     tried: list[str] = msgspec.field(default_factory=list)
     events: int = 0
@@ -57,6 +59,12 @@
     first_part_s: float | None = None
     room_wait_s: float = 0.0
 
+    def note_route(self, route: Route) -> None:
+        """Note the route that was found."""
+        self.route = route.name
+        self.kind = route.kind.value
+        self.target_latency_s = route.target_latency_s
+
     def is_in_time(self, elapsed_s: float) -> bool | None:
         """Whether the answer came within the route's target; ``None`` without an answer.
 
--- /dev/null
+++ b/src/passlane/relay/request_admission.py
@@ -0,0 +1,118 @@
+"""Has one request counted, or its turn reserved, before anything is sent to a back end.
+
+Owns nothing: the tenant's limit and the program's budget are decided in the store group
+(``decisions.limits.quota_ledger``, ``turns.state``), as is room for a new program
+(``decisions.admission.program_admission``). Here their answers become what the caller is told.
+"""
+
+import anyio
+
+from passlane.decisions.failure.retry_after import retry_after_outage_s
+from passlane.errors import PasslaneError
+from passlane.messages.placement import TurnRefused
+from passlane.messages.quotas import QuotaRefused
+from passlane.messages.turns import BudgetSpent, TurnReserved, TurnUnknown
+from passlane.observability.logging import get_logger
+from passlane.relay.context import RequestContext
+from passlane.relay.end_reasons import RequestEndReason
+from passlane.relay.progress import RequestProgress
+from passlane.relay.request_errors import Refusal, RequestRefusedError
+from passlane.relay.turn_account import TurnAccount
+
+_log = get_logger(__name__)
+
+
+class RequestAdmission:
+    """Admits one request by its tenant's limit, its program's budget and the room for it.
+
+    Parameters
+    ----------
+    account
+        The turn's account in the store group; ``None`` for requests without one.
+    """
+
+    def __init__(
+        self, context: RequestContext, account: TurnAccount | None, progress: RequestProgress
+    ) -> None:
+        self._context = context
+        self._account = account
+        self._progress = progress
+
+    async def admit(self, limit_at: float) -> TurnReserved:
+        """Reserve a turn, or count another request, and wait until it may start.
+
+        Raises
+        ------
+        RequestRefusedError
+            When it is refused, or nobody answered.
+        """
+        try:
+            if self._account is not None:
+                admitted = await self._reserve(self._account, limit_at)
+            else:
+                admitted = await self._count(limit_at)
+        except PasslaneError as error:
+            retry_after_s = retry_after_outage_s(self._context.quota.store_outage_s)
+            reason = RequestEndReason.STORE_DID_NOT_ANSWER
+            refusal = Refusal.of(reason, retry_after_s, error.code.value)
+            raise RequestRefusedError(refusal) from error
+        if self._context.quota.limit is not None:
+            self._progress.quota_wait_s = admitted.start_after_s + admitted.limit_wait_s
+            await anyio.sleep(admitted.start_after_s)
+        return admitted
+
+    async def _count(self, limit_at: float) -> TurnReserved:
+        """Count a request without an account."""
+        is_in_program = self._context.call.program is not None
+        answer = await self._context.quota.admit(is_in_program=is_in_program, limit_at=limit_at)
+        if isinstance(answer, QuotaRefused):
+            raise self._refused_by_limit(answer)
+        return TurnReserved(start_after_s=answer.start_after_s)
+
+    async def _reserve(self, account: TurnAccount, limit_at: float) -> TurnReserved:
+        answer = await account.reserve(limit_at)
+        self._progress.reserved_s = self._elapsed_s()
+        match answer:
+            case QuotaRefused():
+                raise self._refused_by_limit(answer)
+            case TurnRefused():
+                raise self._refused_for_room(answer)
+            case BudgetSpent():
+                raise RequestRefusedError(Refusal.of(RequestEndReason.BUDGET_SPENT))
+            case TurnUnknown():
+                raise RequestRefusedError(Refusal.of(RequestEndReason.TURN_UNKNOWN))
+        self._progress.place_wait_s = answer.place_wait_s
+        return answer
+
+    def _elapsed_s(self) -> float:
+        return anyio.current_time() - self._context.call.arrived_at
+
+    def _refused_by_limit(self, refused: QuotaRefused) -> RequestRefusedError:
+        """Log what decided that a request is beyond its tenant's limit; return the refusal."""
+        _log.info(
+            "quota_refused",
+            request_id=self._context.call.request_id,
+            tenant=self._context.identity.tenant_name,
+            limit_version=refused.version,
+            window_capacity=round(refused.capacity, 1),
+            window_used=round(refused.used, 1),
+            retry_after_s=round(refused.retry_after_s, 3),
+            asked_s=round(self._elapsed_s(), 4),
+        )
+        retry_after_s = round(refused.retry_after_s, 3)
+        return RequestRefusedError(Refusal.of(RequestEndReason.QUOTA_SPENT, retry_after_s))
+
+    def _refused_for_room(self, refused: TurnRefused) -> RequestRefusedError:
+        """Log what decided that a new program finds no room; return the refusal."""
+        _log.info(
+            "room_refused",
+            request_id=self._context.call.request_id,
+            tenant=self._context.identity.tenant_name,
+            urgency=self._context.identity.urgency_on(self._context.route),
+            waiting=refused.waiting,
+            busy_share=round(refused.busy_share, 3),
+            retry_after_s=round(refused.retry_after_s, 3),
+            asked_s=round(self._elapsed_s(), 4),
+        )
+        retry_after_s = round(refused.retry_after_s, 3)
+        return RequestRefusedError(Refusal.of(RequestEndReason.NO_ROOM, retry_after_s))
--- /dev/null
+++ b/src/passlane/relay/request_errors.py
@@ -0,0 +1,74 @@
+"""The errors that end a request without a back end's answer, each with its reason as code.
+
+Relies on ``relay.end_reasons`` for the reasons.
+"""
+
+import msgspec
+
+from passlane.relay.end_reasons import RequestEnd, RequestEndReason
+
+
+class Refusal(msgspec.Struct, frozen=True):
+    """An answer of this system's own.
+
+    Attributes
+    ----------
+    retry_after_s
+        Seconds after which the caller is to come back; ``None`` if that makes no sense.
+    """
+
+    end: RequestEnd
+    status: int
+    retry_after_s: float | None = None
+
+    @classmethod
+    def of(
+        cls, reason: RequestEndReason, retry_after_s: float | None = None, detail: str = ""
+    ) -> "Refusal":
+        """Return the refusal for a reason that has a status of its own."""
+        assert reason.status is not None, reason
+        return cls(RequestEnd(reason, detail), reason.status, retry_after_s)
+
+
+class RequestRefusedError(Exception):
+    """The request is refused: no back end has run it.
+
+    Attributes
+    ----------
+    code
+        Why.
+    """
+
+    def __init__(self, refusal: Refusal) -> None:
+        super().__init__(refusal.end.text)
+        self.code = refusal.end.reason
+        self.refusal = refusal
+
+
+class RequestFailedError(Exception):
+    """The request may have run, and no whole answer came of it.
+
+    Attributes
+    ----------
+    code
+        Why.
+    """
+
+    def __init__(self, reason: RequestEndReason, detail: str = "") -> None:
+        self.code = reason
+        self.end = RequestEnd(reason, detail)
+        super().__init__(self.end.text)
+
+
+class AnswerAbortedError(Exception):
+    """An answer that had begun cannot be ended; its connection must be closed.
+
+    Attributes
+    ----------
+    code
+        Why.
+    """
+
+    def __init__(self, end: RequestEnd) -> None:
+        super().__init__(end.text)
+        self.code = end.reason
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -1,12 +1,16 @@
-"""Takes requests to be relayed: finds their route, serves them, logs what became of them."""
+"""Takes requests to be relayed: finds their route, serves them, logs what became of them.
+
+Owns the configuration in force, which requests are under way, and the line ``request_ended``,
+whose field ``reason`` is explained in ``relay.end_reasons``. Relies on ``relay.request`` to serve.
+"""
 
 from random import Random
 
 import anyio
+import msgspec
 from anyio.abc import TaskGroup
 
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.failure.answer_verdicts import UNAVAILABLE
 from passlane.decisions.failure.retry_after import retry_after_outage_s
 from passlane.decisions.inputs.relayed_call import RelayedCall
 from passlane.decisions.limits.allowances import Allowances
@@ -17,8 +21,11 @@
 from passlane.relay.admission import NodeAdmission
 from passlane.relay.backends import AnswerWriter, RelayBackends
 from passlane.relay.context import RequestContext
+from passlane.relay.end_reasons import RequestEnd, RequestEndReason, end_of_connection
+from passlane.relay.own_answers import OwnAnswers
 from passlane.relay.progress import RequestProgress
-from passlane.relay.request import NOT_FOUND, RequestRelay
+from passlane.relay.request import RequestRelay
+from passlane.relay.request_errors import Refusal, RequestRefusedError
 from passlane.relay.request_metrics import RequestMetrics
 from passlane.relay.request_quota import RequestQuota, limit_of
 from passlane.relay.service_waits import ServiceWaits
@@ -27,18 +34,29 @@
 from passlane.routes.tenants import Identity
 from passlane.turns.client import TurnStoreClient
 
-UNAUTHORIZED = 401
-CONFLICT = 409
 START_WAIT_S = 1.0
-"""A node that has started so lately expects its first configuration any moment: requests
-wait for it, since a refusal would cost their callers one of few tries."""
+"""Seconds; not measured, chosen. A node that has started so lately expects its first
+configuration any moment: requests wait for it, since a refusal would cost their callers one of
+few tries."""
 
 _log = get_logger(__name__)
 
 
+class _AcceptedRequest(msgspec.Struct, frozen=True):
+    """A request that this node takes on, and the configuration that it is served by."""
+
+    call: RelayedCall
+    route: Route
+    identity: Identity
+    table: RouteTable
+
+
 class RelayService:
     """Relays requests by the newest configuration.
 
+    Its parts come one by one from the composition root, which owns them; so there are more
+    parameters than elsewhere.
+
     Parameters
     ----------
     tasks
@@ -104,90 +122,105 @@
         """
         progress = RequestProgress(call.request_id)
         try:
-            await self._handle(call, writer, progress)
+            await self._accept_and_serve(call, writer, progress)
         except anyio.get_cancelled_exc_class():
-            progress.reason = writer.abandon_reason if writer.is_abandoned else "stopped"
+            if writer.is_abandoned:
+                progress.end = end_of_connection(writer.abandon_reason)
+            else:
+                progress.end = RequestEnd(RequestEndReason.STOPPED)
             raise
         finally:
             self._note_end(call, writer, progress)
 
-    async def _handle(
+    async def _accept_and_serve(
         self, call: RelayedCall, writer: AnswerWriter, progress: RequestProgress
     ) -> None:
-        table = await self._wait_for_table()
-        if table is None:
-            progress.status, progress.reason = UNAVAILABLE, "no_configuration"
-            outage_s = anyio.current_time() - self._started_at
-            await writer.refuse(UNAVAILABLE, progress.reason, retry_after_outage_s(outage_s))
+        try:
+            accepted = await self._accept(call, progress)
+        except RequestRefusedError as error:
+            await OwnAnswers(writer, progress).refuse(error.refusal)
             return
+        self._under_way.add(call.request_id)
+        try:
+            with self._admission.taken_on(call, anyio.current_time()):
+                await self._serve(accepted, writer, progress)
+        finally:
+            self._under_way.discard(call.request_id)
+
+    async def _accept(self, call: RelayedCall, progress: RequestProgress) -> _AcceptedRequest:
+        """Find the route and the tenant of a request, and check that the node takes it on.
+
+        Raises
+        ------
+        RequestRefusedError
+            When it has no route, no known key, or is not taken on.
+        """
+        table = await self._wait_for_table()
         progress.version = table.version
         route = table.find(call.host, call.path)
         if route is None:
-            progress.status, progress.reason = NOT_FOUND, "no_route"
-            await writer.refuse(NOT_FOUND, progress.reason, None)
-            return
-        progress.route = route.name
-        progress.kind = route.kind.value
-        progress.target_latency_s = route.target_latency_s
+            raise RequestRefusedError(Refusal.of(RequestEndReason.NO_ROUTE))
+        progress.note_route(route)
         identity = table.tenants.identify(route, call.key_digests)
         if identity is None:
-            progress.status, progress.reason = UNAUTHORIZED, "no_known_key"
-            await writer.refuse(UNAUTHORIZED, progress.reason, None)
-            return
+            raise RequestRefusedError(Refusal.of(RequestEndReason.NO_KNOWN_KEY))
         progress.tenant = identity.tenant_name
         progress.priority = identity.priority_on(route)
         if call.request_id in self._under_way:
-            progress.status, progress.reason = CONFLICT, "request_under_way"
-            await writer.refuse(CONFLICT, progress.reason, None)
-            return
+            raise RequestRefusedError(Refusal.of(RequestEndReason.REQUEST_UNDER_WAY))
         refusal = self._admission.refusal(call, anyio.current_time())
         if refusal is not None:
-            progress.status, progress.reason = UNAVAILABLE, refusal.reason
-            await writer.refuse(UNAVAILABLE, refusal.reason, refusal.retry_after_s)
-            return
-        self._under_way.add(call.request_id)
-        try:
-            with self._admission.taken_on(call, anyio.current_time()):
-                await self._relay(call, route, identity, table, writer, progress)
-        finally:
-            self._under_way.discard(call.request_id)
+            raise RequestRefusedError(refusal)
+        return _AcceptedRequest(call, route, identity, table)
 
-    async def _wait_for_table(self) -> RouteTable | None:
-        """Return the routes; right after the start, once they are known."""
+    async def _wait_for_table(self) -> RouteTable:
+        """Return the routes; right after the start, once they are known.
+
+        Raises
+        ------
+        RequestRefusedError
+            When they have not become known in time.
+        """
         if self._table is None:
             with anyio.CancelScope(deadline=self._started_at + START_WAIT_S):
                 await self._has_table.wait()
+        if self._table is None:
+            outage_s = anyio.current_time() - self._started_at
+            retry_after_s = retry_after_outage_s(outage_s)
+            raise RequestRefusedError(Refusal.of(RequestEndReason.NO_CONFIGURATION, retry_after_s))
         return self._table
 
-    async def _relay(
-        self,
-        call: RelayedCall,
-        route: Route,
-        identity: Identity,
-        table: RouteTable,
-        writer: AnswerWriter,
-        progress: RequestProgress,
+    async def _serve(
+        self, accepted: _AcceptedRequest, writer: AnswerWriter, progress: RequestProgress
     ) -> None:
-        service = table.service(self._selector.choose(route))
-        progress.service = service.name
-        limit = limit_of(identity, table.version)
-        quota = RequestQuota(limit, self._allowances, self._store)
-        context = RequestContext(
-            call=call,
-            route=route,
+        context = self._context_of(accepted)
+        progress.service = context.service.name
+        account = self._account_of(context)
+        await RequestRelay(context, writer, account, progress).run()
+
+    def _context_of(self, accepted: _AcceptedRequest) -> RequestContext:
+        """Choose the service of a request, and gather what the request may use."""
+        service = accepted.table.service(self._selector.choose(accepted.route))
+        limit = limit_of(accepted.identity, accepted.table.version)
+        return RequestContext(
+            call=accepted.call,
+            route=accepted.route,
             service=service,
-            identity=identity,
-            quota=quota,
+            identity=accepted.identity,
+            quota=RequestQuota(limit, self._allowances, self._store),
             node=self._node,
             registry=self._registry,
             backends=self._backends,
             waits=self._waits.of(service),
         )
-        account: TurnAccount | None = None
-        if route.kind is RouteKind.STREAM and needs_account(call, route):
-            demand = context.turn_demand if self._asks_for_places else None
-            account = TurnAccount(call, route, identity, quota, self._store, self._tasks, demand)
-        await RequestRelay(context, writer, account, progress).run()
+
+    def _account_of(self, context: RequestContext) -> TurnAccount | None:
+        """Return the account of a turn in the store group; ``None`` for other requests."""
+        is_stream = context.route.kind is RouteKind.STREAM
+        if not is_stream or not needs_account(context.call, context.route):
+            return None
+        demand = context.turn_demand if self._asks_for_places else None
+        return TurnAccount(context, self._store, self._tasks, demand)
 
     def _note_end(self, call: RelayedCall, writer: AnswerWriter, progress: RequestProgress) -> None:
         """Count the request and write its one line."""
@@ -209,7 +242,7 @@
             priority=progress.priority,
             version=progress.version,
             status=status,
-            reason=progress.reason,
+            reason=progress.end.text,
             dropped_headers=call.dropped_headers,
             is_whole=writer.is_finished,
             verdict=progress.verdict.value,
--- a/src/passlane/relay/turn_account.py
+++ b/src/passlane/relay/turn_account.py
@@ -1,4 +1,8 @@
-"""One turn's account in the store group: reservation, history, settlement."""
+"""One turn's account in the store group: reservation, history, settlement.
+
+Owns whether a reservation may stand and whether it was settled. The store group decides
+(``turns.state``); ``turns.client`` finds its leader and asks again.
+"""
 
 import anyio
 import msgspec
@@ -16,12 +20,12 @@
     SettleTurn,
 )
 from passlane.observability.logging import get_logger
-from passlane.relay.request_quota import RequestQuota
-from passlane.routes.tenants import Identity
+from passlane.relay.context import RequestContext
 from passlane.turns.client import TurnStoreClient
 
 BACKGROUND_SETTLE_S = 30.0
-"""Longer than a node is usually cut off; what is not settled by then stays reserved."""
+"""Seconds; longer than a node is usually cut off; what is not settled by then stays reserved. Not
+measured; chosen."""
 
 _log = get_logger(__name__)
 
@@ -37,10 +41,10 @@
 
     Parameters
     ----------
-    demand
-        What decides when and where the turn runs; ``None`` if this node chooses an engine.
     tasks
         Where settlements that nobody waits for go on.
+    demand
+        What decides when and where the turn runs; ``None`` if this node chooses an engine.
 
     Attributes
     ----------
@@ -50,20 +54,17 @@
 
     def __init__(
         self,
-        call: RelayedCall,
-        route: Route,
-        identity: Identity,
-        quota: RequestQuota,
+        context: RequestContext,
         store: TurnStoreClient,
         tasks: TaskGroup,
         demand: TurnDemand | None = None,
     ) -> None:
         self._demand = demand
         self.outcome: TurnOutcome | None = None
-        self._call = call
-        self._route = route
-        self._identity = identity
-        self._quota = quota
+        self._call = context.call
+        self._route = context.route
+        self._identity = context.identity
+        self._quota = context.quota
         self._store = store
         self._tasks = tasks
         self._is_reserved = False
--- a/tests/on_platform/test_client_ingress.py
+++ b/tests/on_platform/test_client_ingress.py
@@ -6,7 +6,8 @@
 import trio.testing
 
 from passlane.platform.client_ingress import ClientIngress
-from passlane.relay.request import AnswerAbortedError
+from passlane.relay.end_reasons import RequestEnd, RequestEndReason
+from passlane.relay.request_errors import AnswerAbortedError
 from routes.test_checks import configuration
 
 
@@ -140,7 +141,7 @@
         async def abort(writer):
             await writer.start(200, (), None)
             await writer.write(b"half")
-            raise AnswerAbortedError("broken")
+            raise AnswerAbortedError(RequestEnd(RequestEndReason.BROKE_OFF, "broken"))
 
         client = Client()
         serve(ScriptedRelay(abort), client)
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -5,7 +5,7 @@
 
 from passlane.decisions.admission.node_load import Admission, NodeCapacity, NodeReading
 from passlane.messages.turns import TurnReserved
-from passlane.relay.admission import REFUSED, NodeAdmission
+from passlane.relay.admission import NodeAdmission
 from relay.fakes import Script, ScriptedStore, call, head
 from relay.test_service import EVENT_1, TURNS, RelayCase
 
@@ -35,7 +35,7 @@
         self.assertEqual((self.backends.requests, self.store.reserved), ([], []))
         self.assertGreater(self.writer.retry_after_s, 0)
         (ended,) = [line for line in lines if line["event"] == "request_ended"]
-        self.assertEqual((ended["reason"], ended["verdict"]), (REFUSED, "not_run"))
+        self.assertEqual((ended["reason"], ended["verdict"]), ("node_at_its_bounds", "not_run"))
         self.assertEqual(self.admission.refused, {"known_programs": 1})
 
     def test_a_turn_that_goes_on_is_taken_until_nothing_is(self):
--- /dev/null
+++ b/tests/relay/test_end_reasons.py
@@ -0,0 +1,88 @@
+"""The reasons for which requests end: texts that callers and operators read, and their rules."""
+
+import unittest
+from importlib.util import find_spec
+
+from passlane.decisions.admission import held_bytes
+from passlane.decisions.failure.answer_verdicts import NOT_RUN_STATUSES
+from passlane.relay.end_reasons import RequestEnd, RequestEndReason, Told, end_of_connection
+from passlane.relay.request_errors import Refusal, RequestFailedError, RequestRefusedError
+
+TEXTS = {
+    RequestEndReason.ANSWERED: "answered",
+    RequestEndReason.NO_CONFIGURATION: "no_configuration",
+    RequestEndReason.NO_ROUTE: "no_route",
+    RequestEndReason.NO_KNOWN_KEY: "no_known_key",
+    RequestEndReason.REQUEST_UNDER_WAY: "request_under_way",
+    RequestEndReason.NODE_AT_ITS_BOUNDS: "node_at_its_bounds",
+    RequestEndReason.STORE_DID_NOT_ANSWER: "store_timeout",
+    RequestEndReason.QUOTA_SPENT: "quota_spent",
+    RequestEndReason.BUDGET_SPENT: "budget_spent",
+    RequestEndReason.TURN_UNKNOWN: "turn_unknown",
+    RequestEndReason.NO_ROOM: "no_room",
+    RequestEndReason.NO_BACK_END: "no back end took the request",
+    RequestEndReason.NO_FURTHER_BACK_END: "no further back end took the request",
+    RequestEndReason.BROKE_OFF: "timeout",
+    RequestEndReason.OUT_OF_TIME: "out_of_time",
+    RequestEndReason.TURN_NOT_DURABLE: "turn_not_durable_timeout",
+    RequestEndReason.STOPPED: "stopped",
+    RequestEndReason.CLIENT_LEFT: "client_left",
+    RequestEndReason.CONNECTION_ENDED: "timeout",
+}
+
+
+class RequestEndReasonTest(unittest.TestCase):
+    def test_each_reason_has_its_text(self):
+        texts = {reason: RequestEnd(reason, "timeout").text for reason in RequestEndReason}
+        self.assertEqual(texts, TEXTS)
+
+    def test_a_detail_with_braces_stays_as_it_is(self):
+        self.assertEqual(RequestEnd(RequestEndReason.BROKE_OFF, "{0} {x}").text, "{0} {x}")
+
+    def test_each_names_the_module_that_decides_it(self):
+        for reason in RequestEndReason:
+            self.assertIsNotNone(find_spec(f"passlane.{reason.decided_in}"), reason)
+
+    def test_refusals_alone_have_a_status(self):
+        for reason in RequestEndReason:
+            self.assertEqual(reason.told is Told.REFUSAL, reason.status is not None, reason)
+
+    def test_statuses_that_promise_nothing_are_those_of_faulty_requests(self):
+        promising_nothing = {
+            reason
+            for reason in RequestEndReason
+            if reason.status is not None and reason.status not in NOT_RUN_STATUSES
+        }
+        self.assertEqual(
+            promising_nothing,
+            {
+                RequestEndReason.NO_ROUTE,
+                RequestEndReason.NO_KNOWN_KEY,
+                RequestEndReason.REQUEST_UNDER_WAY,
+                RequestEndReason.BUDGET_SPENT,
+                RequestEndReason.TURN_UNKNOWN,
+            },
+        )
+
+
+class ErrorTest(unittest.TestCase):
+    def test_errors_carry_the_reason_as_their_code(self):
+        refused = RequestRefusedError(Refusal.of(RequestEndReason.NO_ROOM, 0.5))
+        failed = RequestFailedError(RequestEndReason.BROKE_OFF, "reset")
+        self.assertEqual((refused.code, str(refused)), (RequestEndReason.NO_ROOM, "no_room"))
+        self.assertEqual((failed.code, str(failed)), (RequestEndReason.BROKE_OFF, "reset"))
+
+    def test_a_refusal_has_the_status_of_its_reason(self):
+        refusal = Refusal.of(RequestEndReason.QUOTA_SPENT, 0.5)
+        self.assertEqual((refusal.status, refusal.retry_after_s), (429, 0.5))
+
+
+class EndOfConnectionTest(unittest.TestCase):
+    def test_a_caller_that_left(self):
+        self.assertEqual(end_of_connection("client_left").reason, RequestEndReason.CLIENT_LEFT)
+
+    def test_a_connection_that_was_ended_keeps_its_reason(self):
+        for ended_for in held_bytes.EndReason:
+            end = end_of_connection(ended_for.value)
+            self.assertEqual(end.reason, RequestEndReason.CONNECTION_ENDED)
+            self.assertEqual(end.text, ended_for.value)
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -21,9 +21,14 @@
 from passlane.messages.routes import RouteKind, ServiceShare, Tenant
 from passlane.messages.turns import BudgetSpent, TurnReserved, TurnUnknown
 from passlane.observability.metrics import Metrics
-from passlane.relay.attempts import RequestAttempts, RequestFailedError, RequestRefusedError
+from passlane.relay.attempts import RequestAttempts
 from passlane.relay.delivery import MAX_BUFFERED_BYTES
-from passlane.relay.request import AnswerAbortedError
+from passlane.relay.request_errors import (
+    AnswerAbortedError,
+    Refusal,
+    RequestFailedError,
+    RequestRefusedError,
+)
 from passlane.relay.service import START_WAIT_S, RelayService
 from passlane.routes.tenants import Identity, digest_of_key
 from passlane.simulation.replacement import Replacement, replaced
@@ -237,7 +242,7 @@
             try:
                 await run(attempts, limit_at, deliver)
             except RequestFailedError as error:
-                raise RequestRefusedError(str(error), 0.1) from error
+                raise RequestRefusedError(Refusal(error.end, 503, 0.1)) from error
 
         with replaced([Replacement(RequestAttempts, "run", run_and_refuse)]):
             self.relay(scripts, **more)
