--- a/src/passlane/decisions/admission/known_programs.py
+++ b/src/passlane/decisions/admission/known_programs.py
@@ -1,13 +1,19 @@
-"""Tells first requests of new programs from further ones of programs that a node has served."""
+"""Decides whether a request is the first of a new program.
+
+A node at its bounds refuses these first. Owns the ids of programs that the node has served
+lately. Source: ``docs/design/node-bounds.md``.
+"""
 
 from collections import OrderedDict
 
 from passlane.decisions.inputs.relayed_call import RelayedCall
 
 MOST_PROGRAMS = 2_000
-"""Programs that are kept, some 200 bytes each; those unused for longest are forgotten."""
+"""Programs that are kept, some 200 bytes each; those unused for longest are forgotten. Not
+measured; chosen."""
 MEMORY_S = 30.0
-"""A program that has sent nothing for so long counts as new: its callers have gone."""
+"""Seconds. A program that has sent nothing for so long counts as new: its callers have gone. Not
+measured; chosen."""
 
 
 class KnownPrograms:
--- a/src/passlane/decisions/admission/node_load.py
+++ b/src/passlane/decisions/admission/node_load.py
@@ -1,4 +1,8 @@
-"""Decides what a node takes on, from how it fares; does no I/O.
+"""Decides what a node takes on, from how it fares.
+
+Answers "why did this node refuse?" (``node_at_its_bounds``): the log line
+``node_admission_changed`` holds the reading, what it led to and which part of it decided. Owns
+the present state. Source: ``docs/design/node-bounds.md``, "A node's own load".
 
 Requests under way go first: what has begun is never ended here. First new programs are
 refused, then all new requests.
@@ -11,21 +15,25 @@
 from passlane.decisions.failure.retry_after import retry_after_outage_s
 
 LATE_LOOP_S = 0.06
-"""An event that is passed on 0.12 s late makes its stream late; a loop that is late by half of
-that in the mean exceeds it often."""
+"""Seconds. An event that is passed on 0.12 s late makes its stream late; a loop that is late by
+half of that in the mean exceeds it often. Derived, see "Thresholds" of the design page."""
 VERY_LATE_LOOP_S = 0.25
-"""The whole target of a turn; whatever is taken on now comes late."""
+"""Seconds. The whole target of a turn; whatever is taken on now comes late. Derived, see
+"Thresholds" of the design page."""
 HIGH_SHARE = 0.8
-"""From this share of memory, descriptors or the like on, new programs are refused."""
+"""From this share of memory, descriptors or the like on, new programs are refused. Not measured;
+chosen."""
 HIGHEST_SHARE = 0.92
 """From this share on, all is refused: a process over its memory limit is killed, with all that
-it has under way."""
+it has under way. Not measured; chosen."""
 RELIEF_SHARE = 0.5
-"""A late loop counts as recovered at this share of the threshold."""
+"""A late loop counts as recovered at this share of the threshold. Not measured; chosen."""
 ROOM_RELIEF_SHARE = 0.9
-"""Room counts as recovered at this share of the threshold: memory is rarely given back."""
+"""Room counts as recovered at this share of the threshold: memory is rarely given back. Not
+measured; chosen."""
 SHORTEST_STATE_S = 0.5
-"""A state lasts so long at least, so that one sample more or less doesn't change it."""
+"""Seconds. A state lasts so long at least, so that one sample more or less doesn't change it. Not
+measured; chosen."""
 
 
 class Admission(enum.IntEnum):
@@ -37,6 +45,18 @@
     NOTHING = 2
 
 
+class LoadCause(enum.Enum):
+    """Which reading decided what a node takes on."""
+
+    NONE = ""
+    """None: all is taken again."""
+    LOOP_LAG = "loop_lag"
+    HELD_BYTES = "held_bytes"
+    UNDER_WAY = "under_way"
+    MEMORY = "memory"
+    DESCRIPTORS = "descriptors"
+
+
 class NodeReading(msgspec.Struct, frozen=True):
     """How a node fares; ``None`` for what isn't known.
 
@@ -78,12 +98,19 @@
     Attributes
     ----------
     cause
-        Which reading decided; empty when all is taken again.
+        Which reading decided.
     """
 
     before: Admission
     now: Admission
-    cause: str
+    cause: LoadCause
+
+
+class _Demand(msgspec.Struct, frozen=True):
+    """What a reading asks for, and which part of it does."""
+
+    admission: Admission
+    cause: LoadCause
 
 
 class NodeLoad:
@@ -103,12 +130,13 @@
 
     def observe(self, reading: NodeReading, now: float) -> LoadChange | None:
         """Decide anew by a reading; return the change if there is one."""
-        cause, wanted = self._wanted(reading)
+        demand = self._demand_of(reading)
+        wanted = demand.admission
         if wanted < self.admission and now - self._changed_at < SHORTEST_STATE_S:
             return None
         if wanted == self.admission:
             return None
-        change = LoadChange(self.admission, wanted, cause)
+        change = LoadChange(self.admission, wanted, demand.cause)
         if self.admission is Admission.ALL:
             self._refusing_since = now
         self.admission = wanted
@@ -125,18 +153,20 @@
         """Return when a refused caller is to come back, in seconds."""
         return retry_after_outage_s(now - self._refusing_since)
 
-    def _wanted(self, reading: NodeReading) -> tuple[str, Admission]:
-        """Return the worst of what the single readings ask for, and which reading it is."""
+    def _demand_of(self, reading: NodeReading) -> _Demand:
+        """Return the worst of what the parts of a reading ask for; the first among equals."""
         capacity = self._capacity
         wanted = {
-            "loop_lag": self._by_lag(reading.loop_lag_s),
-            "held_bytes": self._by_room(reading.held_bytes, capacity.held_bytes),
-            "under_way": self._by_room(reading.under_way, capacity.under_way),
-            "memory": self._by_room(reading.resident_bytes, capacity.resident_bytes),
-            "descriptors": self._by_room(reading.descriptors, capacity.descriptors),
+            LoadCause.LOOP_LAG: self._by_lag(reading.loop_lag_s),
+            LoadCause.HELD_BYTES: self._by_room(reading.held_bytes, capacity.held_bytes),
+            LoadCause.UNDER_WAY: self._by_room(reading.under_way, capacity.under_way),
+            LoadCause.MEMORY: self._by_room(reading.resident_bytes, capacity.resident_bytes),
+            LoadCause.DESCRIPTORS: self._by_room(reading.descriptors, capacity.descriptors),
         }
-        cause = max(wanted, key=lambda name: wanted[name])
-        return (cause if wanted[cause] else ""), wanted[cause]
+        cause = max(wanted, key=wanted.__getitem__)
+        if wanted[cause] is Admission.ALL:
+            return _Demand(Admission.ALL, LoadCause.NONE)
+        return _Demand(wanted[cause], cause)
 
     def _by_lag(self, lag_s: float) -> Admission:
         capacity = self._capacity
--- a/src/passlane/decisions/backends/registry.py
+++ b/src/passlane/decisions/backends/registry.py
@@ -1,4 +1,8 @@
-"""Which back ends there are, and how much this node has under way at each."""
+"""Knows which back ends there are, and how much this node has under way at each.
+
+Owns the newest list and the outliers by the last judgement of each service, so that a change of
+them is seen (log line ``outliers_changed``). ``decisions.backends.health`` judges.
+"""
 
 from collections.abc import Iterable
 
--- a/src/passlane/decisions/order/room_queue.py
+++ b/src/passlane/decisions/order/room_queue.py
@@ -1,4 +1,8 @@
-"""The order in which a node's requests of one service wait for room at its back ends.
+"""Decides which of a node's waiting requests of one service tries its back ends next, and when.
+
+Owns the line of waiting requests and the pause before the next try. A request's turn is its leave
+to try once (``RetryPermit``); the log lines ``room_wait_began`` and ``room_wait_ended`` show it.
+Source: ``docs/design/plain-back-ends.md``, "Waiting".
 
 A request that all back ends refused for want of room waits here until what is left of its
 deadline is too little for an answer. The node's waiting requests form one line: the most
@@ -12,13 +16,16 @@
 """
 
 import math
+from typing import NamedTuple
 
 import msgspec
 
 PAUSE_GROWTH = 2.0
-"""Each refusal doubles the pause: two refusals in a row say that room is scarce for longer."""
+"""Each refusal doubles the pause: two refusals in a row say that room is scarce for longer.
+Not measured; chosen."""
 PAUSE_SPREAD = 0.5
-"""Pauses vary by this share to both sides, so that nodes refused together part."""
+"""Pauses vary by this share to both sides, so that nodes refused together part. Not
+measured; chosen."""
 
 
 class PauseRange(msgspec.Struct, frozen=True):
@@ -36,7 +43,8 @@
     request_id
         For the log.
     priority
-        Rank among requests; 0 is the most urgent.
+        Its urgency (``Identity.urgency_on``): the tenant's rank before the route's; 0 is the
+        most urgent.
     arrived_at
         When the request came; the calls of one program keep their order by it.
     give_up_at
@@ -56,11 +64,25 @@
 
 
 class RetryPermit(msgspec.Struct, frozen=True):
-    """Allows one try; ``offered`` is the back end where a place got free, empty if unknown."""
+    """Leave of a waiting request to try once.
+
+    Attributes
+    ----------
+    offered
+        The back end where a place got free; empty if the pause is over and none is known.
+    """
 
     offered: str = ""
 
 
+class _WaitOrder(NamedTuple):
+    """Order of waiting requests; the first difference decides, and lower goes first."""
+
+    refusals: int
+    urgency: int
+    arrived_at: float
+
+
 class RoomQueue:
     """The waiting requests of one service at one node.
 
@@ -145,6 +167,6 @@
         longer_s = self._pause_s * PAUSE_GROWTH
         self._pause_s = min(pauses.longest_s, max(pauses.shortest_s, longer_s))
 
-    def _order(self, call: WaitingCall) -> tuple[int, int, float]:
+    def _order(self, call: WaitingCall) -> _WaitOrder:
         refusals = call.refusals if self._rotates else 0
-        return (refusals, call.priority, call.arrived_at)
+        return _WaitOrder(refusals, call.priority, call.arrived_at)
--- a/src/passlane/decisions/order/service_room.py
+++ b/src/passlane/decisions/order/service_room.py
@@ -1,29 +1,27 @@
-"""What one node knows of the room at the back ends of one service, and who waits for it.
+"""Decides when a wait for room at one service is hopeless, and when its caller is to come back.
 
-Binds the parts together: times of answers, the choice among plain back ends, the line of
-waiting requests, and the time at which a refused caller is told to come back.
+Owns what one node knows of the room at the service's back ends, and binds the parts together: times
+of answers (``decisions.backends.answer_times``), the choice among plain back ends
+(``decisions.placement.plain_placement``) and the line of waiting requests
+(``decisions.order.room_queue``). Source: ``docs/design/plain-back-ends.md``.
 """
 
 import math
 
 from passlane.decisions.backends.answer_times import AnswerTimes
+from passlane.decisions.failure.retry_after import retry_after_wait_s
 from passlane.decisions.order.room_queue import PauseRange, RetryPermit, RoomQueue, WaitingCall
 from passlane.decisions.placement.plain_placement import PlainBackends
 from passlane.decisions.placement.request_placement import NodePlace
 
 SHORTEST_PAUSE_S = 0.003
-"""A refusal takes a way to another zone and back: a shorter pause learns nothing."""
+"""Seconds. A refusal takes a way to another zone and back: a shorter pause learns nothing. Not
+measured; chosen."""
 LONGEST_PAUSE_S = 0.1
-"""A caller whose objective is some hundred milliseconds bears no longer blind spell."""
-SHORTEST_RETRY_AFTER_S = 0.05
-"""A caller's way to another node takes some milliseconds and a new connection."""
-LONGEST_RETRY_AFTER_S = 0.6
-"""Callers have one to three seconds; a longer pause leaves no time for an answer."""
-RETRY_AFTER_SPREAD = 0.5
-"""Times to come back are lengthened by up to this share, also the longest one, so that
-callers that were refused together don't return together."""
+"""Seconds. A caller whose objective is some hundred milliseconds bears no longer blind spell. Not
+measured; chosen."""
 WAIT_MEMORY_S = 1.0
-"""A wait that ended longer ago says nothing of the present one."""
+"""Seconds. A wait that ended longer ago says nothing of the present one. Not measured; chosen."""
 
 
 class ServiceRoom:
@@ -117,5 +115,4 @@
         is_recent = now - self._last_wait_at <= WAIT_MEMORY_S
         last_s = self._last_wait_s if is_recent else 0.0
         wait_s = max(self.times.typical_s, last_s, self._queue.longest_wait_s(now))
-        within_s = min(LONGEST_RETRY_AFTER_S, max(SHORTEST_RETRY_AFTER_S, wait_s))
-        return round(within_s * (1.0 + RETRY_AFTER_SPREAD * draw), 3)
+        return retry_after_wait_s(wait_s, draw)
--- a/src/passlane/decisions/placement/plain_placement.py
+++ b/src/passlane/decisions/placement/plain_placement.py
@@ -1,5 +1,10 @@
 """Chooses the plain back end for a call: sound, with room, soonest expected end.
 
+Answers "why did this call go there, or wait?" for services without a model, by the order of
+preference of ``PlainRank``; the log line ``plain_backend_chosen`` shows what decided. Owns what
+this node's calls have shown of each back end. Relies on ``decisions.backends.answer_times`` and on
+the judgement of ``decisions.backends.health``. Source: ``docs/design/plain-back-ends.md``.
+
 Load that this answers: 30 places of which a node sees its own one or two; a back end that
 refused a moment ago is most likely full still, and one with 6 places and calls of 30 ms has
 a place free again 5 ms later.
@@ -18,26 +23,46 @@
 from passlane.decisions.placement.request_placement import NodePlace
 
 LIKELY_FULL = 0.5
-"""A call is not sent to a back end that refuses it with a higher chance."""
+"""A call is not sent to a back end that refuses it with a higher chance. Not measured; chosen."""
 SMALLEST_CHANCE = 0.01
-"""A smaller chance of a refusal must not decide between two back ends."""
+"""A smaller chance of a refusal must not decide between two back ends. Not measured; chosen."""
 SLOW = 2.0
 """From this multiple of the usual time on, any other back end goes first; a smaller one is the
-scatter of single calls."""
+scatter of single calls. Measured: "Speed in small steps" of the design page."""
 CONNECT_S = 0.004
-"""To open a connection takes a way to another zone and back, and a moment at the back end."""
+"""Seconds. To open a connection takes a way to another zone and back, and a moment at the back
+end. Not measured; chosen."""
 REFUSAL_S = 0.004
-"""A refusal takes a way to another zone and back."""
+"""Seconds. A refusal takes a way to another zone and back. Not measured; chosen."""
 UNSOUND_S = 4.0
-"""For so long after it broke off, a back end gets no call that may run only once: a call that
-is lost there is lost for good, and a program with it."""
+"""Seconds. For so long after it broke off, a back end gets no call that may run only once: a call
+that is lost there is lost for good, and a program with it. Measured: "A longer memory of
+break-offs" of the design page."""
 LAST_CHANCE_CALL_TIMES = 4.0
 """A call that has less than so many typical times left goes to an unsound back end rather
-than to none."""
+than to none. Not measured; chosen."""
 
 
 class PlainRank(NamedTuple):
-    """Order of preference; the first difference decides, and lower is better."""
+    """Order of preference; the first difference decides, and lower is better.
+
+    Attributes
+    ----------
+    is_unsound
+        A call may well be lost there: it broke off, fails or is silent.
+    is_likely_full
+        It refused a moment ago.
+    is_slow
+        It takes twice the usual time, or is an outlier.
+    is_beyond_subset
+        It is not among those that this node prefers.
+    expected_s
+        Seconds until the answer is expected.
+    in_flight
+        Requests of this node under way there.
+    place
+        Its place in this node's own order.
+    """
 
     is_unsound: bool
     is_likely_full: bool
@@ -155,17 +180,17 @@
         offered
             The instance where a place of this node's own got free just now.
         must_try
-            Whether the call's turn has come, so that it goes to the likeliest back end
-            even if that is likely full.
+            Whether the call has waited and has leave to try, so that it goes to the
+            likeliest back end even if that is likely full.
         """
         self._take_over(view.loads)
         choices = [self._judge(load, call, view) for load in view.loads]
         fresh = [each for each in choices if each.load.record.instance_id not in tried]
         if self._must_be_sound(call) and not all(each.rank.is_unsound for each in choices):
             fresh = [each for each in fresh if not each.rank.is_unsound]
-        for choice in fresh:
-            if choice.load.record.instance_id == offered and not choice.rank.is_unsound:
-                return choice
+        at_offered = _sound_choice_at(offered, fresh)
+        if at_offered is not None:
+            return at_offered
         best = min(fresh, key=_rank_of, default=None)
         if best is None or must_try or not best.rank.is_likely_full:
             return best
@@ -204,30 +229,15 @@
         self._states = {key: state for key, state in self._states.items() if key in listed}
 
     def _judge(self, load: BackendLoad, call: PlainCall, view: PlainView) -> PlainChoice:
-        now = view.now
-        instance_id = load.record.instance_id
-        state = self._state(instance_id)
+        """Return what choosing this back end would go by."""
+        state = self._state(load.record.instance_id)
         slots = max(1, load.record.slots)
-        chance = state.refusal_chance(self.times.typical_s / slots, slots, now)
-        slowness = state.speed.slowness(now)
-        connect_s = 0.0 if instance_id in view.connected else CONNECT_S
-        is_slow = slowness >= SLOW
-        answer_s = self.times.of_route(call.route) * (slowness if is_slow else 1.0)
-        expected_s = answer_s + connect_s + chance * REFUSAL_S
-        place = self._order.index(instance_id)
-        rank = PlainRank(
-            is_unsound=self._is_unsound(load, state, call, now),
-            is_likely_full=chance > LIKELY_FULL,
-            is_slow=is_slow or instance_id in view.outliers,
-            is_beyond_subset=place >= self._subset_size,
-            expected_s=expected_s,
-            in_flight=load.in_flight,
-            place=place,
-        )
-        refused_ago_s = now - state.refused_at
+        chance = state.refusal_chance(self.times.typical_s / slots, slots, view.now)
+        slowness = state.speed.slowness(view.now)
+        refused_ago_s = view.now - state.refused_at
         return PlainChoice(
             load=load,
-            rank=rank,
+            rank=self._rank(load, call, view, chance, slowness),
             candidates=len(view.loads),
             refusal_age_s=refused_ago_s if math.isfinite(refused_ago_s) else None,
             refusal_chance=chance,
@@ -235,15 +245,45 @@
             typical_s=self.times.typical_s,
         )
 
-    def _is_unsound(
-        self, load: BackendLoad, state: PlainBackendState, call: PlainCall, now: float
-    ) -> bool:
+    def _rank(
+        self,
+        load: BackendLoad,
+        call: PlainCall,
+        view: PlainView,
+        refusal_chance: float,
+        slowness: float,
+    ) -> PlainRank:
+        instance_id = load.record.instance_id
+        is_slow = slowness >= SLOW
+        answer_s = self.times.of_route(call.route) * (slowness if is_slow else 1.0)
+        connect_s = 0.0 if instance_id in view.connected else CONNECT_S
+        place = self._order.index(instance_id)
+        return PlainRank(
+            is_unsound=self._is_unsound(load, call, view.now),
+            is_likely_full=refusal_chance > LIKELY_FULL,
+            is_slow=is_slow or instance_id in view.outliers,
+            is_beyond_subset=place >= self._subset_size,
+            expected_s=answer_s + connect_s + refusal_chance * REFUSAL_S,
+            in_flight=load.in_flight,
+            place=place,
+        )
+
+    def _is_unsound(self, load: BackendLoad, call: PlainCall, now: float) -> bool:
         """Whether a call may well be lost there; a longer memory for what may run only once."""
         if load.avoid_until > now or load.health.is_failing(now):
             return True
         if load.health.is_stalled(now, stall_limit_s(self.times.typical_s)):
             return True
-        return call.runs_once and now - state.broken_at < UNSOUND_S
+        broken_at = self._state(load.record.instance_id).broken_at
+        return call.runs_once and now - broken_at < UNSOUND_S
+
+
+def _sound_choice_at(instance_id: str, choices: Sequence[PlainChoice]) -> PlainChoice | None:
+    """Return the choice of the instance whose place was offered, unless it is unsound."""
+    for choice in choices:
+        if choice.load.record.instance_id == instance_id and not choice.rank.is_unsound:
+            return choice
+    return None
 
 
 def _rank_of(choice: PlainChoice) -> PlainRank:
--- a/src/passlane/decisions/placement/request_placement.py
+++ b/src/passlane/decisions/placement/request_placement.py
@@ -1,4 +1,11 @@
-"""Chooses the back end for a request: memory of its program first, then load."""
+"""Chooses the back end for a request: memory of its program first, then load.
+
+Answers "why did this request go there?" for model engines, by the order of preference of
+``PlacementRank``; the log line ``backend_chosen`` shows the rank that won. Owns no state: what is
+known of a back end is in ``decisions.backends.registry`` and ``decisions.backends.health``, the
+preference for the own zone in ``decisions.placement.zone_weights``. No node knows what others have
+under way. Source: ``docs/design/relay-placement.md``.
+"""
 
 import math
 from collections.abc import Collection
@@ -13,21 +20,60 @@
 from passlane.messages.listing import BackendRecord
 
 FULL_SHARE = 0.5
-"""A node gives an engine at most this share of its slots before it turns to the next."""
+"""Share of its slots. A node gives an engine at most this much before it turns to the next.
+Not measured; chosen."""
 PLAIN_FULL_SHARE = 0.33
-"""The same for back ends that are no model engines."""
+"""The same for requests without a program. Not measured; chosen."""
 QUEUE_FACTOR = 2.0
+"""Multiple of the usual time to a first part. Not measured; chosen."""
 SHORTEST_QUEUE_S = 0.1
-"""A request that waits longer than this, and this multiple of the usual, shows a queue."""
+"""Seconds. A request that waits longer than this, and than the multiple above, shows a queue.
+Not measured; chosen."""
 LONG_QUEUE_FACTOR = 4.0
+"""Multiple of the usual time to a first part. Not measured; chosen."""
 SHORTEST_LONG_QUEUE_S = 0.25
-"""A queue that is worth reading a program's history again at another engine."""
+"""Seconds. A queue beyond this, and beyond the multiple above, is worth reading a program's
+history again at another engine. Not measured; chosen."""
 AVOID_S = 0.5
+"""Seconds for which a back end is avoided after a failure; doubles with each failure in a row.
+Not measured; chosen."""
 LONGEST_AVOID_S = 5.0
+"""Seconds; the most that this grows to. Not measured; chosen."""
 
 
 class PlacementRank(NamedTuple):
-    """Order of preference; the first difference decides, and lower is better."""
+    """Order of preference; the first difference decides, and lower is better.
+
+    Attributes
+    ----------
+    is_not_assigned
+        It is not the engine at which the request has a place. Whoever gave that sees all nodes.
+    is_outlier
+        It does worse than most of its service.
+    is_avoided
+        A connection to it failed lately.
+    long_queue
+        For how many times ``long_queue_s`` a request has waited there.
+    is_elsewhere
+        It is not the engine that the program used last. That engine holds what the program
+        has read already; to read it again elsewhere takes longer than a short queue.
+    short_queue
+        For how many times ``short_queue_s`` a request has waited there.
+    is_without_part
+        It is not to hold the large part that a new program's prompt shares with others.
+    fullness
+        Requests of this node there, among engines that hold the part; else how many times
+        over these fill this node's share of it.
+    needs_connection
+        No connection to it rests unused, for requests without a program. To open one takes a
+        way there and back, holds a slot for a moment, and counts against what the back end
+        takes. Not so among engines: nodes that see only their own requests would all fill
+        those that they used last.
+    negative_score
+        Its weighted rendezvous score, negated: a program gets the same engine at every node
+        of its zone, the own zone is preferred, and for requests without a program each node
+        has an order of its own, so that the nodes of a zone don't all fill the same one first.
+    """
 
     is_not_assigned: bool
     is_outlier: bool
@@ -87,6 +133,16 @@
     typical_s: float
 
 
+def long_queue_s(typical_s: float) -> float:
+    """Return the wait, in seconds, from which a queue sends a program away from its engine."""
+    return max(SHORTEST_LONG_QUEUE_S, LONG_QUEUE_FACTOR * typical_s)
+
+
+def short_queue_s(typical_s: float) -> float:
+    """Return the wait, in seconds, from which a queue sends a new program elsewhere."""
+    return max(SHORTEST_QUEUE_S, QUEUE_FACTOR * typical_s)
+
+
 def choose_backend(
     candidates: Collection[BackendLoad],
     key: PlacementKey,
@@ -96,21 +152,7 @@
     typical_s: float = 0.0,
     connected: Collection[str] = (),
 ) -> PlacementChoice | None:
-    """Choose the back end for the next attempt; ``None`` if each was tried.
-
-    An engine at which the request has a place goes first: whoever gave it sees all nodes.
-    Else a program stays with the engine that it used last, because that engine holds what the
-    program has read already; to read it again elsewhere takes longer than a short queue.
-    A new program whose prompt shares a large part with others goes to the least used of
-    the engines that hold this part. Any other goes by rendezvous hashing, as at every
-    other node of its zone, unless requests queue there, and back ends of the own zone are
-    preferred. An engine that is full for this node, that failed lately or that does worse
-    than most comes after all others. Among plain back ends with room, one to which a
-    connection rests unused goes first: to open one takes a way there and back, holds a slot
-    for a moment, and counts against what the back end takes. Not so among engines: nodes that
-    see only their own requests would all fill those that they used last. Among plain back
-    ends each node has an order of its own, so that the nodes of a zone don't all fill the
-    same one first.
+    """Choose the back end of the best rank; ``None`` if each was tried.
 
     Parameters
     ----------
@@ -121,37 +163,60 @@
     typical_s
         Typical time to the first part of an answer of the service; 0 if unknown.
     connected
-        Instances to which a connection of this node rests unused; only looked at for plain
-        back ends.
+        Instances to which a connection of this node rests unused; only looked at for requests
+        without a program.
     """
     fresh = [load for load in candidates if load.record.instance_id not in tried]
     if not fresh:
         return None
-    long_s = max(SHORTEST_LONG_QUEUE_S, LONG_QUEUE_FACTOR * typical_s)
-    short_s = max(SHORTEST_QUEUE_S, QUEUE_FACTOR * typical_s)
     records = [load.record for load in candidates]
-    holders = _engines_for_new_program(key, records)
-    weights = ZoneWeights.of(records, key.node.zone)
+    ranking = _Ranking(
+        key=key,
+        now=now,
+        outliers=outliers,
+        typical_s=typical_s,
+        connected=connected,
+        holders=_engines_for_new_program(key, records),
+        weights=ZoneWeights.of(records, key.node.zone),
+    )
+    ranks = [ranking.rank(load) for load in fresh]
+    best = min(range(len(fresh)), key=ranks.__getitem__)
+    return PlacementChoice(fresh[best], ranks[best], len(fresh), typical_s)
 
-    def rank(load: BackendLoad) -> PlacementRank:
-        instance_id = load.record.instance_id
+
+class _Ranking(msgspec.Struct, frozen=True, kw_only=True):
+    """What back ends are ranked by for one request at one moment.
+
+    Attributes
+    ----------
+    holders
+        Engines that are to hold the large part of a new program's prompt; empty if that
+        does not decide.
+    """
+
+    key: PlacementKey
+    now: float
+    outliers: Collection[str]
+    typical_s: float
+    connected: Collection[str]
+    holders: frozenset[str]
+    weights: ZoneWeights
+
+    def rank(self, load: BackendLoad) -> PlacementRank:
+        key, instance_id = self.key, load.record.instance_id
         return PlacementRank(
             is_not_assigned=instance_id != key.assigned,
-            is_outlier=instance_id in outliers,
-            is_avoided=load.avoid_until > now,
-            long_queue=congestion_level(load.health, long_s, now),
+            is_outlier=instance_id in self.outliers,
+            is_avoided=load.avoid_until > self.now,
+            long_queue=congestion_level(load.health, long_queue_s(self.typical_s), self.now),
             is_elsewhere=instance_id != key.used_last,
-            short_queue=congestion_level(load.health, short_s, now),
-            is_without_part=bool(holders) and instance_id not in holders,
-            fullness=load.in_flight if holders else _fullness(load, key),
-            needs_connection=key.is_plain and instance_id not in connected,
-            negative_score=-weights.score(key.affinity or key.node.name, load.record),
+            short_queue=congestion_level(load.health, short_queue_s(self.typical_s), self.now),
+            is_without_part=bool(self.holders) and instance_id not in self.holders,
+            fullness=load.in_flight if self.holders else _fullness(load, key),
+            needs_connection=key.is_plain and instance_id not in self.connected,
+            negative_score=-self.weights.score(key.affinity or key.node.name, load.record),
         )
 
-    ranks = [rank(load) for load in fresh]
-    best = min(range(len(fresh)), key=ranks.__getitem__)
-    return PlacementChoice(fresh[best], ranks[best], len(fresh), typical_s)
-
 
 def _engines_for_new_program(
     key: PlacementKey, records: Collection[BackendRecord]
--- a/src/passlane/relay/admission.py
+++ b/src/passlane/relay/admission.py
@@ -63,7 +63,7 @@
             "node_admission_changed",
             before=change.before.name.lower(),
             now=change.now.name.lower(),
-            cause=change.cause,
+            cause=change.cause.value,
             is_enabled=self._is_enabled,
             loop_lag_s=round(reading.loop_lag_s, 4),
             held_bytes=reading.held_bytes,
--- a/tests/decisions/admission/test_node_load.py
+++ b/tests/decisions/admission/test_node_load.py
@@ -47,7 +47,9 @@
                 self.load = NodeLoad(CAPACITY)
                 self.assertIs(self.admission_with(**{name: high - 1}), Admission.ALL)
                 change = self.load.observe(NodeReading(**{name: high}), 0.0)
-                self.assertEqual((change.cause, change.now), (cause, Admission.KNOWN_PROGRAMS))
+                self.assertEqual(
+                    (change.cause.value, change.now), (cause, Admission.KNOWN_PROGRAMS)
+                )
                 self.assertIs(self.admission_with(**{name: highest}), Admission.NOTHING)
 
     def test_what_is_not_known_or_not_bounded_does_not_count(self):
--- a/tests/decisions/order/test_room_queue.py
+++ b/tests/decisions/order/test_room_queue.py
@@ -2,11 +2,13 @@
 
 import unittest
 
+from passlane.decisions.failure.retry_after import (
+    LONGEST_ROOM_RETRY_S,
+    ROOM_RETRY_SPREAD,
+    SHORTEST_ROOM_RETRY_S,
+)
 from passlane.decisions.order.room_queue import PAUSE_SPREAD, PauseRange, RoomQueue, WaitingCall
 from passlane.decisions.order.service_room import (
-    LONGEST_RETRY_AFTER_S,
-    RETRY_AFTER_SPREAD,
-    SHORTEST_RETRY_AFTER_S,
     ServiceRoom,
 )
 from passlane.decisions.placement.request_placement import NodePlace
@@ -136,16 +138,16 @@
         self.assertIsNone(room.note_answered("i-1", "turn", 0.1, 0.1))
 
     def test_the_time_to_come_back_follows_how_long_room_has_been_missing(self):
-        self.assertEqual(self.room.come_back_s(0.0, 0.0), SHORTEST_RETRY_AFTER_S)
+        self.assertEqual(self.room.come_back_s(0.0, 0.0), SHORTEST_ROOM_RETRY_S)
         self.room.join(waiting(arrived_at=0.0, give_up_at=9.0), 0.0, 0.5, 6)
         self.assertEqual(self.room.come_back_s(0.3, 0.0), 0.3)
-        self.assertEqual(self.room.come_back_s(5.0, 0.0), LONGEST_RETRY_AFTER_S)
+        self.assertEqual(self.room.come_back_s(5.0, 0.0), LONGEST_ROOM_RETRY_S)
 
     def test_times_to_come_back_are_spread(self):
         shortest, longest = (self.room.come_back_s(0.0, draw) for draw in (0.0, 1.0))
-        self.assertAlmostEqual(longest, shortest * (1 + RETRY_AFTER_SPREAD))
+        self.assertAlmostEqual(longest, shortest * (1 + ROOM_RETRY_SPREAD))
 
     def test_a_wait_that_has_just_ended_counts_for_a_second(self):
         self.room.note_wait_ended(waiting(arrived_at=0.0), 0.4)
         self.assertEqual(self.room.come_back_s(0.5, 0.0), 0.4)
-        self.assertEqual(self.room.come_back_s(2.0, 0.0), SHORTEST_RETRY_AFTER_S)
+        self.assertEqual(self.room.come_back_s(2.0, 0.0), SHORTEST_ROOM_RETRY_S)
--- a/tests/decisions/placement/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -76,7 +76,7 @@
     tried: set[str] = msgspec.field(default_factory=set)
     waiting: WaitingCall | None = None
     is_waiting: bool = False
-    come_back_s: float | None = None
+    retry_after_s: float | None = None
 
     @property
     def limit_at(self):
@@ -278,7 +278,7 @@
     def _refuse(self, call):
         room, now = call.node.room, self.load.now
         room.note_wait_ended(call.waiting, now)
-        call.come_back_s = room.come_back_s(now, self.load.pause_draws.random())
+        call.retry_after_s = room.come_back_s(now, self.load.pause_draws.random())
         self.load.end(call, is_served=False)
 
     def _arrange(self, node):
--- a/tests/decisions/placement/test_plain_load.py
+++ b/tests/decisions/placement/test_plain_load.py
@@ -46,7 +46,7 @@
 import unittest
 
 from decisions.placement.plain_load import LONGER_KINDS, EarlierRule, PlainLoad, RoomRule
-from passlane.decisions.order.service_room import LONGEST_RETRY_AFTER_S, RETRY_AFTER_SPREAD
+from passlane.decisions.failure.retry_after import LONGEST_ROOM_RETRY_S, ROOM_RETRY_SPREAD
 
 SEED = 1
 CALLS_PER_S = 650
@@ -179,9 +179,9 @@
             self.assertFalse(call.is_served)
             left_s = call.limit_at - call.ended_at
             self.assertTrue(0.0 < left_s < 0.06, left_s)
-            within = call.come_back_s / LONGEST_RETRY_AFTER_S
-            self.assertTrue(1.0 <= within <= 1.0 + RETRY_AFTER_SPREAD)
-        self.assertGreater(len({call.come_back_s for call in load.calls}), 0.3 * len(load.calls))
+            within = call.retry_after_s / LONGEST_ROOM_RETRY_S
+            self.assertTrue(1.0 <= within <= 1.0 + ROOM_RETRY_SPREAD)
+        self.assertGreater(len({call.retry_after_s for call in load.calls}), 0.3 * len(load.calls))
 
     def test_waiting_costs_back_ends_few_refusals(self):
         load = PlainLoad(RoomRule, seed=SEED)
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -11,9 +11,13 @@
 
 from passlane.decisions.backends.answer_times import UNKNOWN_ANSWER_S
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.failure.retry_after import LONGEST_OUTAGE_RETRY_S, SHORTEST_OUTAGE_RETRY_S
+from passlane.decisions.failure.retry_after import (
+    LONGEST_OUTAGE_RETRY_S,
+    LONGEST_ROOM_RETRY_S,
+    ROOM_RETRY_SPREAD,
+    SHORTEST_OUTAGE_RETRY_S,
+)
 from passlane.decisions.inputs.relayed_call import PromptPart
-from passlane.decisions.order.service_room import LONGEST_RETRY_AFTER_S, RETRY_AFTER_SPREAD
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.listing import BackendState
 from passlane.messages.placement import TurnRefused
@@ -132,8 +136,8 @@
 
     def test_whoever_is_refused_after_a_long_wait_is_told_the_longest_time_to_come_back(self):
         self.relay([Script(FULL)] * 400)
-        spread = self.writer.retry_after_s / LONGEST_RETRY_AFTER_S
-        self.assertTrue(1.0 <= spread <= 1.0 + RETRY_AFTER_SPREAD)
+        spread = self.writer.retry_after_s / LONGEST_ROOM_RETRY_S
+        self.assertTrue(1.0 <= spread <= 1.0 + ROOM_RETRY_SPREAD)
 
     def test_a_place_that_gets_free_late_still_serves(self):
         self.relay([*[Script(FULL)] * 20, Script(head(), b"ok")])
