--- a/src/passlane/relay/delivery.py
+++ b/src/passlane/relay/delivery.py
@@ -11,7 +11,7 @@
 from passlane.runtime.interfaces import HttpConnectionError
 
 MAX_BUFFERED_BYTES = 256_000
-"""Longer bodies are passed on as they arrive."""
+"""Bytes. Longer bodies are passed on as they arrive. Not measured; chosen."""
 
 FIRST_SERVER_FAULT = 500
 """From this status on, an answer counts as a failure of the back end."""
--- a/src/passlane/relay/list_reader.py
+++ b/src/passlane/relay/list_reader.py
@@ -17,13 +17,21 @@
 from passlane.relay.backends import BackendList
 
 READ_PERIOD_S = 0.9
+"""Seconds between two readings by the appointed reader. Not measured; chosen."""
 RATE_SHARE = 0.6
-"""Share of the allowed rate that all nodes together use when each reads for itself."""
+"""Share of the allowed rate that all nodes together use when each reads for itself. Not measured;
+chosen."""
 READ_TIMEOUT_S = 1.0
+"""Seconds for one reading. Not measured; chosen."""
 RETRY_PAUSE_S = 0.2
+"""Seconds after a reading that failed. Not measured; chosen."""
 STALE_AFTER_S = 2.0
-"""A list that nobody has confirmed for this long is read again by the node itself."""
+"""Seconds. A list that nobody has confirmed for this long is read again by the node itself. Not
+measured; chosen."""
 WATCH_PERIOD_S = 0.25
+"""Seconds between two looks at the list's age. Not measured; chosen."""
+EARLIEST_READ_SHARE = 0.85
+"""Nodes read up to this share of their period early, so that they part. Not measured; chosen."""
 
 Report = Callable[[tuple[BackendRecord, ...]], Awaitable[None]]
 """Tells the leader of the control group what was read."""
@@ -117,7 +125,7 @@
             period_s = own_period_s(self._node_count(), self._rate_per_s)
             if records is None:
                 period_s = max(RETRY_PAUSE_S, period_s / 2)
-            self._next_own_read_at = now + period_s * self._random.uniform(0.85, 1.0)
+            self._next_own_read_at = now + period_s * self._random.uniform(EARLIEST_READ_SHARE, 1.0)
         await anyio.sleep(WATCH_PERIOD_S)
 
     async def _read(self) -> tuple[BackendRecord, ...] | None:
--- a/src/passlane/relay/request_errors.py
+++ b/src/passlane/relay/request_errors.py
@@ -30,45 +30,37 @@
         return cls(RequestEnd(reason, detail), reason.status, retry_after_s)
 
 
-class RequestRefusedError(Exception):
-    """The request is refused: no back end has run it.
+class RequestEndedError(Exception):
+    """A request ended without a back end's whole answer.
 
     Attributes
     ----------
     code
         Why.
+    end
+        The same with what only this case tells.
     """
 
-    def __init__(self, refusal: Refusal) -> None:
-        super().__init__(refusal.end.text)
-        self.code = refusal.end.reason
-        self.refusal = refusal
+    def __init__(self, end: RequestEnd) -> None:
+        super().__init__(end.text)
+        self.code = end.reason
+        self.end = end
 
 
-class RequestFailedError(Exception):
-    """The request may have run, and no whole answer came of it.
+class RequestRefusedError(RequestEndedError):
+    """The request is refused: no back end has run it."""
 
-    Attributes
-    ----------
-    code
-        Why.
-    """
+    def __init__(self, refusal: Refusal) -> None:
+        super().__init__(refusal.end)
+        self.refusal = refusal
 
-    def __init__(self, reason: RequestEndReason, detail: str = "") -> None:
-        self.code = reason
-        self.end = RequestEnd(reason, detail)
-        super().__init__(self.end.text)
 
+class RequestFailedError(RequestEndedError):
+    """The request may have run, and no whole answer came of it."""
 
-class AnswerAbortedError(Exception):
-    """An answer that had begun cannot be ended; its connection must be closed.
+    def __init__(self, reason: RequestEndReason, detail: str = "") -> None:
+        super().__init__(RequestEnd(reason, detail))
 
-    Attributes
-    ----------
-    code
-        Why.
-    """
 
-    def __init__(self, end: RequestEnd) -> None:
-        super().__init__(end.text)
-        self.code = end.reason
+class AnswerAbortedError(RequestEndedError):
+    """An answer that had begun cannot be ended; its connection must be closed."""
--- a/src/passlane/relay/unread_answers.py
+++ b/src/passlane/relay/unread_answers.py
@@ -10,10 +10,12 @@
 from passlane.runtime.interfaces import WatchedConnection
 
 MOST_LOGGED_ENDINGS = 20
-"""Lines for the endings of one look; a line tells how many there were beyond."""
+"""Lines for the endings of one look; a line tells how many there were beyond. Not measured;
+chosen."""
 
 LONGEST_GAP_S = 1.0
-"""After a longer time between two looks, this process was held up, not its callers."""
+"""Seconds. After a longer time between two looks, this process was held up, not its callers. Not
+measured; chosen."""
 
 _log = get_logger(__name__)
 
