--- a/tests/relay/test_end_reasons.py
+++ b/tests/relay/test_end_reasons.py
@@ -1,13 +1,17 @@
 """The reasons for which requests end: texts that callers and operators read, and their rules."""
 
+import re
 import unittest
 from importlib.util import find_spec
+from pathlib import Path
 
 from passlane.decisions.admission import held_bytes
 from passlane.decisions.failure.answer_verdicts import NOT_RUN_STATUSES
 from passlane.relay.end_reasons import RequestEnd, RequestEndReason, Told, end_of_connection
 from passlane.relay.request_errors import Refusal, RequestFailedError, RequestRefusedError
 
+ROOT = Path(__file__).resolve().parents[2]
+
 TEXTS = {
     RequestEndReason.ANSWERED: "answered",
     RequestEndReason.NO_CONFIGURATION: "no_configuration",
@@ -65,6 +69,26 @@
         )
 
 
+class PageTest(unittest.TestCase):
+    """The table by which operators find a rule names every reason, and modules that exist."""
+
+    def setUp(self):
+        page = (ROOT / "docs" / "OPERATIONS.md").read_text()
+        self.section = page.split("## From a reason to its rule")[1].split("\n## ")[0]
+
+    def test_every_reason_has_its_row(self):
+        texts = [RequestEnd(reason, "...").text for reason in RequestEndReason]
+        texts += [ended_for.value for ended_for in held_bytes.EndReason]
+        missing = [text for text in texts if text != "..." and f"`{text}`" not in self.section]
+        self.assertEqual(missing, [])
+
+    def test_every_module_that_it_names_exists(self):
+        names = set(re.findall(r"`([a-z_/]+\.py)`", self.section))
+        self.assertGreater(len(names), 10)
+        missing = [name for name in names if not (ROOT / "src" / "passlane" / name).exists()]
+        self.assertEqual(missing, [])
+
+
 class ErrorTest(unittest.TestCase):
     def test_errors_carry_the_reason_as_their_code(self):
         refused = RequestRefusedError(Refusal.of(RequestEndReason.NO_ROOM, 0.5))
