--- a/src/passlane/platform/engine_client.py
+++ b/src/passlane/platform/engine_client.py
@@ -98,8 +98,8 @@
         headers[header.name] = f"{before}, {header.value}" if before else header.value
     headers[names.DEADLINE_MS] = str(int(request.remaining_s * MILLISECONDS))
     headers[names.TARGET_INSTANCE] = backend.instance_id
-    if request.priority is not None:
-        headers[names.REQUEST_PRIORITY] = str(request.priority)
+    if request.engine_priority is not None:
+        headers[names.REQUEST_PRIORITY] = str(request.engine_priority)
     if request.tenant_name:
         headers[names.TENANT] = request.tenant_name
     if request.last_event_id is not None:
--- a/src/passlane/relay/attempt.py
+++ b/src/passlane/relay/attempt.py
@@ -20,15 +20,10 @@
 from passlane.relay.attempt_log import AttemptStamp, log_backend_refusal, log_untrusted_answer
 from passlane.relay.backends import BackendAnswer, BackendRequest
 from passlane.relay.context import RequestContext
-from passlane.relay.end_reasons import RequestEndReason
+from passlane.relay.end_reasons import BreakReason, RequestEndReason
 from passlane.relay.request_errors import RequestFailedError
 from passlane.runtime.interfaces import HttpConnectionError
 
-NO_ANSWER = "no answer for too long"
-"""Detail of a request that turned from a silent back end."""
-NOT_AN_ANSWER = "not an answer to this request"
-"""Detail of a request whose answer did not prove to be one to it."""
-
 Deliver = Callable[[BackendAnswer, AttemptWatch], Awaitable[None]]
 """Passes an answer on; raises ``HttpConnectionError`` when the answer breaks off."""
 
@@ -48,7 +43,7 @@
         self._history = history
 
     async def send(
-        self, load: BackendLoad, stall_limit_s: float, limit_at: float, deliver: Deliver
+        self, load: BackendLoad, stalled_after_s: float, limit_at: float, deliver: Deliver
     ) -> bool:
         """Send the request to one back end; return whether its answer was delivered.
 
@@ -62,7 +57,7 @@
         watch = load.health.watch(started_at)
         verdict_before = self._history.verdict
         self._history.begin(load.record.instance_id, started_at)
-        silence_ends_at = self._silence_ends_at(started_at + stall_limit_s)
+        silence_ends_at = self._silence_ends_at(started_at + stalled_after_s)
         try:
             with anyio.CancelScope(deadline=silence_ends_at) as silence:
                 request = self._request(limit_at)
@@ -74,12 +69,12 @@
                     # The proof holds, whatever becomes of the rest of the refusal.
                     self._history.verdict = verdict_before
             if silence.cancelled_caught:
-                raise HttpConnectionError(NO_ANSWER, bytes_left=True)
+                raise HttpConnectionError(BreakReason.NO_ANSWER.value, bytes_left=True)
         except HttpConnectionError as error:
             watch.failed(anyio.current_time())
             self._note_broken(error, load, verdict_before)
         finally:
-            watch.dropped(anyio.current_time(), stall_limit_s)
+            watch.dropped(anyio.current_time(), stalled_after_s)
             load.in_flight -= 1
         return False
 
@@ -93,7 +88,7 @@
             call=self._context.call,
             body=self._body,
             remaining_s=max(0.0, limit_at - anyio.current_time()),
-            priority=self._context.engine_priority,
+            engine_priority=self._context.engine_priority,
             last_event_id=self._history.last_event_id,
             tenant_name=self._context.identity.tenant_name,
         )
@@ -108,7 +103,7 @@
             return False
         if judgement is Judgement.UNTRUSTED:
             log_untrusted_answer(answer, load, self._stamp())
-            raise HttpConnectionError(NOT_AN_ANSWER, bytes_left=True)
+            raise HttpConnectionError(BreakReason.NOT_AN_ANSWER.value, bytes_left=True)
         self._history.note_answering(load.record.instance_id, anyio.current_time())
         await deliver(answer, watch)
         note_success(load)
--- a/src/passlane/relay/attempts.py
+++ b/src/passlane/relay/attempts.py
@@ -74,9 +74,8 @@
                 permit = await self._wait.for_permit(judgement, limit_at)
                 continue
             permit = None
-            stall_limit = stall_limit_s(judgement.typical_s)
             runs_before = self._history.runs
-            if await self._send(load, stall_limit, limit_at, deliver):
+            if await self._send(load, stall_limit_s(judgement.typical_s), limit_at, deliver):
                 return
             if self._history.runs > runs_before:
                 await self._count_another_run(limit_at)
@@ -94,7 +93,7 @@
         return load
 
     async def _send(
-        self, load: BackendLoad, stall_limit: float, limit_at: float, deliver: Deliver
+        self, load: BackendLoad, stalled_after_s: float, limit_at: float, deliver: Deliver
     ) -> bool:
         """Send the request to one back end, and note what that shows of its room."""
         instance_id = load.record.instance_id
@@ -102,7 +101,7 @@
         started_at = anyio.current_time()
         is_delivered = False
         try:
-            is_delivered = await self._sender.send(load, stall_limit, limit_at, deliver)
+            is_delivered = await self._sender.send(load, stalled_after_s, limit_at, deliver)
         finally:
             now = anyio.current_time()
             # The mark is the back end's: another request's failure there counts as well.
--- a/src/passlane/relay/backends.py
+++ b/src/passlane/relay/backends.py
@@ -1,4 +1,7 @@
-"""What the relay asks of back ends, and what it learns from their answers."""
+"""The interfaces that the relay needs: back ends, their list, and the writer to its caller.
+
+Owns nothing; ``passlane.platform`` implements them.
+"""
 
 from collections.abc import AsyncGenerator, Sequence
 from contextlib import AbstractAsyncContextManager
@@ -12,7 +15,7 @@
 from passlane.relay.end_reasons import RequestEndReason
 
 CLIENT_LEFT = RequestEndReason.CLIENT_LEFT.text
-"""Why an answer was abandoned whose caller has closed the connection."""
+"""Reason of an answer that was abandoned because its caller closed the connection."""
 
 
 class BackendAnswer(Protocol):
@@ -34,8 +37,8 @@
         What the back end is to get; differs from the call's for turns with a history.
     remaining_s
         Time that the back end has left.
-    priority
-        Rank at a model engine, 0 first; ``None`` for other back ends.
+    engine_priority
+        Its priority at a model engine, 0 first; ``None`` for other back ends.
     last_event_id
         The event after which a stream is to go on.
     tenant_name
@@ -45,7 +48,7 @@
     call: RelayedCall
     body: bytes
     remaining_s: float
-    priority: int | None = None
+    engine_priority: int | None = None
     last_event_id: str | None = None
     tenant_name: str = ""
 
--- a/src/passlane/relay/context.py
+++ b/src/passlane/relay/context.py
@@ -1,4 +1,7 @@
-"""What one request is served with."""
+"""Gathers what one request is served with: the request, its route and tenant, and the node's parts.
+
+Owns nothing; what it derives (where the request may go, what its turn demands) is plain.
+"""
 
 import msgspec
 
@@ -34,7 +37,7 @@
 
     @property
     def engine_priority(self) -> int | None:
-        """Rank of the request at an engine; ``None`` for other back ends."""
+        """Its priority at an engine, 0 first; ``None`` for other back ends."""
         return self.identity.engine_priority_on(self.route) if self.is_for_model else None
 
     @property
--- a/src/passlane/relay/delivery.py
+++ b/src/passlane/relay/delivery.py
@@ -1,4 +1,8 @@
-"""Passes a back end's answer on to the caller, whole or event by event."""
+"""Passes a back end's answer on to the caller, whole or event by event.
+
+Owns what was written of one answer, or of one stream over several attempts. Whether an answer is
+to be passed on at all is decided before (``decisions.failure.answer_verdicts``).
+"""
 
 from collections.abc import Awaitable, Callable
 from contextlib import aclosing
@@ -8,6 +12,7 @@
 from passlane.decisions.backends.health import AttemptWatch
 from passlane.event_streams.whole_events import EventSplitter
 from passlane.relay.backends import AnswerWriter, BackendAnswer
+from passlane.relay.end_reasons import BreakReason
 from passlane.runtime.interfaces import HttpConnectionError
 
 MAX_BUFFERED_BYTES = 256_000
@@ -92,7 +97,7 @@
             self.status = answer.head.status
             await self._writer.start(answer.head.status, answer.head.headers, None)
         elif answer.head.status != self.status:
-            raise HttpConnectionError("the stream did not go on", bytes_left=True)
+            raise HttpConnectionError(BreakReason.STREAM_DID_NOT_GO_ON.value, bytes_left=True)
         splitter = EventSplitter()
         async with aclosing(answer.chunks()) as chunks:
             async for chunk in chunks:
--- a/src/passlane/relay/end_reasons.py
+++ b/src/passlane/relay/end_reasons.py
@@ -131,6 +131,21 @@
     ``answer_ended_unread``, whose reason is the detail."""
 
 
+class BreakReason(enum.Enum):
+    """Why the relay itself takes an attempt for broken: details of ``BROKE_OFF``.
+
+    All others are texts of ``HttpConnectionError``, which the HTTP client raises.
+    """
+
+    NO_ANSWER = "no answer for too long"
+    """A repeatable request turned from a silent back end (``decisions.failure.resending``)."""
+    NOT_AN_ANSWER = "not an answer to this request"
+    """The answer did not prove to be one to the request: see the line
+    ``backend_answer_untrusted`` (``decisions.failure.answer_verdicts``)."""
+    STREAM_DID_NOT_GO_ON = "the stream did not go on"
+    """A second engine answered with another status than the first (``relay.delivery``)."""
+
+
 class RequestEnd(msgspec.Struct, frozen=True):
     """How one request ended: the reason, and what only its case tells."""
 
--- a/src/passlane/relay/list_reader.py
+++ b/src/passlane/relay/list_reader.py
@@ -2,7 +2,8 @@
 
 The leader of the control group has one node read the platform's list for all and
 passes it on. A node whose list grows old, because that leader or the reader is out of
-reach, reads for itself.
+reach, reads for itself. Owns the times of these readings; the list itself is in
+``decisions.backends.registry``. Lines: ``backends_changed``, ``backend_list_lost``.
 """
 
 import random as random_module
--- a/src/passlane/relay/progress.py
+++ b/src/passlane/relay/progress.py
@@ -1,4 +1,7 @@
-"""What became of one request, for its log line and its metrics."""
+"""What became of one request: the facts of its line ``request_ended`` and of its metrics.
+
+Owns these facts; whoever serves the request notes them.
+"""
 
 import msgspec
 
--- a/src/passlane/relay/request_metrics.py
+++ b/src/passlane/relay/request_metrics.py
@@ -1,7 +1,7 @@
 """Counts relayed requests without holding up the start of a node.
 
 The metrics library takes an eighth of a node's start to import. Until the metrics are first
-asked for, or enough has been noted, what is to be counted waits in a list.
+asked for, or enough has been noted, what is to be counted waits in a list, which this module owns.
 """
 
 import msgspec
@@ -10,7 +10,8 @@
 
 SUCCESSES = range(200, 300)
 MOST_WAITING = 1_000
-"""Ended requests that wait to be counted: some 100 KB, and seconds of a busy node."""
+"""Ended requests that wait to be counted: some 100 KB, and seconds of a busy node. Not
+measured; chosen."""
 
 
 class _EndedRequest(msgspec.Struct, frozen=True):
--- a/src/passlane/relay/request_quota.py
+++ b/src/passlane/relay/request_quota.py
@@ -1,4 +1,8 @@
-"""Counts one request against its tenant's limit over all nodes."""
+"""Counts one request against its tenant's limit over all nodes.
+
+Owns nothing: the node's part of a limit is in ``decisions.limits.allowances``, the limit itself is
+kept by the store group (``decisions.limits.quota_ledger``).
+"""
 
 import anyio
 
--- a/src/passlane/relay/unread_answers.py
+++ b/src/passlane/relay/unread_answers.py
@@ -1,4 +1,8 @@
-"""Watches what a node's callers leave unread, and ends the connections of those that stopped."""
+"""Watches what a node's callers leave unread, and ends the connections of those that stopped.
+
+Owns what was seen of each connection. ``decisions.admission.held_bytes`` decides; the line
+``answer_ended_unread`` tells.
+"""
 
 from collections import Counter
 from collections.abc import Hashable
--- /dev/null
+++ b/tests/decisions/failure/test_answer_verdicts.py
@@ -0,0 +1,56 @@
+"""What an answer means, and what a caller may be promised."""
+
+import unittest
+
+from passlane.decisions.failure.answer_verdicts import (
+    NOT_RUN_STATUSES,
+    Judgement,
+    is_gone,
+    judge_answer,
+    status_when_given_up,
+    truthful_status,
+)
+from passlane.decisions.inputs.answer_head import AnswerHead, Refusal
+from passlane.errors import Verdict
+
+
+def head(status, refusal=None, *, is_authentic=True):
+    return AnswerHead(status, (), refusal, is_authentic, None)
+
+
+class JudgementTest(unittest.TestCase):
+    def test_an_answer_that_proves_itself_is_passed_on(self):
+        for status in (200, 404, 500):
+            self.assertIs(judge_answer(head(status)), Judgement.PASS_ON)
+
+    def test_a_proved_refusal_did_not_run(self):
+        for refusal in Refusal:
+            self.assertIs(judge_answer(head(503, refusal)), Judgement.NOT_RUN)
+
+    def test_a_promise_without_proof_is_not_believed(self):
+        for status in NOT_RUN_STATUSES:
+            self.assertIs(judge_answer(head(status)), Judgement.UNTRUSTED)
+
+    def test_an_answer_without_its_marks_is_none(self):
+        self.assertIs(judge_answer(head(200, is_authentic=False)), Judgement.UNTRUSTED)
+
+    def test_only_a_wrong_instance_is_gone(self):
+        for refusal in Refusal:
+            self.assertEqual(is_gone(head(421, refusal)), refusal is Refusal.WRONG_INSTANCE)
+
+
+class PromiseTest(unittest.TestCase):
+    def test_a_refusal_promises_only_what_is_known(self):
+        for status in NOT_RUN_STATUSES:
+            self.assertEqual(truthful_status(status, Verdict.NOT_RUN), status)
+            self.assertEqual(truthful_status(status, Verdict.MAY_HAVE_RUN), 502)
+
+    def test_statuses_that_promise_nothing_stay(self):
+        for status in (401, 404, 502, 504):
+            self.assertEqual(truthful_status(status, Verdict.MAY_HAVE_RUN), status)
+
+    def test_whoever_gives_up_promises_only_what_did_not_run(self):
+        for is_late in (False, True):
+            self.assertEqual(status_when_given_up(Verdict.NOT_RUN, is_late=is_late), 503)
+        self.assertEqual(status_when_given_up(Verdict.MAY_HAVE_RUN, is_late=False), 502)
+        self.assertEqual(status_when_given_up(Verdict.MAY_HAVE_RUN, is_late=True), 504)
--- a/tests/relay/test_end_reasons.py
+++ b/tests/relay/test_end_reasons.py
@@ -7,7 +7,13 @@
 
 from passlane.decisions.admission import held_bytes
 from passlane.decisions.failure.answer_verdicts import NOT_RUN_STATUSES
-from passlane.relay.end_reasons import RequestEnd, RequestEndReason, Told, end_of_connection
+from passlane.relay.end_reasons import (
+    BreakReason,
+    RequestEnd,
+    RequestEndReason,
+    Told,
+    end_of_connection,
+)
 from passlane.relay.request_errors import Refusal, RequestFailedError, RequestRefusedError
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -40,6 +46,17 @@
         texts = {reason: RequestEnd(reason, "timeout").text for reason in RequestEndReason}
         self.assertEqual(texts, TEXTS)
 
+    def test_what_the_relay_takes_for_broken_has_its_text(self):
+        texts = {reason.name: reason.value for reason in BreakReason}
+        self.assertEqual(
+            texts,
+            {
+                "NO_ANSWER": "no answer for too long",
+                "NOT_AN_ANSWER": "not an answer to this request",
+                "STREAM_DID_NOT_GO_ON": "the stream did not go on",
+            },
+        )
+
     def test_a_detail_with_braces_stays_as_it_is(self):
         self.assertEqual(RequestEnd(RequestEndReason.BROKE_OFF, "{0} {x}").text, "{0} {x}")
 
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -320,7 +320,7 @@
     def test_the_back_end_learns_the_tenant_and_its_rank(self):
         self.relay([Script(head(), b"ok")], tenants=[CORNER], call_changes=WITH_KEY)
         request = self.backends.requests[0]
-        self.assertEqual((request.tenant_name, request.priority), ("corner", 9))
+        self.assertEqual((request.tenant_name, request.engine_priority), ("corner", 9))
 
     def test_without_a_known_key_a_request_is_refused_at_once(self):
         unknown = {"key_digests": (digest_of_key("key-9"),)}
