--- a/tests/soak/defective_daemon.py
+++ b/tests/soak/defective_daemon.py
@@ -43,10 +43,10 @@
 
 def refusal_after_a_send():
     """Say "not run" of every request that got no answer."""
-    from passlane.relay import verdicts
+    from passlane.decisions.failure import answer_verdicts
 
-    verdicts.status_when_given_up = lambda verdict, *, is_late: verdicts.UNAVAILABLE
-    verdicts.truthful_status = lambda status, verdict: status
+    answer_verdicts.status_when_given_up = lambda verdict, *, is_late: answer_verdicts.UNAVAILABLE
+    answer_verdicts.truthful_status = lambda status, verdict: status
 
 
 def history_without_its_end():
