--- a/src/passlane/decisions/backends/health.py
+++ b/src/passlane/decisions/backends/health.py
@@ -3,7 +3,8 @@
 Answers "why was this back end avoided?": fields ``is_outlier``, ``long_queue`` and
 ``short_queue`` of ``backend_chosen``, and the line ``outliers_changed``. Owns what was seen of each
 back end; times are local. Source: ``docs/design/relay-placement.md``, "What is known of a back
-end".
+end". Measured in ``docs/measurements/platform-rounds.md``: "outliers by failures, silence,
+slowness".
 
 Health answers are not asked for: they may be false, and each costs the back end a slot.
 A back end that is judged badly is used after all others, never not at all, and only
@@ -17,28 +18,32 @@
 import msgspec
 
 HALF_LIFE_S = 4.0
-"""Seconds. Failures and successes count half after this long. Not measured; chosen."""
+"""Seconds. Failures and successes count half after this long. Measured as part of the rule only
+(see the module)."""
 FEWEST_FAILURES = 1.0
 LARGEST_FAILURE_SHARE = 0.2
-"""A back end is an outlier with so many failures, if they are so large a share of all that ended.
-Not measured; chosen."""
+"""A back end is an outlier with so many failures, if they are so large a share of all that
+ended. Measured as part of the rule only (see the module)."""
 STALL_WEIGHT = 2.0
-"""A request that got no answer at all counts as this many failures. Not measured; chosen."""
+"""A request that got no answer at all counts as this many failures. Measured as part of the rule
+only (see the module)."""
 LATENCY_WEIGHT = 0.2
-"""Weight of a new sample in a back end's typical latency. Not measured; chosen."""
+"""Weight of a new sample in a back end's typical latency. Measured as part of the rule only (see
+the module)."""
 LATENCY_MEMORY_S = 3.0
-"""Seconds. Without a sample for this long, a back end's latency counts as unknown. Not measured;
-chosen."""
+"""Seconds. Without a sample for this long, a back end's latency counts as unknown. Measured as
+part of the rule only (see the module)."""
 SLOW_FACTOR = 3.0
 SLOW_MARGIN_S = 0.1
-"""A back end is slow beyond this multiple of the others' latency, and this many seconds above it.
-Not measured; chosen."""
+"""A back end is slow beyond this multiple of the others' latency, and this many seconds above
+it. Measured as part of the rule only (see the module)."""
 STALL_FACTOR = 5.0
 SHORTEST_STALL_S = 0.4
-"""A request without progress for this multiple of the typical latency, and for so many seconds, is
-stalled. Not measured; chosen."""
+"""A request without progress for this multiple of the typical latency, and for so many seconds,
+is stalled. Measured as part of the rule only (see the module)."""
 LARGEST_OUTLIER_SHARE = 0.5
-"""Share of a service; if more of it looks bad, none is an outlier. Not measured; chosen."""
+"""Share of a service; if more of it looks bad, none is an outlier. Measured as part of the rule
+only (see the module)."""
 HIGHEST_CONGESTION = 3
 """Multiples of the tolerated wait that are told apart. Not measured; chosen."""
 
--- a/src/passlane/decisions/failure/client_timeout.py
+++ b/src/passlane/decisions/failure/client_timeout.py
@@ -6,12 +6,12 @@
 from passlane.messages.routes import Route, RouteKind
 
 SHORTEST_CLIENT_TIMEOUT_S = 2.0
-"""Seconds."""
+"""Seconds. Not measured; chosen."""
 CLIENT_TIMEOUT_TARGETS = 4.0
-"""Multiple of the route's target latency."""
+"""Multiple of the route's target latency. Not measured; chosen."""
 CLIENT_TIMEOUT_GAPS = 8.0
 """Multiple of the route's longest pause that counts in full. A caller abandons a stream that has
-been silent for the longest of these three."""
+been silent for the longest of these three. Not measured; chosen."""
 
 
 def first_part_due_at(route: Route, silent_since: float, limit_at: float) -> float:
--- a/src/passlane/decisions/failure/retry_after.py
+++ b/src/passlane/decisions/failure/retry_after.py
@@ -6,7 +6,9 @@
 
 SHORTEST_OUTAGE_RETRY_S = 0.1
 LONGEST_OUTAGE_RETRY_S = 1.0
-"""Seconds; bounds as in ``docs/design/node-bounds.md``. Not measured; chosen."""
+"""Seconds; bounds as in ``docs/design/node-bounds.md``. Measured only together with the wait at
+a start (``docs/measurements/further-deployment.md``, "early listening, waiting, times to come
+back")."""
 SHORTEST_ROOM_RETRY_S = 0.05
 """Seconds. A caller's way to another node takes some milliseconds and a new connection. Not
 measured; chosen."""
--- a/src/passlane/decisions/placement/request_placement.py
+++ b/src/passlane/decisions/placement/request_placement.py
@@ -23,17 +23,20 @@
 """Share of its slots. A node gives an engine at most this much before it turns to the next.
 Not measured; chosen."""
 PLAIN_FULL_SHARE = 0.33
-"""The same for requests without a program. Not measured; chosen."""
+"""The same for requests without a program. Measured as part of the preference for the own zone
+only (see the module)."""
 QUEUE_FACTOR = 2.0
-"""Multiple of the usual time to a first part. Not measured; chosen."""
+"""Multiple of the usual time to a first part. Measured as part of the rule for queues only (see
+the module)."""
 SHORTEST_QUEUE_S = 0.1
 """Seconds. A request that waits longer than this, and than the multiple above, shows a queue.
-Not measured; chosen."""
+Measured as part of the rule for queues only (see the module)."""
 LONG_QUEUE_FACTOR = 4.0
-"""Multiple of the usual time to a first part. Not measured; chosen."""
+"""Multiple of the usual time to a first part. Measured as part of the rule for queues only (see
+the module)."""
 SHORTEST_LONG_QUEUE_S = 0.25
 """Seconds. A queue beyond this, and beyond the multiple above, is worth reading a program's
-history again at another engine. Not measured; chosen."""
+history again at another engine. Measured as part of the rule for queues only (see the module)."""
 AVOID_S = 0.5
 """Seconds for which a back end is avoided after a failure; doubles with each failure in a row.
 Not measured; chosen."""
--- a/src/passlane/relay/list_reader.py
+++ b/src/passlane/relay/list_reader.py
@@ -18,7 +18,8 @@
 from passlane.relay.backends import BackendList
 
 READ_PERIOD_S = 0.9
-"""Seconds between two readings by the appointed reader. Not measured; chosen."""
+"""Seconds between two readings by the appointed reader. Measured as part of "one node reads the
+list for all" only (``docs/measurements/platform-rounds.md``)."""
 RATE_SHARE = 0.6
 """Share of the allowed rate that all nodes together use when each reads for itself. Not measured;
 chosen."""
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -35,9 +35,9 @@
 from passlane.turns.client import TurnStoreClient
 
 START_WAIT_S = 1.0
-"""Seconds; not measured, chosen. A node that has started so lately expects its first
-configuration any moment: requests wait for it, since a refusal would cost their callers one of
-few tries."""
+"""Seconds. A node that has started so lately expects its first configuration any moment: requests
+wait for it, since a refusal would cost their callers one of few tries. Measured only together with
+the times to come back (``docs/measurements/further-deployment.md``, "early listening, waiting")."""
 
 _log = get_logger(__name__)
 
