--- a/src/passlane/decisions/order/room_queue.py
+++ b/src/passlane/decisions/order/room_queue.py
@@ -1,4 +1,8 @@
-"""The order in which a node's requests of one service wait for room at its back ends.
+"""Decides which of a node's waiting requests of one service tries its back ends next, and when.
+
+Owns the line of waiting requests and the pause before the next try. A request's turn is its leave
+to try once (``RetryPermit``); the log lines ``room_wait_began`` and ``room_wait_ended`` show it.
+Source: ``docs/design/plain-back-ends.md``, "Waiting".
 
 A request that all back ends refused for want of room waits here until what is left of its
 deadline is too little for an answer. The node's waiting requests form one line: the most
@@ -12,13 +16,16 @@
 """
 
 import math
+from typing import NamedTuple
 
 import msgspec
 
 PAUSE_GROWTH = 2.0
-"""Each refusal doubles the pause: two refusals in a row say that room is scarce for longer."""
+"""Each refusal doubles the pause: two refusals in a row say that room is scarce for longer.
+Not measured; chosen."""
 PAUSE_SPREAD = 0.5
-"""Pauses vary by this share to both sides, so that nodes refused together part."""
+"""Pauses vary by this share to both sides, so that nodes refused together part. Not
+measured; chosen."""
 
 
 class PauseRange(msgspec.Struct, frozen=True):
@@ -36,7 +43,8 @@
     request_id
         For the log.
     priority
-        Rank among requests; 0 is the most urgent.
+        Its urgency (``Identity.urgency_on``): the tenant's rank before the route's; 0 is the
+        most urgent.
     arrived_at
         When the request came; the calls of one program keep their order by it.
     give_up_at
@@ -55,12 +63,26 @@
     refusals: int = 0
 
 
-class RoomTurn(msgspec.Struct, frozen=True):
-    """Allows one try; ``offered`` is the back end where a place got free, empty if unknown."""
+class RetryPermit(msgspec.Struct, frozen=True):
+    """Leave of a waiting request to try once.
+
+    Attributes
+    ----------
+    offered
+        The back end where a place got free; empty if the pause is over and none is known.
+    """
 
     offered: str = ""
 
 
+class _WaitOrder(NamedTuple):
+    """Order of waiting requests; the first difference decides, and lower goes first."""
+
+    refusals: int
+    urgency: int
+    arrived_at: float
+
+
 class RoomQueue:
     """The waiting requests of one service at one node.
 
@@ -105,7 +127,7 @@
         if call in self._waiting:
             self._waiting.remove(call)
 
-    def take_turn(self, call: WaitingCall, pauses: PauseRange, now: float) -> RoomTurn | None:
+    def take_turn(self, call: WaitingCall, pauses: PauseRange, now: float) -> RetryPermit | None:
         """Return the turn of a request if it has come; the request then no longer waits.
 
         The next one's turn comes when a refusal of this one would have arrived.
@@ -114,7 +136,7 @@
             return None
         self._waiting.remove(call)
         self._next_try_at = now + pauses.shortest_s
-        return RoomTurn()
+        return RetryPermit()
 
     def note_answered(self, now: float) -> None:
         """Note that a request of this node was served: room is less scarce than it seemed."""
@@ -145,6 +167,6 @@
         longer_s = self._pause_s * PAUSE_GROWTH
         self._pause_s = min(pauses.longest_s, max(pauses.shortest_s, longer_s))
 
-    def _order(self, call: WaitingCall) -> tuple[int, int, float]:
+    def _order(self, call: WaitingCall) -> _WaitOrder:
         refusals = call.refusals if self._rotates else 0
-        return (refusals, call.priority, call.arrived_at)
+        return _WaitOrder(refusals, call.priority, call.arrived_at)
--- a/src/passlane/relay/unread_answers.py
+++ b/src/passlane/relay/unread_answers.py
@@ -1,4 +1,8 @@
-"""Watches what a node's callers leave unread, and ends the connections of those that stopped."""
+"""Watches what a node's callers leave unread, and ends the connections of those that stopped.
+
+Owns what was seen of each connection. ``decisions.admission.held_bytes`` decides; the line
+``answer_ended_unread`` tells.
+"""
 
 from collections import Counter
 from collections.abc import Hashable
@@ -10,10 +14,12 @@
 from passlane.runtime.interfaces import WatchedConnection
 
 MOST_LOGGED_ENDINGS = 20
-"""Lines for the endings of one look; a line tells how many there were beyond."""
+"""Lines for the endings of one look; a line tells how many there were beyond. Not measured;
+chosen."""
 
 LONGEST_GAP_S = 1.0
-"""After a longer time between two looks, this process was held up, not its callers."""
+"""Seconds. After a longer time between two looks, this process was held up, not its callers. Not
+measured; chosen."""
 
 _log = get_logger(__name__)
 
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -11,9 +11,13 @@
 
 from passlane.decisions.backends.answer_times import UNKNOWN_ANSWER_S
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.failure.retry_after import LONGEST_RETRY_S, SHORTEST_RETRY_S
+from passlane.decisions.failure.retry_after import (
+    LONGEST_OUTAGE_RETRY_S,
+    LONGEST_ROOM_RETRY_S,
+    ROOM_RETRY_SPREAD,
+    SHORTEST_OUTAGE_RETRY_S,
+)
 from passlane.decisions.inputs.relayed_call import PromptPart
-from passlane.decisions.order.service_room import COME_BACK_SPREAD, LONGEST_COME_BACK_S
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.listing import BackendState
 from passlane.messages.placement import TurnRefused
@@ -21,9 +25,14 @@
 from passlane.messages.routes import RouteKind, ServiceShare, Tenant
 from passlane.messages.turns import BudgetSpent, TurnReserved, TurnUnknown
 from passlane.observability.metrics import Metrics
-from passlane.relay.attempts import RequestAttempts, RequestFailedError, RequestRefusedError
+from passlane.relay.attempts import RequestAttempts
 from passlane.relay.delivery import MAX_BUFFERED_BYTES
-from passlane.relay.request import AnswerAbortedError
+from passlane.relay.request_errors import (
+    AnswerAbortedError,
+    Refusal,
+    RequestFailedError,
+    RequestRefusedError,
+)
 from passlane.relay.service import START_WAIT_S, RelayService
 from passlane.routes.tenants import Identity, digest_of_key
 from passlane.simulation.replacement import Replacement, replaced
@@ -127,8 +136,8 @@
 
     def test_whoever_is_refused_after_a_long_wait_is_told_the_longest_time_to_come_back(self):
         self.relay([Script(FULL)] * 400)
-        spread = self.writer.retry_after_s / LONGEST_COME_BACK_S
-        self.assertTrue(1.0 <= spread <= 1.0 + COME_BACK_SPREAD)
+        spread = self.writer.retry_after_s / LONGEST_ROOM_RETRY_S
+        self.assertTrue(1.0 <= spread <= 1.0 + ROOM_RETRY_SPREAD)
 
     def test_a_place_that_gets_free_late_still_serves(self):
         self.relay([*[Script(FULL)] * 20, Script(head(), b"ok")])
@@ -237,7 +246,7 @@
             try:
                 await run(attempts, limit_at, deliver)
             except RequestFailedError as error:
-                raise RequestRefusedError(str(error), 0.1) from error
+                raise RequestRefusedError(Refusal(error.end, 503, 0.1)) from error
 
         with replaced([Replacement(RequestAttempts, "run", run_and_refuse)]):
             self.relay(scripts, **more)
@@ -311,7 +320,7 @@
     def test_the_back_end_learns_the_tenant_and_its_rank(self):
         self.relay([Script(head(), b"ok")], tenants=[CORNER], call_changes=WITH_KEY)
         request = self.backends.requests[0]
-        self.assertEqual((request.tenant_name, request.priority), ("corner", 9))
+        self.assertEqual((request.tenant_name, request.engine_priority), ("corner", 9))
 
     def test_without_a_known_key_a_request_is_refused_at_once(self):
         unknown = {"key_digests": (digest_of_key("key-9"),)}
@@ -638,7 +647,7 @@
             store = ScriptedStore(is_lost=True, outage_s=outage_s)
             self.relay([], call_changes=self.changes, store=store, **TURNS)
             pauses.append(self.writer.retry_after_s)
-        self.assertEqual(pauses, [SHORTEST_RETRY_S, 0.4, LONGEST_RETRY_S])
+        self.assertEqual(pauses, [SHORTEST_OUTAGE_RETRY_S, 0.4, LONGEST_OUTAGE_RETRY_S])
 
     def test_a_turn_that_did_not_run_gives_its_reservation_back(self):
         self.relay([Script(FULL)] * 400, call_changes=self.changes, **TURNS)
