--- a/src/passlane/simulation/back_ends.py
+++ b/src/passlane/simulation/back_ends.py
@@ -14,7 +14,7 @@
 from passlane.emulator.platform_app import build_platform_application
 from passlane.emulator.platform_model import PlatformModel
 from passlane.identifiers import EngineId
-from passlane.messages.backends import EngineChatRequest, EngineOrder
+from passlane.messages.backends import EngineChatRequest
 from passlane.messages.common import Address
 from passlane.runtime.interfaces import AsgiApplication
 from passlane.simulation.event_log import EventLog
@@ -26,11 +26,10 @@
 )
 from passlane.simulation.http_server import SimulatedHttpServer
 from passlane.simulation.network import SimulatedNetwork
-from passlane.simulation.observer import Observations, SeenOrder, SeenPrompt, SeenToolRun
+from passlane.simulation.observer import Observations, SeenPrompt, SeenToolRun
 
 PLATFORM_LAG_S = 2.0
 CHAT_PATH = "/v1/chat/completions"
-ORDERS_PATH = "/v1/orders"
 
 
 class _BackEnd:
@@ -75,7 +74,6 @@
         self.service = EngineService(
             settings, EngineId(name), random.Random(f"{seed} {name}"), incarnation=1
         )
-        self.is_down = False
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -84,20 +82,15 @@
             tasks.start_soon(self._serve, self._observe)
 
     async def _observe(self, scope: Any, receive: Any, send: Any) -> None:
-        """Note what arrives, then let the emulated engine answer."""
+        """Note a prompt that arrives, then let the emulated engine answer."""
         application = build_engine_application(self.service)
-        path = scope["path"]
-        if path not in (CHAT_PATH, ORDERS_PATH):
+        if scope["path"] != CHAT_PATH:
             await application(scope, receive, send)
             return
         event = await receive()
-        if path == CHAT_PATH:
-            prompt = msgspec.json.decode(event["body"], type=EngineChatRequest)
-            self._seen.prompts.append(SeenPrompt(anyio.current_time(), self.name, prompt))
-            self._event_log.record("prompt", f"{self.name} {prompt.program_id}")
-        else:
-            order = msgspec.json.decode(event["body"], type=EngineOrder)
-            self._seen.orders.append(SeenOrder(anyio.current_time(), self.name, order))
+        prompt = msgspec.json.decode(event["body"], type=EngineChatRequest)
+        self._seen.prompts.append(SeenPrompt(anyio.current_time(), self.name, prompt))
+        self._event_log.record("prompt", f"{self.name} {prompt.program_id}")
         pending = [event]
 
         async def replay() -> Any:
@@ -139,13 +132,7 @@
         request = handling.request
         self._event_log.record("ran", f"{self._name} {handling.tool} {request.arguments}")
         self._seen.tool_runs.append(
-            SeenToolRun(
-                time=anyio.current_time(),
-                application=self._name,
-                operation_id=request.operation_id,
-                tool=handling.tool,
-                arguments=request.arguments,
-            )
+            SeenToolRun(time=anyio.current_time(), arguments=request.arguments)
         )
 
 
--- a/src/passlane/simulation/callers.py
+++ b/src/passlane/simulation/callers.py
@@ -118,7 +118,6 @@
             max_calls=script.max_calls,
             max_money_micros=script.max_money_micros,
             max_tokens=script.max_tokens,
-            created=True,
         )
         self._seen.programs[program_id] = program
         self._event_log.record("caller", f"{name} is {program_id}")
--- a/src/passlane/simulation/cluster.py
+++ b/src/passlane/simulation/cluster.py
@@ -10,7 +10,6 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from passlane.daemon.assembly import Daemon
 from passlane.emulator.application_model import ApplicationSettings
 from passlane.emulator.engine_settings import EngineModelSettings
 from passlane.simulation.back_ends import SimulatedApplication, SimulatedEngine, SimulatedPlatform
@@ -21,7 +20,7 @@
 from passlane.simulation.network import DelayModel, SimulatedNetwork
 from passlane.simulation.observer import Observations, PlannedStop
 from passlane.simulation.operators import SimulatedOperators
-from passlane.simulation.process import DaemonFactory, SimulatedProcess
+from passlane.simulation.process import SimulatedProcess
 from passlane.simulation.replacement import Replacement, replaced
 
 READY_TIMEOUT_S = 60.0
@@ -42,15 +41,14 @@
 
     Attributes
     ----------
-    build_daemon
-        Makes each daemon.
+    wrap_disk
+        Changes each new disk, to seed a defect.
     replacements
         Parts of the product that are replaced while the fleet runs, to seed a defect.
     """
 
     engine: EngineModelSettings = ENGINE_SETTINGS
     application: ApplicationSettings = APPLICATION_SETTINGS
-    build_daemon: DaemonFactory = Daemon
     wrap_disk: Callable[[SimulatedDisk], SimulatedDisk] = field(default=lambda disk: disk)
     replacements: tuple[Replacement, ...] = ()
 
@@ -67,7 +65,7 @@
         self.event_log = EventLog()
         self.observations = Observations(engine_settings=options.engine)
         self._tasks = tasks
-        delays = DelayModel(plan.zone_of_host(), plan.same_zone_s, plan.other_zone_s)
+        delays = DelayModel(plan.zone_of_host())
         self.network = SimulatedNetwork(random.Random(f"{seed} network"), delays, self.event_log)
         self.processes = {
             name: self._build_process(name, options)
@@ -121,14 +119,8 @@
             disk,
             self.seed,
             self.event_log,
-            options.build_daemon,
         )
 
-    @property
-    def tasks(self) -> TaskGroup:
-        """Task group of the whole run, for what a scenario does in the background."""
-        return self._tasks
-
     # Life of the fleet.
 
     async def start(self) -> None:
@@ -202,7 +194,7 @@
         """Stop a process by SIGTERM's way and note that it was planned."""
         began_at = anyio.current_time()
         await self.processes[name].stop()
-        self.observations.planned_stops.append(PlannedStop(name, began_at, anyio.current_time()))
+        self.observations.planned_stops.append(PlannedStop(name, began_at))
 
     def cut_off(self, names: Iterable[str]) -> None:
         """Cut processes off from all other hosts, in silence."""
@@ -246,7 +238,6 @@
                 self.observations.failures.append(f"{process.name}: {process.failure}")
         for name, engine in self.engines.items():
             self.observations.held_at_end[name] = engine.held_programs()
-        self.observations.finished_at = anyio.current_time()
 
 
 @asynccontextmanager
--- a/src/passlane/simulation/fleet_plan.py
+++ b/src/passlane/simulation/fleet_plan.py
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True)
 class FleetPlan:
-    """Sizes, zones, delays and timing of a simulated fleet.
+    """Sizes, zones and timing of a simulated fleet.
 
     Attributes
     ----------
@@ -57,8 +57,6 @@
         Processes are spread over these in turn.
     stores, nodes, engines, applications
         How many of each; stores also run the control group.
-    same_zone_s, other_zone_s
-        One-way delays in seconds.
     clock_rates
         For a process by name: how fast its clock runs. Only durations are ever measured,
         so a clock that runs fast shortens every duration in its settings.
@@ -70,8 +68,6 @@
     engines: int = 2
     applications: int = 1
     tenants: tuple[str, ...] = ("shops", "school")
-    same_zone_s: float = 0.0002
-    other_zone_s: float = 0.0015
     group: GroupSettings = GROUP
     membership: MembershipSettings = MEMBERSHIP
     node: NodeSettings = NODE
--- a/src/passlane/simulation/network.py
+++ b/src/passlane/simulation/network.py
@@ -103,11 +103,6 @@
         """Hold back all that goes from one host to another (a one-way cut)."""
         self._blocked.add((source, destination))
 
-    def unblock(self, source: str, destination: str) -> None:
-        """Let data go again; what was held back arrives."""
-        self._blocked.discard((source, destination))
-        self._wake_all()
-
     def cut(self, some: set[str], others: set[str]) -> None:
         """Cut two sets of hosts off from each other, in silence."""
         for one in sorted(some):
@@ -130,10 +125,10 @@
         self._blocked.clear()
         self._wake_all()
 
-    def break_connections(self, host: str, other: str | None = None) -> None:
-        """Reset the connections of a host (only those with ``other``, if given)."""
+    def break_connections(self, host: str) -> None:
+        """Reset the connections of a host."""
         for connection in list(self._connections):
-            if host in connection.hosts and (other is None or other in connection.hosts):
+            if host in connection.hosts:
                 self._connections.remove(connection)
                 connection.break_off()
 
--- a/src/passlane/simulation/observer.py
+++ b/src/passlane/simulation/observer.py
@@ -8,7 +8,7 @@
 
 from passlane.emulator.engine_settings import EngineModelSettings
 from passlane.errors import Verdict
-from passlane.messages.backends import EngineChatRequest, EngineOrder
+from passlane.messages.backends import EngineChatRequest
 
 ENGINE_DEFAULTS = EngineModelSettings()
 EQUAL_ANSWERS = 3
@@ -113,7 +113,6 @@
     max_money_micros: int
     max_tokens: int
     calls: list[SeenCall] = field(default_factory=list)
-    created: bool = False
     ended_at: float | None = None
     final_turns: list[tuple[str, str]] | None = None
     final_spent: tuple[int, int, int] | None = None
@@ -128,23 +127,11 @@
     request: EngineChatRequest
 
 
-@dataclass(frozen=True)
-class SeenOrder:
-    """An order as it arrived at an engine."""
-
-    time: float
-    engine: str
-    order: EngineOrder
-
-
 @dataclass(frozen=True)
 class SeenToolRun:
     """One line of an application's ledger, with the time when it appeared."""
 
     time: float
-    application: str
-    operation_id: str
-    tool: str
     arguments: str
 
 
@@ -170,8 +157,6 @@
     expected_version: int
     version: int | None
     key: str
-    body: str
-    sent_at: float
     answered_at: float | None
     status: int | None
     revision: int | None = None
@@ -184,7 +169,6 @@
 
     time: float
     name: str
-    is_accepted: bool
 
 
 @dataclass(frozen=True)
@@ -193,7 +177,6 @@
 
     node: str
     began_at: float
-    ended_at: float
 
 
 @dataclass
@@ -207,7 +190,6 @@
     engine_settings: EngineModelSettings = ENGINE_DEFAULTS
     programs: dict[str, SeenProgram] = field(default_factory=dict)
     prompts: list[SeenPrompt] = field(default_factory=list)
-    orders: list[SeenOrder] = field(default_factory=list)
     tool_runs: list[SeenToolRun] = field(default_factory=list)
     documents: list[SeenDocument] = field(default_factory=list)
     changes: list[SeenChange] = field(default_factory=list)
@@ -215,4 +197,3 @@
     planned_stops: list[PlannedStop] = field(default_factory=list)
     held_at_end: dict[str, dict[str, int]] = field(default_factory=dict)
     failures: list[str] = field(default_factory=list)
-    finished_at: float = 0.0
--- a/src/passlane/simulation/operators.py
+++ b/src/passlane/simulation/operators.py
@@ -82,7 +82,6 @@
             headers["if-match"] = f'"{expected_version}"'
         else:
             headers["if-none-match"] = "*"
-        sent_at = anyio.current_time()
         result = await self._submit(path, headers, body, patience_s)
         answered_at = anyio.current_time() if result.status is not None else None
         self._event_log.record(
@@ -101,8 +100,6 @@
             version=result.version,
             revision=result.revision,
             key=key,
-            body=msgspec.json.encode(body).decode(),
-            sent_at=sent_at,
             answered_at=answered_at,
             status=200 if result.status in CHANGED_STATUSES else result.status,
             accepted_at=accepted_at,
--- a/src/passlane/simulation/process.py
+++ b/src/passlane/simulation/process.py
@@ -1,7 +1,6 @@
 """One simulated daemon process, which can be killed, frozen, stopped and started again."""
 
 import random
-from collections.abc import Callable
 
 import anyio
 import structlog
@@ -10,7 +9,6 @@
 from passlane.daemon.assembly import Daemon
 from passlane.observability.logging import get_logger
 from passlane.observability.ring import RingLog
-from passlane.runtime.interfaces import Environment
 from passlane.settings.model import Settings
 from passlane.simulation.disk import SimulatedDisk
 from passlane.simulation.environment import build_simulated_environment
@@ -20,10 +18,6 @@
 RESTART_LIMIT_S = 60.0
 _log = get_logger("simulation")
 
-EnvironmentWrapper = Callable[[Environment], Environment]
-"""Changes a process's environment, such as to seed a defect."""
-DaemonFactory = Callable[[Settings, Environment, RingLog], Daemon]
-
 
 class SimulatedProcess:
     """A daemon on a host of its own.
@@ -36,8 +30,6 @@
         The network of the fleet, and this process's disk, which outlives it.
     seed
         Seeds the random generator of each life of the process.
-    build_daemon
-        Makes the daemon; replaced to seed defects.
     """
 
     def __init__(
@@ -47,14 +39,12 @@
         disk: SimulatedDisk,
         seed: int,
         event_log: EventLog,
-        build_daemon: DaemonFactory = Daemon,
     ) -> None:
         self.settings = settings
         self.disk = disk
         self._network = network
         self._seed = seed
         self._event_log = event_log
-        self._build_daemon = build_daemon
         self._lives = 0
         self._scope: anyio.CancelScope | None = None
         self._ended = anyio.Event()
@@ -94,7 +84,7 @@
             self.disk,
             random.Random(f"{self._seed} {self.name} {self._lives}"),
         )
-        self.daemon = self._build_daemon(self.settings, environment, RingLog(1_000))
+        self.daemon = Daemon(self.settings, environment, RingLog(1_000))
         try:
             with scope:
                 await self.daemon.run()
--- a/src/passlane/simulation/raft_clients.py
+++ b/src/passlane/simulation/raft_clients.py
@@ -34,7 +34,6 @@
         self._number = 0
         self._leader: Address | None = None
         self._attempt = 0
-        self._invoked_at = 0.0
         self._may_have_run = False
         self.commands_done = 0
         self.reads_done = 0
@@ -44,7 +43,6 @@
         """Begin the next operation."""
         if self.is_stopped:
             return
-        self._invoked_at = self._cluster.now
         self._may_have_run = False
         if self._random.random() < _READ_FRACTION:
             self._try_read()
--- a/src/passlane/simulation/raft_cluster.py
+++ b/src/passlane/simulation/raft_cluster.py
@@ -61,8 +61,6 @@
         Class of the shells around them; a deliberate fault puts another one here.
     keeps_identity_after_wipe
         A defect: a wiped disk comes back under its old identity, as a voter.
-    snapshot_every
-        Entries between two snapshots.
     network
         How the network treats messages when no fault is under way.
     max_batch_bytes
@@ -78,7 +76,6 @@
     replica_factory: ReplicaFactory = Replica
     host_factory: type[SimulatedReplicaHost] = SimulatedReplicaHost
     keeps_identity_after_wipe: bool = False
-    snapshot_every: int = 60
     heartbeat_s: float = 0.05
     election_timeout_s: float = 0.3
     network: NetworkConditions = NetworkConditions()
@@ -280,9 +277,7 @@
             trailing_entries=20,
         )
         disk = SimulatedRaftDisk(config.replica_id, self.first_members() if is_first else ())
-        return options.host_factory(
-            self, config, disk, options.replica_factory, options.snapshot_every
-        )
+        return options.host_factory(self, config, disk, options.replica_factory)
 
     @staticmethod
     def _first_id(number: int) -> ReplicaId:
--- a/src/passlane/simulation/raft_host.py
+++ b/src/passlane/simulation/raft_host.py
@@ -55,6 +55,7 @@
 _SLOWEST_SYNC_S = 0.002
 _HANG_CHECK_S = 0.1
 _LONGEST_BACKLOG_S = 0.005
+_SNAPSHOT_EVERY_ENTRIES = 60
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,8 +119,6 @@
         Its disk.
     replica_factory
         Makes the replica; a seeded defect puts another class here.
-    snapshot_every
-        Entries applied between two snapshots.
     """
 
     def __init__(
@@ -128,7 +127,6 @@
         config: ReplicaConfig,
         disk: SimulatedRaftDisk,
         replica_factory: ReplicaFactory,
-        snapshot_every: int,
     ) -> None:
         self.cluster = cluster
         self.config = config
@@ -140,7 +138,6 @@
         self.disk_hangs_until = 0.0
         self.machine = CommandLog()
         self.applied_index = 0
-        self._snapshot_every = snapshot_every
         self._clock_rate = 1.0 + cluster.random.uniform(-0.02, 0.02)
         self._clock_offset = cluster.random.uniform(0.0, 1_000.0)
         self._incarnation = 0
@@ -428,7 +425,7 @@
         if self._is_snapshot_pending or self.applied_index <= log.base_index:
             return
         last = self.disk.snapshot.last_index if self.disk.snapshot else 0
-        if self.applied_index - last < self._snapshot_every:
+        if self.applied_index - last < _SNAPSHOT_EVERY_ENTRIES:
             return
         last_term = log.term_at(self.applied_index)
         assert last_term is not None
--- a/src/passlane/simulation/raft_run.py
+++ b/src/passlane/simulation/raft_run.py
@@ -45,9 +45,8 @@
     options: ClusterOptions | None = None,
     *,
     faults: Sequence[Fault] | None = None,
-    faults_s: float = _FAULTS_S,
 ) -> RaftRunResult:
-    """Run one seed: faults for ``faults_s`` virtual seconds, then recovery.
+    """Run one seed: faults for a while, then recovery.
 
     Returns
     -------
@@ -61,7 +60,7 @@
     violation: str | None = None
     details = ""
     try:
-        _run(cluster, clients, faults, faults_s)
+        _run(cluster, clients, faults)
     except InvariantViolationError as error:
         violation, details = error.name, str(error)
     except RaftInvariantError as error:
@@ -84,21 +83,16 @@
     return BOUNDED_GROUP_FAULTS if options.places else ALL_FAULTS
 
 
-def _run(
-    cluster: RaftCluster,
-    clients: list[SimulatedClient],
-    faults: Sequence[Fault],
-    faults_s: float,
-) -> None:
+def _run(cluster: RaftCluster, clients: list[SimulatedClient], faults: Sequence[Fault]) -> None:
     cluster.start()
     for client in clients:
         client.start_operation()
     injector = FaultInjector(cluster, faults, cluster.options.mean_fault_pause_s)
     injector.start()
-    cluster.run_until(faults_s)
+    cluster.run_until(_FAULTS_S)
     cluster.note_trace("faults end")
     injector.stop()
-    _check_recovery(cluster, clients, faults_s + _RECOVERY_S)
+    _check_recovery(cluster, clients, _FAULTS_S + _RECOVERY_S)
 
 
 def _check_recovery(cluster: RaftCluster, clients: list[SimulatedClient], deadline: float) -> None:
--- a/src/passlane/simulation/scenarios/back_ends.py
+++ b/src/passlane/simulation/scenarios/back_ends.py
@@ -36,7 +36,7 @@
         now = anyio.current_time()
         cluster.platform.model.mark_leaving(engine, 30.0, now)
         cluster.event_log.record("leaving", engine)
-        cluster.observations.departures.append(Departure(now, engine, is_accepted=False))
+        cluster.observations.departures.append(Departure(now, engine))
 
 
 async def engine_drained(cluster: Cluster) -> None:
@@ -47,9 +47,7 @@
         body = {"target_kind": "engine", "target": engine}
         change = await cluster.operators.change("drain", f"engine-{engine}", body, 0, "drain")
         if change.accepted_at is not None:
-            cluster.observations.departures.append(
-                Departure(change.accepted_at, engine, is_accepted=True)
-            )
+            cluster.observations.departures.append(Departure(change.accepted_at, engine))
 
 
 async def engine_restarted(cluster: Cluster) -> None:
--- a/src/passlane/simulation/trace_replay.py
+++ b/src/passlane/simulation/trace_replay.py
@@ -58,22 +58,8 @@
     return 1 if failed else 0
 
 
-def replay(trace: Trace, seed: int = SEED) -> list[Mismatch]:
-    """Replay one trace on a virtual clock and return what did not come true.
-
-    Raises
-    ------
-    PasslaneError
-        When there is no example of the trace's deployment.
-    """
-    return replay_group([trace], seed)[trace.path]
-
-
 def replay_group(
-    traces: Sequence[Trace],
-    seed: int = SEED,
-    ring: RingLog | None = None,
-    settings: Path | None = None,
+    traces: Sequence[Trace], ring: RingLog | None = None, settings: Path | None = None
 ) -> Mapping[Path, list[Mismatch]]:
     """Replay traces of one deployment side by side; return what did not come true.
 
@@ -89,10 +75,10 @@
         example = read_simulated_example(settings or _example_of(traces[0]), Path(folder))
 
     async def play() -> Mapping[Path, list[Mismatch]]:
-        return await _play(traces, example, seed)
+        return await _play(traces, example)
 
     with _logs_in(ring or RingLog(RING_LINES)):
-        return run_simulation(play, seed)
+        return run_simulation(play, SEED)
 
 
 def group_traces(traces: Sequence[Trace]) -> list[list[Trace]]:
@@ -115,7 +101,7 @@
 
 
 async def _play(
-    traces: Sequence[Trace], example: SimulatedExample, seed: int
+    traces: Sequence[Trace], example: SimulatedExample
 ) -> Mapping[Path, list[Mismatch]]:
     """Start the fleet and play the traces side by side."""
     mismatches: dict[Path, list[Mismatch]] = {}
@@ -123,7 +109,7 @@
     async def play_one(trace: Trace, fleet: ReplayFleet) -> None:
         mismatches[trace.path] = await TraceReplay(trace, fleet, LONGEST_PAUSE_S).run()
 
-    async with simulated_replay_fleet(example, seed) as fleet, anyio.create_task_group() as tasks:
+    async with simulated_replay_fleet(example, SEED) as fleet, anyio.create_task_group() as tasks:
         for trace in traces:
             tasks.start_soon(play_one, trace, fleet)
     return mismatches
--- a/tests/simulation/test_network.py
+++ b/tests/simulation/test_network.py
@@ -134,7 +134,7 @@
             with anyio.move_on_after(5.0) as scope:
                 await stream.receive()
             self.assertTrue(scope.cancelled_caught)
-            echo.network.unblock(SERVER.host, CLIENT)
+            echo.network.heal()
             self.assertEqual(await stream.receive(), b"x")
 
         in_network(scenario)
