--- a/src/passlane/simulation/back_ends.py
+++ b/src/passlane/simulation/back_ends.py
@@ -1,6 +1,7 @@
 """Emulated engines, applications and the platform's list on simulated hosts."""
 
 import random
+from dataclasses import dataclass
 from typing import Any
 
 import anyio
@@ -32,6 +33,24 @@
 CHAT_PATH = "/v1/chat/completions"
 
 
+@dataclass(frozen=True)
+class BackEndMachine:
+    """What an emulated back end runs on: its name, its host, its source of randomness."""
+
+    name: str
+    host: str
+    network: SimulatedNetwork
+    generator: random.Random
+
+
+@dataclass(frozen=True)
+class Witness:
+    """Where back ends note what arrives: for the reader of a run, and for its checks."""
+
+    event_log: EventLog
+    observations: Observations
+
+
 class _BackEnd:
     """Serves an ASGI application on a host of its own."""
 
@@ -59,20 +78,13 @@
     """An emulated engine; its memory does not outlive a restart."""
 
     def __init__(
-        self,
-        name: str,
-        host: str,
-        settings: EngineModelSettings,
-        network: SimulatedNetwork,
-        seed: int,
-        event_log: EventLog,
-        observations: Observations,
+        self, machine: BackEndMachine, settings: EngineModelSettings, witness: Witness
     ) -> None:
-        super().__init__(name, Address(host, ENGINE_PORT), network)
-        self._event_log = event_log
-        self._seen = observations
+        super().__init__(machine.name, Address(machine.host, ENGINE_PORT), machine.network)
+        self._event_log = witness.event_log
+        self._seen = witness.observations
         self.service = EngineService(
-            settings, EngineId(name), random.Random(f"{seed} {name}"), incarnation=1
+            settings, EngineId(machine.name), machine.generator, incarnation=1
         )
 
     async def run(self) -> None:
@@ -114,17 +126,12 @@
     """Notes the time of each line of the ledger."""
 
     def __init__(
-        self,
-        settings: ApplicationSettings,
-        generator: random.Random,
-        name: str,
-        event_log: EventLog,
-        observations: Observations,
+        self, machine: BackEndMachine, settings: ApplicationSettings, witness: Witness
     ) -> None:
-        super().__init__(settings, generator)
-        self._name = name
-        self._event_log = event_log
-        self._seen = observations
+        super().__init__(settings, machine.generator)
+        self._name = machine.name
+        self._event_log = witness.event_log
+        self._seen = witness.observations
 
     def run(self, handling: Handling) -> None:
         """Run an operation and note it."""
@@ -140,18 +147,10 @@
     """An emulated application with its ledger."""
 
     def __init__(
-        self,
-        name: str,
-        host: str,
-        settings: ApplicationSettings,
-        network: SimulatedNetwork,
-        seed: int,
-        event_log: EventLog,
-        observations: Observations,
+        self, machine: BackEndMachine, settings: ApplicationSettings, witness: Witness
     ) -> None:
-        super().__init__(name, Address(host, APPLICATION_PORT), network)
-        source = random.Random(f"{seed} {name}")
-        self.model = _ObservedApplicationModel(settings, source, name, event_log, observations)
+        super().__init__(machine.name, Address(machine.host, APPLICATION_PORT), machine.network)
+        self.model = _ObservedApplicationModel(machine, settings, witness)
 
     async def run(self) -> None:
         """Serve until cancelled."""
--- a/src/passlane/simulation/cluster.py
+++ b/src/passlane/simulation/cluster.py
@@ -4,7 +4,7 @@
 from collections.abc import AsyncIterator, Callable, Iterable
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field
-from typing import Any
+from typing import Any, TypeVar
 
 import anyio
 import msgspec
@@ -12,7 +12,13 @@
 
 from passlane.emulator.application_model import ApplicationSettings
 from passlane.emulator.engine_settings import EngineModelSettings
-from passlane.simulation.back_ends import SimulatedApplication, SimulatedEngine, SimulatedPlatform
+from passlane.simulation.back_ends import (
+    BackEndMachine,
+    SimulatedApplication,
+    SimulatedEngine,
+    SimulatedPlatform,
+    Witness,
+)
 from passlane.simulation.callers import MODEL, TOOL, SimulatedCallers
 from passlane.simulation.disk import SimulatedDisk
 from passlane.simulation.event_log import EventLog
@@ -21,14 +27,14 @@
 from passlane.simulation.observer import Observations, PlannedStop
 from passlane.simulation.operators import SimulatedOperators
 from passlane.simulation.process import SimulatedProcess
+from passlane.simulation.readiness import READY_PATH, READY_TIMEOUT_S, wait_for_ready
 from passlane.simulation.replacement import Replacement, replaced
+from passlane.simulation.simulated_clients import SimulatedClients
 
-READY_TIMEOUT_S = 60.0
-POLL_S = 0.2
+ClientsType = TypeVar("ClientsType", bound=SimulatedClients)
 ENGINE_SETTINGS = EngineModelSettings(answer_tokens_min=4, answer_tokens_max=20, step_base_s=0.006)
 """Few long steps: streams last as long as usual but cost a run fewer messages."""
 APPLICATION_SETTINGS = ApplicationSettings(tools=(TOOL,))
-READY_PATH = "/readyz"
 
 
 class FleetNotReadyError(Exception):
@@ -60,10 +66,10 @@
         self, plan: FleetPlan, seed: int, options: ClusterOptions, tasks: TaskGroup
     ) -> None:
         self.plan = plan
-        self.seed = seed
         self.random = random.Random(f"{seed} scenario")
         self.event_log = EventLog()
         self.observations = Observations(engine_settings=options.engine)
+        self._seed = seed
         self._tasks = tasks
         delays = DelayModel(plan.zone_of_host())
         self.network = SimulatedNetwork(random.Random(f"{seed} network"), delays, self.event_log)
@@ -71,56 +77,42 @@
             name: self._build_process(name, options)
             for name in plan.store_names() + plan.node_names()
         }
+        witness = Witness(self.event_log, self.observations)
         self.engines = {
-            name: SimulatedEngine(
-                name,
-                plan.host_of(name),
-                options.engine,
-                self.network,
-                seed,
-                self.event_log,
-                self.observations,
-            )
+            name: SimulatedEngine(self._machine_of(name), options.engine, witness)
             for name in plan.engine_names()
         }
         self.applications = {
-            name: SimulatedApplication(
-                name,
-                plan.host_of(name),
-                options.application,
-                self.network,
-                seed,
-                self.event_log,
-                self.observations,
-            )
+            name: SimulatedApplication(self._machine_of(name), options.application, witness)
             for name in plan.application_names()
         }
         self.platform = SimulatedPlatform(list(self.engines), self.network)
-        self.callers = SimulatedCallers(
-            plan,
-            self.network,
-            self.observations,
-            self.event_log,
-            random.Random(f"{seed} callers"),
-        )
-        self.operators = SimulatedOperators(
-            plan,
-            self.network,
-            self.observations,
-            self.event_log,
-            random.Random(f"{seed} operators"),
-        )
+        self.callers = self._build_clients(SimulatedCallers, "callers")
+        self.operators = self._build_clients(SimulatedOperators, "operators")
 
     def _build_process(self, name: str, options: ClusterOptions) -> SimulatedProcess:
-        disk = options.wrap_disk(SimulatedDisk(random.Random(f"{self.seed} disk {name}")))
+        disk = options.wrap_disk(SimulatedDisk(random.Random(f"{self._seed} disk {name}")))
         return SimulatedProcess(
             self.plan.settings_of(name),
             self.network,
             disk,
-            self.seed,
+            self._seed,
             self.event_log,
         )
 
+    def _machine_of(self, name: str) -> BackEndMachine:
+        generator = random.Random(f"{self._seed} {name}")
+        return BackEndMachine(name, self.plan.host_of(name), self.network, generator)
+
+    def _build_clients(self, kind: type[ClientsType], name: str) -> ClientsType:
+        return kind(
+            self.plan,
+            self.network,
+            self.observations,
+            self.event_log,
+            random.Random(f"{self._seed} {name}"),
+        )
+
     # Life of the fleet.
 
     async def start(self) -> None:
@@ -136,24 +128,21 @@
 
     async def wait_ready(self, names: Iterable[str] | None = None) -> None:
         """Wait until the processes say that they take work."""
-        waiting = list(self.processes if names is None else names)
-        with anyio.move_on_after(READY_TIMEOUT_S):
-            while waiting:
-                answer = await self.operators.request(waiting[0], "GET", READY_PATH)
-                if answer.is_whole and answer.status == 200:
-                    waiting.pop(0)
-                else:
-                    await anyio.sleep(POLL_S)
+        waiting = await wait_for_ready(self.processes if names is None else names, self._is_ready)
         if waiting:
             raise FleetNotReadyError(f"not ready within {READY_TIMEOUT_S} s: {waiting}")
 
+    async def _is_ready(self, name: str) -> bool:
+        answer = await self.operators.request(name, "GET", READY_PATH)
+        return answer.is_whole and answer.status == 200
+
     async def _submit_configuration(self) -> None:
         revision = 0
         for kind, name, body in self.documents():
             key = f"first-{kind}-{name}"
             change = await self.operators.change(kind, name, body, 0, key, wait=False)
             revision = max(revision, change.revision or 0)
-        if await self.operators.wait_in_force(revision, READY_TIMEOUT_S) is None:
+        if await self.operators.wait_in_force(revision) is None:
             raise FleetNotReadyError(f"revision {revision} did not come into force")
 
     def documents(self) -> list[tuple[str, str, Any]]:
--- a/src/passlane/simulation/operators.py
+++ b/src/passlane/simulation/operators.py
@@ -13,6 +13,8 @@
 from passlane.simulation.simulated_clients import SimulatedClients
 
 REQUEST_TIMEOUT_S = 12.0
+CHANGE_PATIENCE_S = 60.0
+"""A change is repeated for so long, and has as long again to come into force."""
 PAUSE_S = 0.3
 WATCH_INTERVAL_S = 2.0
 CHANGED_STATUSES = frozenset({200, 201})
@@ -36,6 +38,13 @@
     return _SubmittedChange(answer.status, view["version"], view["revision"])
 
 
+def _conditions(key: str, expected_version: int) -> dict[str, str]:
+    """Return the headers that make a change repeatable and bind it to a version."""
+    if expected_version:
+        return {"idempotency-key": key, "if-match": f'"{expected_version}"'}
+    return {"idempotency-key": key, "if-none-match": "*"}
+
+
 class SimulatedOperators(SimulatedClients):
     """Sends requests of operators and notes every answer."""
 
@@ -68,7 +77,6 @@
         expected_version: int,
         key: str,
         *,
-        patience_s: float = 60.0,
         wait: bool = True,
     ) -> SeenChange:
         """Submit a change and repeat it with the same key until it is answered.
@@ -77,12 +85,7 @@
         neither made nor in conflict with another counts as a failure of the run.
         """
         path = f"/v1/documents/{kind}/{name}"
-        headers = {"idempotency-key": key}
-        if expected_version:
-            headers["if-match"] = f'"{expected_version}"'
-        else:
-            headers["if-none-match"] = "*"
-        result = await self._submit(path, headers, body, patience_s)
+        result = await self._submit(path, _conditions(key, expected_version), body)
         answered_at = anyio.current_time() if result.status is not None else None
         self._event_log.record(
             "operator", f"{path} {key}: {result.status} version {result.version}"
@@ -91,7 +94,7 @@
             self._seen.failures.append(f"operators: {path} {key} was answered with {result.status}")
         accepted_at = None
         if result.revision is not None and wait:
-            accepted_at = await self.wait_in_force(result.revision, patience_s)
+            accepted_at = await self.wait_in_force(result.revision)
             if accepted_at is None:
                 self._seen.failures.append(f"operators: {path} {key} did not come into force")
         change = SeenChange(
@@ -107,11 +110,9 @@
         self._seen.changes.append(change)
         return change
 
-    async def _submit(
-        self, path: str, headers: dict[str, str], body: Any, patience_s: float
-    ) -> _SubmittedChange:
+    async def _submit(self, path: str, headers: dict[str, str], body: Any) -> _SubmittedChange:
         """Send a change to one process after another until one of them answers it."""
-        with anyio.move_on_after(patience_s):
+        with anyio.move_on_after(CHANGE_PATIENCE_S):
             while True:
                 process = self._random.choice(self._plan.store_names())
                 answer = await self.request(process, "PUT", path, headers, body)
@@ -120,9 +121,9 @@
                 await anyio.sleep(PAUSE_S)
         return _SubmittedChange()
 
-    async def wait_in_force(self, revision: int, patience_s: float) -> float | None:
+    async def wait_in_force(self, revision: int) -> float | None:
         """Wait until a revision is accepted and in force; return when that was said."""
-        with anyio.move_on_after(patience_s):
+        with anyio.move_on_after(CHANGE_PATIENCE_S):
             while True:
                 process = self._random.choice(self._plan.store_names())
                 answer = await self.request(process, "GET", f"/v1/progress/{revision}")
--- a/src/passlane/simulation/replay_fleet.py
+++ b/src/passlane/simulation/replay_fleet.py
@@ -36,11 +36,10 @@
 from passlane.simulation.http_server import SimulatedHttpServer
 from passlane.simulation.network import DelayModel, SimulatedNetwork
 from passlane.simulation.process import SimulatedProcess
+from passlane.simulation.readiness import READY_PATH, READY_TIMEOUT_S, wait_for_ready
 from passlane.transport.client import ConnectionPool
 
 OUTSIDE_HOST = "10.8.0.1"
-READY_TIMEOUT_S = 60.0
-READY_POLL_S = 0.2
 IN_FORCE_TIMEOUT_S = 30.0
 LEAVES_IN_S = 60.0
 QUERY_TIMEOUT_S = 10.0
@@ -215,17 +214,14 @@
 
     async def _wait_ready(self) -> None:
         """Wait until all daemons say that they are ready."""
-        waiting = list(self._processes.values())
-        with anyio.fail_after(READY_TIMEOUT_S):
-            while waiting:
-                if await self._is_ready(waiting[0]):
-                    waiting.pop(0)
-                else:
-                    await anyio.sleep(READY_POLL_S)
+        waiting = await wait_for_ready(self._processes, self._is_ready)
+        if waiting:
+            raise TimeoutError(f"not ready within {READY_TIMEOUT_S} s: {waiting}")
 
-    async def _is_ready(self, process: SimulatedProcess) -> bool:
+    async def _is_ready(self, name: str) -> bool:
         """Ask a daemon whether it is ready."""
-        request = HttpRequest("GET", process.settings.addresses.operators, "/readyz")
+        operators = self._processes[name].settings.addresses.operators
+        request = HttpRequest("GET", operators, READY_PATH)
         try:
             async with self._http_client.exchange(request) as response:
                 return response.status == STATUS_OK
