--- a/src/passlane/simulation/defects/back_ends.py
+++ b/src/passlane/simulation/defects/back_ends.py
@@ -2,10 +2,7 @@
 
 import anyio.lowlevel
 
-from passlane.backends import engine_client
-from passlane.backends.failures import BackendError
 from passlane.daemon.assembly import Daemon
-from passlane.errors import ErrorCode, Verdict
 from passlane.identifiers import EngineId
 from passlane.node import service
 from passlane.simulation.defects.base import Defect, replacing
@@ -22,12 +19,6 @@
     await anyio.lowlevel.checkpoint()
 
 
-def _time_out_as_not_run(seconds: float) -> BackendError:
-    """Claim that a request without an answer did not run."""
-    message = f"no answer within {seconds:g} s"
-    return BackendError(ErrorCode.TIMEOUT, message, verdict=Verdict.NOT_RUN)
-
-
 BACK_END_DEFECTS = (
     Defect(
         "leaving-ignored",
@@ -40,18 +31,10 @@
     Defect(
         "stop-without-drain",
         "planned-stop",
-        "planned-stop",
-        3,
+        "rolling-restart",
+        0,
         "a node that is stopped ends at once",
         replacing(Replacement(Daemon, "drain_and_stop", _stop_at_once)),
     ),
-    Defect(
-        "silence-taken-as-not-run",
-        "at-most-once",
-        "hung-tool",
-        0,
-        "a tool that gave no answer in time counts as not run",
-        replacing(Replacement(engine_client, "error_of_timeout", _time_out_as_not_run)),
-    ),
 )
 """Defects towards engines and applications, and in planned stops."""
--- a/src/passlane/simulation/defects/programs.py
+++ b/src/passlane/simulation/defects/programs.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from passlane.errors import ErrorCode, Verdict
+from passlane.errors import Verdict
 from passlane.identifiers import ProgramId
 from passlane.messages.backends import OperationState
 from passlane.messages.base import Message
@@ -13,7 +13,6 @@
 from passlane.programs.call_events import StatusReceived
 from passlane.programs.call_instructions import CallInstruction
 from passlane.programs.call_machine import CallMachine
-from passlane.programs.call_outcomes import failed_outcome
 from passlane.programs.program_queue import BeginQueuedCall, ProgramQueue, QueueInstruction
 from passlane.simulation.cluster import ClusterOptions
 from passlane.simulation.defects.base import Defect, replacing
@@ -69,13 +68,6 @@
     return _on_status(machine, event)
 
 
-def _record_doubt_as_not_run(machine: CallMachine) -> list[CallInstruction]:
-    """Record of an operation that may have run that it did not, without asking."""
-    message = "the operation is taken as not run"
-    outcome = failed_outcome(machine.plan, Verdict.NOT_RUN, ErrorCode.BACKEND_FAILED, message)
-    return machine._record(outcome)
-
-
 def _repeat_after_doubt(_machine: CallMachine) -> bool:
     return True
 
@@ -162,19 +154,11 @@
     Defect(
         "status-misread",
         "not-run",
-        "hung-tool",
+        "faulty-application",
         0,
         "a charge that ran, as its status says, is recorded as not run",
         replacing(Replacement(CallMachine, "_on_status", _take_done_for_unknown)),
     ),
-    Defect(
-        "doubt-recorded-as-not-run",
-        "not-run",
-        "hung-tool",
-        0,
-        "a charge without an answer is recorded as not run",
-        replacing(Replacement(CallMachine, "_resolve_doubt", _record_doubt_as_not_run)),
-    ),
     Defect(
         "doubtful-charge-repeated",
         "at-most-once",
--- a/src/passlane/simulation/scenarios/back_ends.py
+++ b/src/passlane/simulation/scenarios/back_ends.py
@@ -69,8 +69,8 @@
         cluster.heal()
 
 
-async def hung_tool(cluster: Cluster) -> None:
-    """Let the application hang before or after it ran."""
+async def faulty_application(cluster: Cluster) -> None:
+    """Let the application hang before and after it ran, beside the faults of its settings."""
     model = next(iter(cluster.applications.values())).model
     drawn = cluster.random.choice((Behaviour.HANG, Behaviour.HANG_AFTER))
     for behaviour in (Behaviour.HANG_AFTER, Behaviour.HANG, drawn):
@@ -173,20 +173,13 @@
         "an engine is cut off in silence",
         engine_unreachable,
     ),
-    Scenario(
-        "hung-tool",
-        ("not-run", "at-most-once"),
-        "tools hang before or after they ran",
-        hung_tool,
-        must_answer=0.5,
-    ),
     Scenario(
         "faulty-application",
         ("not-run", "at-most-once"),
         "tools fail before or after they ran, hang, refuse, or answer twice",
-        hung_tool,
+        faulty_application,
         options=ClusterOptions(engine=ENGINE_SETTINGS, application=FAULTY_APPLICATION),
-        must_answer=0.4,
+        must_answer=0.5,
     ),
     Scenario(
         "caller-resends-everything",
--- a/src/passlane/simulation/scenarios/groups.py
+++ b/src/passlane/simulation/scenarios/groups.py
@@ -137,17 +137,6 @@
     await cluster.operators.change(CHANGED_KIND, name, numbered_document(number), 0, name)
 
 
-async def disk_wiped(cluster: Cluster) -> None:
-    """Replace the disk of one replica by an empty one."""
-    store = cluster.random.choice(cluster.plan.store_names())
-    async with load(cluster):
-        await pause(cluster, 1.0, 3.0)
-        cluster.processes[store].kill(power_lost=True)
-        cluster.processes[store].disk.wipe()
-        await pause(cluster, 1.0, 4.0)
-        cluster.start_process(store)
-
-
 async def power_lost_everywhere(cluster: Cluster) -> None:
     """Cut the power of all machines at once: what was not synced is lost or torn."""
     async with load(cluster):
@@ -233,13 +222,6 @@
         plan=FleetPlan(group=SNAPSHOTS_OFTEN),
         may_leave_doubt=True,
     ),
-    Scenario(
-        "disk-wiped",
-        ("history",),
-        "a replica's disk is replaced by an empty one",
-        disk_wiped,
-        may_leave_doubt=True,
-    ),
     Scenario(
         "power-lost-everywhere",
         ("history", "budget", "at-most-once", "configuration"),
--- a/src/passlane/simulation/scenarios/nodes.py
+++ b/src/passlane/simulation/scenarios/nodes.py
@@ -83,16 +83,6 @@
         cluster.heal()
 
 
-async def planned_stop(cluster: Cluster) -> None:
-    """Stop a node as planned while it has calls in flight, then start it again."""
-    node = cluster.random.choice(cluster.plan.node_names())
-    async with load(cluster, programs=8):
-        await pause(cluster, 1.0, 4.0)
-        await cluster.stop_as_planned(node)
-        await pause(cluster, 1.0, 5.0)
-        cluster.start_process(node)
-
-
 async def rolling_restart(cluster: Cluster) -> None:
     """Stop and start every process as planned, one after another."""
     async with load(cluster, programs=6, calls=12):
@@ -176,12 +166,6 @@
         one_way_cut,
         may_leave_doubt=True,
     ),
-    Scenario(
-        "planned-stop",
-        ("planned-stop", "answers"),
-        "a node is stopped as planned with calls in flight",
-        planned_stop,
-    ),
     Scenario(
         "rolling-restart",
         ("planned-stop", "history", "configuration"),
