--- a/src/passlane/simulation/cluster.py
+++ b/src/passlane/simulation/cluster.py
@@ -193,6 +193,12 @@
         self.event_log.record("cut", " ".join(names))
         self.network.cut(hosts, others)
 
+    def cut_from_store(self, node: str) -> None:
+        """Cut a node off from the store group, in silence; all others still reach it."""
+        stores = {self.plan.host_of(store) for store in self.plan.store_names()}
+        self.event_log.record("cut", f"{node} from the store")
+        self.network.cut({self.plan.host_of(node)}, stores)
+
     def heal(self) -> None:
         """End all cuts."""
         self.event_log.record("heal", "")
--- a/src/passlane/simulation/scenarios/nodes.py
+++ b/src/passlane/simulation/scenarios/nodes.py
@@ -55,12 +55,9 @@
 async def node_cut_from_store(cluster: Cluster) -> None:
     """Cut a node off from the store group while callers still reach it."""
     node = cluster.random.choice(cluster.plan.node_names())
-    host = cluster.plan.host_of(node)
-    stores = {cluster.plan.host_of(store) for store in cluster.plan.store_names()}
     async with load(cluster):
         await pause(cluster, 1.0, 3.0)
-        cluster.event_log.record("cut", f"{node} from the store")
-        cluster.network.cut({host}, stores)
+        cluster.cut_from_store(node)
         await pause(cluster, 4.0, 10.0)
         cluster.heal()
 
@@ -99,7 +96,6 @@
         CallScript(is_tool=place % 2 == 1, is_named=False, max_tokens=32, pause_s=0.2)
         for place in range(UNNAMED_CALLS)
     ]
-    stores = {cluster.plan.host_of(store) for store in cluster.plan.store_names()}
     async with anyio.create_task_group() as tasks:
         for number in range(6):
             script = ProgramScript(cluster.plan.tenants[number % 2], calls)
@@ -107,8 +103,7 @@
         for _ in range(2):
             await pause(cluster, 0.3, 1.5)
             cut, killed = cluster.random.sample(cluster.plan.node_names(), 2)
-            cluster.event_log.record("cut", f"{cut} from the store")
-            cluster.network.cut({cluster.plan.host_of(cut)}, stores)
+            cluster.cut_from_store(cut)
             await pause(cluster, 0.5, 4.0)
             cluster.processes[killed].kill(in_silence=cluster.random.random() < 0.5)
             await pause(cluster, 0.0, 2.0)
