--- a/src/passlane/simulation/callers.py
+++ b/src/passlane/simulation/callers.py
@@ -55,11 +55,11 @@
 
     host = CALLER_HOST
 
-    async def run_program(self, name: str, script: ProgramScript) -> SeenProgram | None:
-        """Run one program to its end; return what was seen of it."""
-        program = await self._create(name, script)
+    async def run_program(self, name: str, script: ProgramScript) -> None:
+        """Run one program to its end."""
+        program = await self.run_program_open(name, script)
         if program is None:
-            return None
+            return
         for call in script.calls:
             await anyio.sleep(call.pause_s)
             answered = await self._make_next_call(program, call)
@@ -70,15 +70,10 @@
             if not answered and call.is_named:
                 break
         await self.end(program)
-        return program
 
     async def _make_next_call(self, program: SeenProgram, script: CallScript) -> bool:
         return await self.make_call(program, len(program.calls), script)
 
-    async def run_program_open(self, name: str, script: ProgramScript) -> SeenProgram | None:
-        """Create a program and leave its calls to the scenario."""
-        return await self._create(name, script)
-
     async def make_call_several_times(
         self, program: SeenProgram, sequence: int, script: CallScript, copies: int
     ) -> None:
@@ -99,7 +94,8 @@
             for call, script in zip(calls, scripts, strict=True):
                 tasks.start_soon(self._repeat_call, program, call, script)
 
-    async def _create(self, name: str, script: ProgramScript) -> SeenProgram | None:
+    async def run_program_open(self, name: str, script: ProgramScript) -> SeenProgram | None:
+        """Create a program and leave its calls to whoever asked for it."""
         budget = {
             "tokens": script.max_tokens,
             "calls": script.max_calls,
--- a/src/passlane/simulation/disk.py
+++ b/src/passlane/simulation/disk.py
@@ -48,7 +48,6 @@
         self._check_open()
         self._file.durable_length = max(self._file.durable_length, length)
         self._file.name_is_durable = True
-        self._disk.syncs += 1
 
     def close(self) -> None:
         """Close the file without syncing."""
@@ -95,8 +94,6 @@
     ----------
     incarnation
         Grows with each crash; files opened before it are dead.
-    syncs
-        Number of syncs done.
     unreadable
         Names of files that cannot be read any more, as when a sector has gone bad.
     refuses_writes
@@ -118,7 +115,6 @@
         self.sync_s = sync_s
         self._unfinished_bytes = 0
         self.incarnation = 0
-        self.syncs = 0
         self.unreadable: set[str] = set()
         self.refuses_writes = False
         self.keeps_unsynced = True
--- a/src/passlane/simulation/http_calls.py
+++ b/src/passlane/simulation/http_calls.py
@@ -1,7 +1,7 @@
 """Whole HTTP exchanges of simulated callers and operators."""
 
 from collections.abc import Mapping
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 import anyio
 
@@ -19,7 +19,6 @@
     """
 
     status: int | None = None
-    headers: Mapping[str, str] = field(default_factory=dict)
     body: bytes = b""
     is_whole: bool = False
     connected: bool = True
@@ -37,7 +36,6 @@
 ) -> HttpAnswer:
     """Send a request and return what came back; never raises for faults of the network."""
     status: int | None = None
-    answer_headers: Mapping[str, str] = {}
     parts: list[bytes] = []
     is_whole = False
     connected = True
@@ -46,10 +44,9 @@
         try:
             async with client.exchange(request) as response:
                 status = response.status
-                answer_headers = response.headers
                 async for part in response.chunks():
                     parts.append(part)
                 is_whole = True
         except HttpConnectionError as error:
             connected = error.bytes_left
-    return HttpAnswer(status, answer_headers, b"".join(parts), is_whole, connected)
+    return HttpAnswer(status, b"".join(parts), is_whole, connected)
--- a/src/passlane/simulation/raft_defects.py
+++ b/src/passlane/simulation/raft_defects.py
@@ -4,7 +4,7 @@
 within a stated number of seeds, counted from 0.
 """
 
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
 from passlane.raft.election import Elections
 from passlane.raft.follower import Follower
@@ -14,7 +14,7 @@
 from passlane.raft.replication import Replicator
 from passlane.raft.voter_places import VoterPlaces
 from passlane.simulation.raft_cluster import ClusterOptions
-from passlane.simulation.raft_conditions import CONGESTED_NETWORK
+from passlane.simulation.raft_conditions import CONDITIONS, CONGESTED_NETWORK
 from passlane.simulation.raft_fault_sequences import (
     crash_after_vote,
     freeze_isolated_leader,
@@ -120,13 +120,7 @@
 
 def bounded_group(replica_factory: ReplicaFactory) -> ClusterOptions:
     """Return a cluster of nine hosts of which five vote."""
-    return ClusterOptions(
-        hosts=9,
-        first_voters=5,
-        places=5,
-        mean_fault_pause_s=0.3,
-        replica_factory=replica_factory,
-    )
+    return replace(CONDITIONS["bounded"], replica_factory=replica_factory)
 
 
 ONE_LEADER = "one leader a term"
