--- a/src/passlane/decisions/inputs/turn_events.py
+++ b/src/passlane/decisions/inputs/turn_events.py
@@ -103,7 +103,8 @@
 class TurnWithdrawn(msgspec.Struct, frozen=True):
     """Nobody waits any longer for a turn that had no slot; logged as ``turn_withdrawn``.
 
-    Its node has settled it, or this replica does not lead any more.
+    Its node has settled it, its caller has gone, its reservation was refused, or this replica does
+    not lead any more or leads anew.
     """
 
     attempt_id: str
--- a/src/passlane/decisions/order/turn_precedence.py
+++ b/src/passlane/decisions/order/turn_precedence.py
@@ -21,7 +21,7 @@
 
     ANY_OTHER = "its program loops: it gets slots that nobody else wants"
     NEW_PROGRAM = "it begins a program, and other new programs wait"
-    UNDER_WAY = "it begins a program, and one under way that is as urgent waits"
+    UNDER_WAY = "it begins a program, and one under way that is at least as urgent waits"
     MORE_URGENT = "a more urgent turn has waited for long"
     MEMORY = "a large turn as urgent has waited for an engine's memory for long"
 
--- a/src/passlane/relay/own_answers.py
+++ b/src/passlane/relay/own_answers.py
@@ -1,4 +1,6 @@
-"""Answers callers with this system's own words: the one way in which a request is refused.
+"""Answers callers with this system's own words once their request was read and understood.
+
+What can't be read is refused by ``platform.client_ingress``, before a request is relayed.
 
 Keeps the promise that a refusal never says more than the attempts of its request prove
 (``decisions.failure.answer_verdicts``).
--- a/src/passlane/turns/leadership.py
+++ b/src/passlane/turns/leadership.py
@@ -23,7 +23,7 @@
     Attributes
     ----------
     served_term
-        The term under which this replica last served a turn; -1 before any.
+        The term in which this replica last answered as leader; -1 before any.
     """
 
     def __init__(
--- a/src/passlane/turns/slot_waits.py
+++ b/src/passlane/turns/slot_waits.py
@@ -44,7 +44,8 @@
         Raises
         ------
         PasslaneError
-            When this replica does not lead any more; the reservation may have been made.
+            When this replica does not lead any more, or nobody waits for the turn here, or the
+            group did not take the command; the reservation may have been made.
         """
         asked = self._asked(request, demand)
         question = object()
