--- a/Makefile
+++ b/Makefile
@@ -14,14 +14,15 @@
 	touch $(STAMP)
 
 lint: setup
-	$(VENV)/bin/ruff format --check src tests
-	$(VENV)/bin/ruff check src tests
+	$(VENV)/bin/ruff format --check src tests .ci
+	$(VENV)/bin/ruff check src tests .ci
 	$(VENV)/bin/mypy
 	$(VENV)/bin/lint-imports
+	$(VENV)/bin/python .ci/check_pages.py
 
 format: setup
-	$(VENV)/bin/ruff format src tests
-	$(VENV)/bin/ruff check --fix src tests
+	$(VENV)/bin/ruff format src tests .ci
+	$(VENV)/bin/ruff check --fix src tests .ci
 
 test: setup
 	$(VENV)/bin/python tests/run.py
