--- a/tests/daemon/node_start.py
+++ b/tests/daemon/node_start.py
@@ -5,6 +5,7 @@
 
 import os
 import re
+import resource
 import subprocess
 import sys
 import tempfile
@@ -15,7 +16,6 @@
 
 import passlane
 from passlane.bench.loopback import free_address
-from passlane.bench.process_usage import read_usage
 from passlane.platform.names import SETTINGS_VARIABLE
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -65,7 +65,7 @@
         try:
             wait_for_start(node, log)
             time.sleep(REST_S)
-            resident_bytes = read_usage(node.pid).resident_bytes
+            resident_bytes = resident_bytes_of(node.pid)
         finally:
             node.terminate()
             node.wait()
@@ -103,6 +103,12 @@
         time.sleep(POLL_S)
 
 
+def resident_bytes_of(process_id: int) -> int:
+    """Return the resident memory of a running process."""
+    pages = int(Path(f"/proc/{process_id}/statm").read_text().split()[1])
+    return pages * resource.getpagesize()
+
+
 def sort_modules(output: str, packages: Path, resident_bytes: int) -> NodeStart:
     """Return what a node imported, by where it comes from."""
     line = next(line for line in output.splitlines() if line.startswith(IMPORTED))
