--- a/src/passlane/bench/turn_cost_process.py
+++ b/src/passlane/bench/turn_cost_process.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from passlane.bench.processor_samples import ProcessorSamples
-from passlane.daemon.fleet_store import (
+from passlane.daemon.fleet.store import (
     ELECTION_TIMEOUT_S,
     FIRST_ELECTION_SHARE,
     HEARTBEAT_S,
--- /dev/null
+++ b/src/passlane/daemon/fleet/__init__.py
@@ -0,0 +1,1 @@
+"""The processes of a fleet, one role each. Any node relays a turn."""
--- a/src/passlane/daemon/fleet_control.py
+++ b/src/passlane/daemon/fleet/control.py
@@ -2,8 +2,8 @@
 
 import anyio
 
-from passlane.daemon.fleet_context import FleetContext
-from passlane.daemon.replicas import (
+from passlane.daemon.fleet.context import FleetContext
+from passlane.daemon.shared.replicas import (
     CONTROL_FOLDER,
     CONTROL_GROUP,
     hand_over_leadership,
--- a/src/passlane/daemon/fleet_node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -3,11 +3,11 @@
 import anyio
 from anyio.abc import TaskGroup
 
-from passlane.daemon.fleet_context import FleetContext
-from passlane.daemon.in_flight import InFlightRequests
-from passlane.daemon.node_bounds import NodeBounds
-from passlane.daemon.start_times import StartPhase, StartTimes
-from passlane.daemon.stop_times import StopTimes
+from passlane.daemon.fleet.context import FleetContext
+from passlane.daemon.fleet.node_bounds import NodeBounds
+from passlane.daemon.fleet.start_times import StartPhase, StartTimes
+from passlane.daemon.fleet.stop_times import StopTimes
+from passlane.daemon.shared.in_flight import InFlightRequests
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.fleet.follower import FleetFollower
--- a/src/passlane/daemon/fleet_main.py
+++ b/src/passlane/daemon/fleet/process.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from passlane.daemon.fleet_context import FleetContext
+from passlane.daemon.fleet.context import FleetContext
 from passlane.messages.fleet import FleetRole
 from passlane.observability.health import MetricsApplication
 from passlane.observability.logging import configure_logging, get_logger
@@ -57,14 +57,14 @@
     """Return the process for the settings' role; each role imports only what it uses."""
     role = context.settings.process.role
     if role is FleetRole.NODE:
-        from passlane.daemon.fleet_node import FleetNode
+        from passlane.daemon.fleet.node import FleetNode
 
         return FleetNode(context)
     if role is FleetRole.CONTROL:
-        from passlane.daemon.fleet_control import FleetControl
+        from passlane.daemon.fleet.control import FleetControl
 
         return FleetControl(context)
-    from passlane.daemon.fleet_store import FleetStore
+    from passlane.daemon.fleet.store import FleetStore
 
     return FleetStore(context)
 
--- a/src/passlane/daemon/fleet_store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -5,8 +5,8 @@
 import anyio
 import msgspec
 
-from passlane.daemon.fleet_context import FleetContext
-from passlane.daemon.replicas import STORE_FOLDER, hand_over_leadership, members_at_start
+from passlane.daemon.fleet.context import FleetContext
+from passlane.daemon.shared.replicas import STORE_FOLDER, hand_over_leadership, members_at_start
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.fleet.follower import FleetFollower
--- a/src/passlane/daemon/fleet_start.py
+++ b/src/passlane/daemon/fleet_start.py
@@ -32,7 +32,7 @@
     sockets = ListeningSockets()
     sockets.listen(early_addresses(path))
     leave_openssl_out()
-    from passlane.daemon.fleet_main import main as run
+    from passlane.daemon.fleet.process import main as run
 
     gc.freeze()
     gc.enable()
--- a/src/passlane/daemon/main.py
+++ b/src/passlane/daemon/main.py
@@ -13,7 +13,7 @@
 from cleo.helpers import option
 from cleo.io.inputs.option import Option
 
-from passlane.daemon.assembly import Daemon
+from passlane.daemon.passlaned.daemon import Daemon
 from passlane.observability.logging import configure_logging
 from passlane.observability.ring import RingLog
 from passlane.runtime.delayed_network import DelayedNetwork
--- /dev/null
+++ b/src/passlane/daemon/passlaned/__init__.py
@@ -0,0 +1,1 @@
+"""The process of ``passlaned``, with one or several roles. A node leads programs."""
--- a/src/passlane/daemon/assembly.py
+++ b/src/passlane/daemon/passlaned/daemon.py
@@ -5,7 +5,7 @@
 import anyio
 
 from passlane.api.operators import build_operator_application
-from passlane.daemon.parts import ControlPart, NodePart, Part, PartContext, StorePart
+from passlane.daemon.passlaned.parts import ControlPart, NodePart, Part, PartContext, StorePart
 from passlane.observability.health import HealthApplication, ReadinessCheck
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
--- a/src/passlane/daemon/parts.py
+++ b/src/passlane/daemon/passlaned/parts.py
@@ -12,8 +12,8 @@
 from passlane.api.callers import build_caller_application
 from passlane.control.service import ControlService
 from passlane.control.state.machine import ControlStateMachine
-from passlane.daemon.in_flight import InFlightRequests
-from passlane.daemon.replicas import (
+from passlane.daemon.shared.in_flight import InFlightRequests
+from passlane.daemon.shared.replicas import (
     CONTROL_FOLDER,
     CONTROL_GROUP,
     STORE_FOLDER,
--- /dev/null
+++ b/src/passlane/daemon/shared/__init__.py
@@ -0,0 +1,1 @@
+"""What processes of a fleet and those of ``passlaned`` have in common."""
--- a/src/passlane/simulation/cluster.py
+++ b/src/passlane/simulation/cluster.py
@@ -10,7 +10,7 @@
 import msgspec
 from anyio.abc import TaskGroup
 
-from passlane.daemon.assembly import Daemon
+from passlane.daemon.passlaned.daemon import Daemon
 from passlane.emulator.application_model import ApplicationSettings
 from passlane.emulator.engine_settings import EngineModelSettings
 from passlane.simulation.back_ends import SimulatedApplication, SimulatedEngine, SimulatedPlatform
--- a/src/passlane/simulation/defects/back_ends.py
+++ b/src/passlane/simulation/defects/back_ends.py
@@ -4,7 +4,7 @@
 
 from passlane.backends import engine_client
 from passlane.backends.failures import BackendError
-from passlane.daemon.assembly import Daemon
+from passlane.daemon.passlaned.daemon import Daemon
 from passlane.errors import ErrorCode, Verdict
 from passlane.identifiers import EngineId
 from passlane.node import service
--- a/src/passlane/simulation/process.py
+++ b/src/passlane/simulation/process.py
@@ -7,7 +7,7 @@
 import structlog
 from anyio.abc import TaskGroup
 
-from passlane.daemon.assembly import Daemon
+from passlane.daemon.passlaned.daemon import Daemon
 from passlane.observability.logging import get_logger
 from passlane.observability.ring import RingLog
 from passlane.runtime.interfaces import Environment
--- a/tests/daemon/test_node_bounds.py
+++ b/tests/daemon/fleet/test_node_bounds.py
@@ -7,8 +7,8 @@
 import trio.testing
 from structlog.testing import capture_logs
 
-from passlane.daemon import node_bounds
-from passlane.daemon.node_bounds import MOST_PATIENCE_S, NodeBounds
+from passlane.daemon.fleet import node_bounds
+from passlane.daemon.fleet.node_bounds import MOST_PATIENCE_S, NodeBounds
 from passlane.decisions.admission.held_bytes import LONGEST_STALL_S
 from passlane.decisions.admission.node_load import Admission
 from passlane.messages.common import Address
--- a/tests/daemon/test_stop_times.py
+++ b/tests/daemon/fleet/test_stop_times.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from passlane.daemon.stop_times import MARGIN_S, MARGIN_SHARE, StopTimes
+from passlane.daemon.fleet.stop_times import MARGIN_S, MARGIN_SHARE, StopTimes
 
 
 class StopTimesTest(unittest.TestCase):
--- a/tests/daemon/test_in_flight.py
+++ b/tests/daemon/shared/test_in_flight.py
@@ -4,7 +4,7 @@
 
 import anyio
 
-from passlane.daemon.in_flight import InFlightRequests
+from passlane.daemon.shared.in_flight import InFlightRequests
 from passlane.simulation.runner import run_simulation
 
 
--- a/tests/daemon/test_fleet_start.py
+++ b/tests/daemon/test_fleet_start.py
@@ -55,8 +55,8 @@
     def test_a_node_starts_without_what_it_does_not_need_to_serve(self):
         program = (
             "import sys\n"
-            "import passlane.daemon.fleet_start, passlane.daemon.fleet_main\n"
-            "import passlane.daemon.fleet_node, passlane.runtime.http_server\n"
+            "import passlane.daemon.fleet_start, passlane.daemon.fleet.process\n"
+            "import passlane.daemon.fleet.node, passlane.runtime.http_server\n"
             "import passlane.runtime.http_client\n"
             "from passlane.observability.metrics import Metrics\n"
             "from passlane.relay.request_metrics import RequestMetrics\n"
@@ -103,8 +103,8 @@
             "import passlane.daemon.fleet_start\n"
             "from passlane.runtime.without_openssl import leave_openssl_out\n"
             "assert leave_openssl_out()\n"
-            "import passlane.daemon.fleet_main, passlane.daemon.fleet_node\n"
-            "import passlane.daemon.fleet_control, passlane.daemon.fleet_store\n"
+            "import passlane.daemon.fleet.process, passlane.daemon.fleet.node\n"
+            "import passlane.daemon.fleet.control, passlane.daemon.fleet.store\n"
             "import passlane.runtime.http_server, passlane.runtime.http_client\n"
             "from passlane.observability.metrics import Metrics\n"
             "Metrics().expose()\n"
--- a/tests/on_platform/fleet.py
+++ b/tests/on_platform/fleet.py
@@ -9,10 +9,10 @@
 import trio.testing
 
 from on_platform.stand_in import StandInEngine, StandInList, configuration
-from passlane.daemon.fleet_context import FleetContext
-from passlane.daemon.fleet_control import FleetControl
-from passlane.daemon.fleet_node import FleetNode
-from passlane.daemon.fleet_store import FleetStore
+from passlane.daemon.fleet.context import FleetContext
+from passlane.daemon.fleet.control import FleetControl
+from passlane.daemon.fleet.node import FleetNode
+from passlane.daemon.fleet.store import FleetStore
 from passlane.messages.common import Address
 from passlane.messages.fleet import FleetRole
 from passlane.observability.metrics import Metrics
--- a/tests/on_platform/test_deploy.py
+++ b/tests/on_platform/test_deploy.py
@@ -34,8 +34,8 @@
 
 sys.meta_path.insert(0, Hiding())
 import anyio._backends._asyncio
-import passlane.daemon.fleet_main, passlane.daemon.fleet_node
-import passlane.daemon.fleet_control, passlane.daemon.fleet_store
+import passlane.daemon.fleet.process, passlane.daemon.fleet.node
+import passlane.daemon.fleet.control, passlane.daemon.fleet.store
 import passlane.runtime.http_client, uvicorn.protocols.http.httptools_impl
 """
 FILLED = """
--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -13,7 +13,7 @@
 from structlog.testing import capture_logs
 
 from on_platform.test_deploy import FILLED, NODE_ADDRESSES
-from passlane.daemon.node_bounds import NodeBounds
+from passlane.daemon.fleet.node_bounds import NodeBounds
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.common import Address
--- a/tests/outside/metric_forms.py
+++ b/tests/outside/metric_forms.py
@@ -8,7 +8,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from outside.product_source import constant_text, method_calls
-from passlane.daemon.node_bounds import NodeBounds
+from passlane.daemon.fleet.node_bounds import NodeBounds
 from passlane.observability.metrics import Metrics
 from passlane.settings.fleet import FleetSettings
 
--- a/tests/stored_data/replicas.py
+++ b/tests/stored_data/replicas.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from passlane.control.state.machine import ControlStateMachine
-from passlane.daemon.fleet_store import TURN_GROUP
-from passlane.daemon.parts import store_group_name
-from passlane.daemon.replicas import CONTROL_FOLDER, CONTROL_GROUP, STORE_FOLDER
+from passlane.daemon.fleet.store import TURN_GROUP
+from passlane.daemon.passlaned.parts import store_group_name
+from passlane.daemon.shared.replicas import CONTROL_FOLDER, CONTROL_GROUP, STORE_FOLDER
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.fleet.state.machine import FleetStateMachine
 from passlane.messages.common import Address
