--- a/src/passlane/fleet/state/backend_listing.py
+++ b/src/passlane/fleet/state/backend_listing.py
@@ -56,6 +56,10 @@
         self._next_number += 1
         return True
 
+    def age_s(self, now: float) -> float | None:
+        """Return for how many seconds no report has come; ``None`` before the first."""
+        return now - self.read_at if self.read_at is not None else None
+
     def choose_reader(self, nodes: Sequence[str], now: float) -> bool:
         """Keep the reader while it reports, else take the next node; return if it changed."""
         is_overdue = now - self._expected_since > REPORT_OVERDUE_S
