--- a/src/passlane/daemon/fleet/context.py
+++ b/src/passlane/daemon/fleet/context.py
@@ -29,8 +29,8 @@
         """Name of this process among replicas: its IP number, which seeds tell too."""
         return self.settings.addresses.internal.host
 
-    def announcement(self) -> Announce:
-        """Return what every process tells of itself."""
+    def heartbeat(self) -> Announce:
+        """Return what the heartbeat of every process tells of it, whatever its role."""
         process = self.settings.process
         return Announce(
             name=process.name,
--- a/src/passlane/daemon/fleet/control.py
+++ b/src/passlane/daemon/fleet/control.py
@@ -35,7 +35,7 @@
         self._scope = anyio.CancelScope()
         random = context.environment.random
         self._follower = FleetFollower(
-            context.announcement, context.seed_addresses(), context.pool, random
+            context.heartbeat, context.seed_addresses(), context.pool, random
         )
         machine = FleetStateMachine()
         self._host = self._build_host(machine)
@@ -73,18 +73,18 @@
             context.router,
             CONTROL_FOLDER,
             may_found=is_seed and context.settings.process.is_first_start,
-            find_members=self._found_members,
+            find_members=self._known_members,
         )
 
-    def _found_members(self) -> list[PeerSettings]:
-        known = [PeerSettings(name=a.host, internal=a) for a in self._follower.controls]
+    def _known_members(self) -> list[PeerSettings]:
+        known = [PeerSettings(name=a.host, internal=a) for a in self._follower.leader.controls]
         members = [
             PeerSettings(name=m.address.host, internal=m.address) for m in self._host.members
         ]
         return known + members
 
     def _control_addresses(self) -> tuple[Address, ...]:
-        return self._follower.controls
+        return self._follower.leader.controls
 
     async def run(self) -> None:
         """Run until stopped."""
@@ -103,7 +103,7 @@
 
     def reload(self, settings: FleetSettings) -> None:
         """Take over what may change while the process runs."""
-        self._follower.replace_seeds(self._context.seed_addresses(settings))
+        self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
 
     async def drain_and_stop(self) -> None:
         """Hand over leadership, then stop."""
--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -44,9 +44,9 @@
         self._relay: RelayService | None = None
         self._requests: InFlightRequests | None = None
         self._follower = FleetFollower(
-            context.announcement, context.seed_addresses(), context.pool, random
+            context.heartbeat, context.seed_addresses(), context.pool, random
         )
-        self._follower.on_configuration(self._take_configuration)
+        self._follower.configuration.on_change(self._take_configuration)
         self._store = TurnStoreClient(context.pool, self._store_addresses, random)
 
     async def run(self) -> None:
@@ -57,12 +57,12 @@
             InstanceList(context.environment.http_client, settings.backend_list.address),
             self._registry,
             settings.backend_list.rate_per_s,
-            lambda: self._follower.node_count,
-            lambda: self._follower.reads_backends,
-            self._follower.report_backends,
+            lambda: self._follower.view.node_count,
+            lambda: self._follower.view.reads_backends,
+            self._follower.reporter.report,
             context.environment.random,
         )
-        self._follower.on_backends(reader.take_over)
+        self._follower.backends.on_confirmation(reader.take_over)
         async with anyio.create_task_group() as tasks:
             self._relay = self._build_relay(tasks)
             tasks.start_soon(self._follower.run)
@@ -82,7 +82,7 @@
         times.reached(StartPhase.RUNNING)
         async with anyio.create_task_group() as tasks:
             for phase, wait in (
-                (StartPhase.CONFIGURATION, self._follower.wait_for_configuration),
+                (StartPhase.CONFIGURATION, self._follower.configuration.wait_until_known),
                 (StartPhase.STORE_LEADER, self._store.wait_for_leader),
                 (StartPhase.FIRST_ANSWER, relay.wait_for_answer),
             ):
@@ -106,8 +106,9 @@
             self._bounds.admission,
             asks_for_places=context.settings.turns.are_placed_by_store,
         )
-        if self._follower.configuration is not None:
-            relay.replace_configuration(self._follower.configuration)
+        configuration = self._follower.configuration.newest
+        if configuration is not None:
+            relay.replace_configuration(configuration)
         return relay
 
     async def _serve_clients(self, relay: RelayService) -> None:
@@ -130,15 +131,15 @@
         One that is cut off from the machines that count is not ready, so that clients
         are led to others.
         """
-        follower = self._follower
-        knows_fleet = follower.configuration is not None and follower.has_seen_store_leader
-        is_lost = follower.is_lost or self._store.is_lost
+        configuration, view = self._follower.configuration, self._follower.view
+        knows_fleet = configuration.newest is not None and view.has_seen_store_leader
+        is_lost = view.is_lost or self._store.is_lost
         has_list = self._registry.updated_at is not None
         return knows_fleet and has_list and not is_lost and not self._is_draining
 
     def _store_addresses(self) -> list[Address]:
-        follower = self._follower
-        return [store.address for store in (*follower.stores, *follower.store_founders)]
+        view = self._follower.view
+        return [store.address for store in (*view.stores, *view.initial_stores)]
 
     def _take_configuration(self, configuration: RouteConfiguration) -> None:
         limits = configuration.limits
@@ -151,7 +152,7 @@
 
     def reload(self, settings: FleetSettings) -> None:
         """Take over what may change while the process runs."""
-        self._follower.replace_seeds(self._context.seed_addresses(settings))
+        self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
         self._stop_times = StopTimes.within(settings.timing.grace_s)
 
     async def drain_and_stop(self) -> None:
--- a/src/passlane/daemon/fleet/store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -42,10 +42,10 @@
         self._may_found = False
         self._backends: Sequence[BackendRecord] = ()
         self._follower = FleetFollower(
-            self._announcement, context.seed_addresses(), context.pool, context.environment.random
+            self._heartbeat, context.seed_addresses(), context.pool, context.environment.random
         )
         self._dispatcher = TurnDispatcher(TurnScheduler())
-        self._follower.on_backends(self._take_backends)
+        self._follower.backends.on_confirmation(self._take_backends)
         context.router.add_unary(RemoveReplica, self._remove_replica)
 
     @property
@@ -68,10 +68,10 @@
         identity = identity_file.load()
         is_member = identity is not None and identity.is_member
         self._may_found = not is_member and context.settings.process.is_first_start
-        founders = () if is_member else await self._wait_for_founders()
+        initial = () if is_member else await self._wait_for_initial_members()
         quotas = QuotaLedger(self._quota_rules())
         machine = TurnStateMachine(quotas.note_replicated)
-        host = self._build_host(machine, founders)
+        host = self._build_host(machine, initial)
         self._host = host
         context.metrics.define_when_exposed(
             lambda metrics: expose_replica(metrics, TURN_GROUP, host)
@@ -96,20 +96,19 @@
             window_s=quotas.window_s, overage=quotas.overage, slack=quotas.slack_requests
         )
 
-    async def _wait_for_founders(self) -> tuple[NamedAddress, ...]:
-        while True:
-            if self._follower.store_founders:
-                return self._follower.store_founders
-            await self._follower.wait_for_change()
+    async def _wait_for_initial_members(self) -> tuple[NamedAddress, ...]:
+        view = self._follower.view
+        while not view.initial_stores:
+            await view.wait_for_change()
+        return view.initial_stores
 
     def _build_host(
-        self, machine: TurnStateMachine, founders: tuple[NamedAddress, ...]
+        self, machine: TurnStateMachine, initial: tuple[NamedAddress, ...]
     ) -> ReplicaHost:
         context = self._context
         own = PeerSettings(name=context.replica_name, internal=context.settings.addresses.internal)
-        members = [PeerSettings(name=f.name, internal=f.address) for f in founders]
-        is_founder = own in members
-        self._may_found = self._may_found and is_founder
+        members = [PeerSettings(name=m.name, internal=m.address) for m in initial]
+        self._may_found = self._may_found and own in members
         return ReplicaHost(
             TURN_GROUP,
             own.name,
@@ -126,20 +125,20 @@
             context.router,
             STORE_FOLDER,
             may_found=self._may_found,
-            find_members=self._found_members,
+            find_members=self._known_members,
             may_join=self._may_join,
             zone=context.settings.process.zone,
         )
 
-    def _found_members(self) -> list[PeerSettings]:
-        known = [PeerSettings(name=s.name, internal=s.address) for s in self._follower.stores]
+    def _known_members(self) -> list[PeerSettings]:
+        known = [PeerSettings(name=s.name, internal=s.address) for s in self._follower.view.stores]
         members = self._host.members if self._host is not None else ()
         return known + [PeerSettings(name=m.address.host, internal=m.address) for m in members]
 
     def _may_join(self) -> bool:
-        return self._context.replica_name not in self._follower.retired_replicas
+        return self._context.replica_name not in self._follower.view.retired_replicas
 
-    def _announcement(self) -> Announce:
+    def _heartbeat(self) -> Announce:
         host = self._host
         members: tuple[NamedAddress, ...] = ()
         if host is not None and host.is_leader:
@@ -147,7 +146,7 @@
                 sorted(NamedAddress(process_name_of(m.replica_id), m.address) for m in host.members)
             )
         return msgspec.structs.replace(
-            self._context.announcement(), may_found=self._may_found, group_members=members
+            self._context.heartbeat(), may_found=self._may_found, group_members=members
         )
 
     async def _remove_replica(self, request: RemoveReplica) -> ReplicaRemoved:
@@ -160,7 +159,7 @@
 
     def reload(self, settings: FleetSettings) -> None:
         """Take over what may change while the process runs."""
-        self._follower.replace_seeds(self._context.seed_addresses(settings))
+        self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
 
     async def drain_and_stop(self) -> None:
         """Hand over leadership, then stop."""
--- a/tests/fleet/test_follower.py
+++ b/tests/fleet/test_follower.py
@@ -21,7 +21,7 @@
 
 
 class ScriptedControl:
-    """Answers announcements with the given views in order, the last one again and again."""
+    """Answers heartbeats with the given views in order, the last one again and again."""
 
     def __init__(self, *views):
         self.views = list(views)
@@ -33,14 +33,14 @@
         return self.views.pop(0) if len(self.views) > 1 else self.views[0]
 
 
-def announcement():
+def heartbeat():
     return Announce(name="node", role=FleetRole.NODE, replica_name="n", address=SEED, zone="a")
 
 
 def follow(*views):
     """Return a follower that has taken over these views, and the control that gave them."""
     control = ScriptedControl(*views)
-    follower = FleetFollower(announcement, [SEED], control, random.Random(0))
+    follower = FleetFollower(heartbeat, [SEED], control, random.Random(0))
 
     async def main():
         with anyio.move_on_after(0.15 * (len(views) + 1)):
@@ -59,22 +59,22 @@
     def test_addresses_stay_as_they_were_while_a_view_has_none(self):
         first = view(7, stores=(member(1),), controls=(member(9),), retired_replicas=("x",))
         follower, control = follow(first, view(7))
-        self.assertEqual(follower.stores, (member(1),))
-        self.assertEqual(follower.retired_replicas, ("x",))
-        self.assertIn(member(9).address, follower.controls)
+        self.assertEqual(follower.view.stores, (member(1),))
+        self.assertEqual(follower.view.retired_replicas, ("x",))
+        self.assertIn(member(9).address, follower.leader.controls)
         self.assertEqual([request.view_number for request in control.requests[:2]], [0, 7])
 
     def test_stores_stay_known_while_a_new_control_leader_has_heard_of_none(self):
         first = view(7, stores=(member(1),), controls=(member(8),))
         second = view(9, controls=(member(9),))
         follower, _ = follow(first, second)
-        self.assertEqual(follower.stores, (member(1),))
-        self.assertNotIn(member(8).address, follower.controls)
+        self.assertEqual(follower.view.stores, (member(1),))
+        self.assertNotIn(member(8).address, follower.leader.controls)
 
     def test_without_any_view_only_the_seeds_are_known(self):
-        follower = FleetFollower(announcement, [SEED], ScriptedControl(), random.Random(0))
-        self.assertEqual(follower.controls, (SEED,))
-        self.assertEqual(follower.stores, ())
+        follower = FleetFollower(heartbeat, [SEED], ScriptedControl(), random.Random(0))
+        self.assertEqual(follower.leader.controls, (SEED,))
+        self.assertEqual(follower.view.stores, ())
 
 
 class ScriptedReports:
@@ -94,16 +94,16 @@
 class ReportTest(unittest.TestCase):
     def test_an_unchanged_list_is_sent_once_and_again_to_a_new_leader(self):
         control = ScriptedReports()
-        follower = FleetFollower(announcement, [SEED], control, random.Random(0))
+        follower = FleetFollower(heartbeat, [SEED], control, random.Random(0))
         records = (backend("i-2"), backend("i-1"))
 
         async def main():
-            await follower.report_backends(records)
-            await follower.report_backends(tuple(records))
+            await follower.reporter.report(records)
+            await follower.reporter.report(tuple(records))
             control.listing = BackendListing(500)
-            await follower.report_backends(tuple(records))
-            await follower.report_backends((*records, backend("i-3")))
-            await follower.report_backends((*records, backend("i-3")))
+            await follower.reporter.report(tuple(records))
+            await follower.reporter.report((*records, backend("i-3")))
+            await follower.reporter.report((*records, backend("i-3")))
 
         anyio.run(main)
         self.assertEqual(control.sent, [2, None, None, 2, 3, None])
@@ -114,8 +114,8 @@
         """Return the lists that a follower passes on as it takes over these views."""
         lists = []
         control = ScriptedControl(*views)
-        follower = FleetFollower(announcement, [SEED], control, random.Random(0))
-        follower.on_backends(lambda records, confirmed_at: lists.append(records))
+        follower = FleetFollower(heartbeat, [SEED], control, random.Random(0))
+        follower.backends.on_confirmation(lambda records, confirmed_at: lists.append(records))
 
         async def main():
             with anyio.move_on_after(0.15 * (len(views) + 1)):
