--- a/src/passlane/daemon/fleet/context.py
+++ b/src/passlane/daemon/fleet/context.py
@@ -1,4 +1,9 @@
-"""What the processes of a fleet share, whatever their role."""
+"""What the processes of a fleet share, whatever their role.
+
+For: each role is built from one value.
+Owns: nothing; the process owns the parts.
+Relies on: the settings, which are checked already.
+"""
 
 import msgspec
 
@@ -14,7 +19,7 @@
 class FleetContext(msgspec.Struct, frozen=True):
     """The parts of one process that its role builds on.
 
-    ``started_at`` is the local time at which the process started.
+    ``started_at`` is the local time, in seconds, at which the process started.
     """
 
     settings: FleetSettings
--- a/src/passlane/daemon/fleet/control.py
+++ b/src/passlane/daemon/fleet/control.py
@@ -1,4 +1,10 @@
-"""A control replica of a fleet: configuration, directory, operators' requests."""
+"""A control replica of a fleet: configuration, directory, operators' requests.
+
+For: the role ``control``.
+Owns: a replica of the group ``control`` and the services on top of it, this process's own
+heartbeats, and the server for operators.
+Relies on: the seeds, which are the initial members of the group.
+"""
 
 import anyio
 
@@ -21,10 +27,23 @@
 from passlane.settings.model import GroupSettings, PeerSettings
 
 HEARTBEAT_S = 0.15
+"""Seconds between the group leader's heartbeats to its followers (not those of the fleet).
+
+Not measured; chosen: longer than at stores, since control replicas have the slowest processor
+(``docs/design/start-after-loss.md``).
+"""
 ELECTION_TIMEOUT_S = 0.5
+"""Seconds of silence after which a follower asks for votes. Not measured; chosen."""
 FIRST_ELECTION_SHARE = 0.1
+"""Share of the time-out before the first elections after a start.
+
+What sooner first elections gave: ``docs/measurements/further-deployment.md``, trial c. The
+share itself is not measured; chosen.
+"""
 SNAPSHOT_EVERY_ENTRIES = 500
+"""Entries between two snapshots. Not measured; chosen: the state is small."""
 SEGMENT_BYTES = 2_000_000
+"""Bytes of one file of the log. Not measured; chosen."""
 
 
 class FleetControl:
--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -1,4 +1,11 @@
-"""The node of a fleet: relays clients' requests to back ends."""
+"""The node of a fleet: relays clients' requests to back ends.
+
+For: the role ``node``.
+Owns: requests under way and what they showed of back ends; the servers for clients and for
+the platform's question whether the node is ready; how a planned stop goes.
+Relies on: the control group for configuration, addresses and the list of back ends, and on
+the store group for budgets, histories and places.
+"""
 
 import anyio
 from anyio.abc import TaskGroup
--- a/src/passlane/daemon/fleet/node_bounds.py
+++ b/src/passlane/daemon/fleet/node_bounds.py
@@ -1,4 +1,10 @@
-"""The bounds of a node: samples how it fares, and lets the parts that decide know."""
+"""The bounds of a node: samples how it fares, and lets the parts that decide know.
+
+For: a node refuses or ends what it can't hold (``docs/design/node-bounds.md``).
+Owns: the samples, ``unread`` and ``admission``, and their metrics.
+Relies on: the operating system for memory and descriptors; where it doesn't tell them, the
+bounds on them don't apply.
+"""
 
 from collections.abc import Callable
 
@@ -16,12 +22,22 @@
 from passlane.settings.fleet import FleetSettings, MachineSettings, NodeBoundsSettings
 
 MEGABYTE = 1_000_000
+"""Bytes."""
 USAGE_PERIOD_SAMPLES = 4
-"""Memory and descriptors are read with each fourth sample, once a second: they grow slowly."""
+"""Memory and descriptors are read with each fourth sample, once a second: they grow slowly.
+
+Not measured; chosen.
+"""
 PATIENCE_FACTOR = 4.0
-"""A caller gives a stream up after this multiple of its target, if that is longer."""
+"""A caller gives a stream up after this multiple of its target, if that is longer.
+
+Not measured; chosen (``docs/design/node-bounds.md``).
+"""
 MOST_PATIENCE_S = 4.0
-"""A back end cuts off an answer that stays unread for some seconds: it is ended before."""
+"""Seconds: a back end cuts off an answer that stays unread for some; it is ended before.
+
+Not measured; chosen (``docs/design/node-bounds.md``).
+"""
 
 _log = get_logger(__name__)
 
--- a/src/passlane/daemon/fleet/process.py
+++ b/src/passlane/daemon/fleet/process.py
@@ -1,4 +1,9 @@
-"""Runs one process of a fleet on the platform: the composition root of ``passlane.platform``."""
+"""Runs one process of a fleet on the platform: the composition root of ``passlane.platform``.
+
+For: ``fleet_start`` runs it, whatever the role in the settings.
+Owns: the supervisor tree, signals, the settings file and its reloads, the server for metrics.
+Relies on: one module for each role, which is imported only for a process of that role.
+"""
 
 import signal
 import sys
@@ -28,11 +33,14 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1
+"""A part failed for good."""
 EXIT_BAD_SETTINGS = 2
 RING_LINES = 2_000
+"""Lines of the log kept in memory. Not measured; chosen."""
 NODE_FOLDER = "/tmp/passlane"
 """A node keeps no files; its disk is never used."""
 SETTINGS_CHECK_S = 2.0
+"""Seconds between two looks at the settings file. Not measured; chosen."""
 
 _log = get_logger("daemon")
 
--- a/src/passlane/daemon/fleet/start_times.py
+++ b/src/passlane/daemon/fleet/start_times.py
@@ -1,4 +1,9 @@
-"""How long the parts of a start took, as one log line."""
+"""How long the parts of a start took, as one log line.
+
+For: ``docs/design/start-after-loss.md`` tells which part binds after a loss of all processes.
+Owns: the times of one start.
+Relies on: who starts the process for its time.
+"""
 
 import enum
 from collections.abc import Awaitable, Callable
@@ -29,7 +34,7 @@
     Parameters
     ----------
     started_at
-        Local time at which the process started.
+        Local time, in seconds, at which the process started.
     """
 
     def __init__(self, started_at: float) -> None:
--- a/src/passlane/daemon/fleet/stop_times.py
+++ b/src/passlane/daemon/fleet/stop_times.py
@@ -1,16 +1,27 @@
-"""How a node spends the time between the request to stop and its end."""
+"""How a node spends the time between the request to stop and its end.
+
+For: a planned stop fits between the platform's request and its kill.
+Owns: nothing; the times follow from the grace time in the settings.
+Relies on: the platform to ask whether the node is ready, and to lead clients elsewhere.
+"""
 
 import msgspec
 
 LONGEST_UNREADY_S = 2.2
-"""Long enough for the platform to miss two answers in a row and send no more clients."""
+"""Seconds: enough for the platform to miss two answers in a row and send no more clients.
+
+Not measured; chosen.
+"""
 UNREADY_SHARE = 0.35
+"""Share of the grace time for it, where that is less. Not measured; chosen."""
 SETTLING_S = 0.2
-"""Settlements that were just begun reach the store in this time."""
+"""Seconds in which settlements that were just begun reach the store. Not measured; chosen."""
 SETTLING_SHARE = 0.1
+"""Share of the grace time for it, where that is less. Not measured; chosen."""
 MARGIN_S = 0.5
+"""Seconds left for the process to end before it is killed. Not measured; chosen."""
 MARGIN_SHARE = 0.25
-"""Left for the process to end before it is killed."""
+"""Share of the grace time for it, where that is less. Not measured; chosen."""
 
 
 class StopTimes(msgspec.Struct, frozen=True):
@@ -32,7 +43,7 @@
 
     @classmethod
     def within(cls, grace_s: float) -> "StopTimes":
-        """Return times that fit between the request to stop and the kill after it."""
+        """Return times that fit into ``grace_s``, from the request to stop to the kill."""
         unready_s = min(LONGEST_UNREADY_S, UNREADY_SHARE * grace_s)
         settling_s = min(SETTLING_S, SETTLING_SHARE * grace_s)
         margin_s = min(MARGIN_S, MARGIN_SHARE * grace_s)
--- a/src/passlane/daemon/fleet/store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -1,4 +1,10 @@
-"""A store replica of a fleet: budgets and histories of programs."""
+"""A store replica of a fleet: budgets and histories of programs.
+
+For: the role ``store``.
+Owns: a replica of the group ``turns`` and the services on top of it, this process's own
+heartbeats, and the order of waiting turns while it leads.
+Relies on: the control group for the group's initial members and the list of back ends.
+"""
 
 from collections.abc import Sequence
 
@@ -26,8 +32,21 @@
 
 TURN_GROUP = "turns"
 HEARTBEAT_S = 0.08
+"""Seconds between the group leader's heartbeats to its followers (not those of the fleet).
+
+Not measured; chosen. What they cost: ``docs/design/store-groups.md``.
+"""
 ELECTION_TIMEOUT_S = 0.35
+"""Seconds of silence after which a follower asks for votes.
+
+Not measured; chosen. Leaders that stood still for longer: ``docs/design/store-leader-cost.md``.
+"""
 FIRST_ELECTION_SHARE = 0.15
+"""Share of the time-out before the first elections after a start.
+
+What sooner first elections gave: ``docs/measurements/further-deployment.md``, trial c. The
+share itself is not measured; chosen.
+"""
 
 _log = get_logger(__name__)
 
--- a/src/passlane/daemon/fleet_start.py
+++ b/src/passlane/daemon/fleet_start.py
@@ -1,5 +1,9 @@
 """The program that the platform starts: what must not wait for the imports of the rest.
 
+For: ``deploy/system.toml`` names this module's path, for all three roles of a fleet.
+Owns: the sockets that listen early.
+Relies on: as little as possible before ``fleet.process`` is imported.
+
 A reload signal may come while the process is still importing; by default it would end it.
 Clients may connect meanwhile; they wait instead of being reset. Nothing that is imported
 is garbage, so the collector rests until the process runs. No role speaks TLS, so OpenSSL
@@ -42,11 +46,14 @@
 def early_addresses(path: Path) -> Iterator[str]:
     """Return the addresses to listen on at once; none if the settings can't be read.
 
-    What is wrong with the settings is told when they are checked.
+    Raises no error: whatever is wrong with the settings is told when ``fleet.process`` checks
+    them, a moment later and before anything else is done.
     """
     try:
         addresses = tomllib.loads(path.read_text())["addresses"]
     except (OSError, ValueError, KeyError):
+        # Silent, since the check of the settings names the same problem and ends the process.
+        # There is no log yet, and the logging's imports are what listening must not wait for.
         return
     for name in EARLY_ADDRESSES:
         address = addresses.get(name) if isinstance(addresses, dict) else None
--- a/src/passlane/daemon/main.py
+++ b/src/passlane/daemon/main.py
@@ -1,4 +1,9 @@
-"""The command ``passlaned``: runs one process of passlane."""
+"""The command ``passlaned``: runs one process of passlane.
+
+For: ``pyproject.toml`` names this module's path as the command; a node leads programs.
+Owns: the command line, the signals, and the exit codes.
+Relies on: ``passlaned.daemon`` for the process itself.
+"""
 
 import importlib.metadata
 import signal
@@ -26,6 +31,7 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1
+"""A part failed for good."""
 EXIT_BAD_SETTINGS = 2
 
 _KEY_OF_OPTION: Mapping[str, str] = {
--- a/src/passlane/daemon/passlaned/daemon.py
+++ b/src/passlane/daemon/passlaned/daemon.py
@@ -1,4 +1,10 @@
-"""Builds a daemon from its settings and an environment, real or simulated."""
+"""Builds a daemon from its settings and an environment, real or simulated.
+
+For: ``main`` runs it on the real environment, simulations on a simulated one.
+Owns: the supervisor tree, the connections to other processes, the server for operators, and
+how a planned stop goes.
+Relies on: one part for each role (``parts``).
+"""
 
 from collections.abc import Mapping
 
@@ -20,7 +26,10 @@
 from passlane.transport.server import MessageServer
 
 DRAIN_MARGIN_S = 5.0
-"""Added to the node's own bound for draining before the daemon stops anyway."""
+"""Seconds added to the node's own bound for draining before the daemon stops anyway.
+
+Not measured; chosen.
+"""
 
 _log = get_logger("daemon")
 
--- a/src/passlane/daemon/passlaned/parts.py
+++ b/src/passlane/daemon/passlaned/parts.py
@@ -1,5 +1,9 @@
 """The parts of a daemon, one for each role; each is a child of the daemon's supervisor.
 
+For: ``daemon`` builds those that the settings name.
+Owns: the replica, or the node's service and server, while the part runs.
+Relies on: what all parts of one daemon share (``PartContext``).
+
 A part is run as a whole and rebuilt as a whole: when anything in it fails, all of it
 starts again from what is on disk or in the store group.
 """
--- a/src/passlane/daemon/shared/in_flight.py
+++ b/src/passlane/daemon/shared/in_flight.py
@@ -1,4 +1,9 @@
-"""Counts the HTTP requests in flight, so that a planned stop can wait for their last byte."""
+"""Counts the HTTP requests in flight, so that a planned stop can wait for their last byte.
+
+For: the servers for callers of both kinds of nodes.
+Owns: the count.
+Relies on: the ASGI application that does the work.
+"""
 
 from typing import Any
 
--- a/src/passlane/fleet/operator.py
+++ b/src/passlane/fleet/operator.py
@@ -1,4 +1,9 @@
-"""What operators may ask of any control replica; the leader answers."""
+"""What operators may ask of any control replica; the leader answers.
+
+For: the platform's interface for operators (``platform.operator_api``) on each control replica.
+Owns: nothing.
+Relies on: a caller that reaches control replicas, and ``GroupClient`` to find the leader.
+"""
 
 import random as random_module
 from collections.abc import Callable, Sequence
@@ -19,8 +24,9 @@
 from passlane.transport.interfaces import Caller
 
 ANSWER_LIMIT_S = 0.85
-"""Callers turn to another replica after a second without an answer."""
+"""Seconds for the leader's answer: callers turn to another replica after one without any."""
 NO_CONFIGURATION_RETRY_AFTER_S = 1.0
+"""Seconds that an operator is told to wait for a first configuration. Not measured; chosen."""
 
 
 class FleetOperator:
@@ -66,11 +72,21 @@
         return reply.configuration
 
     async def retire_store(self, name: str) -> StoreRetirement:
-        """Begin to empty a store machine."""
+        """Begin to retire a store machine.
+
+        Raises
+        ------
+        PasslaneError
+            ``NOT_FOUND`` for an unknown machine, ``VERSION_CONFLICT`` if too few would be left;
+            else the order may have been recorded. The same order may be sent again.
+        """
         return await self._execute(RetireStore(name), StoreRetirement)
 
     async def read_retirement(self, name: str) -> StoreRetirement:
-        """Return how far a store machine has been emptied."""
+        """Return how far the retirement of a store machine is, or raise ``PasslaneError``.
+
+        ``NOT_FOUND`` means that its retirement was never ordered.
+        """
         return await self._execute(ReadRetirement(name), StoreRetirement)
 
     async def _execute(self, request: Message, reply: type[ReplyType]) -> ReplyType:
--- a/src/passlane/fleet/state/backend_listing.py
+++ b/src/passlane/fleet/state/backend_listing.py
@@ -1,7 +1,9 @@
 """What the leader of the control group knows of the list of back ends, and who reads it.
 
-One node reads the list for all, since the platform bounds the calls of all nodes
+For: one node reads the list for all, since the platform bounds the calls of all nodes
 together. The reader changes when its reports stay out.
+Owns: the newest list, its number, and the name of the reader. Soft state; no I/O.
+Relies on: reports of the reader, and the directory for the names of nodes.
 """
 
 from collections.abc import Sequence
@@ -10,7 +12,11 @@
 from passlane.messages.listing import BackendRecord, ReportBackends
 
 REPORT_OVERDUE_S = 1.6
-"""A reader whose reports stay out for this long is replaced."""
+"""Seconds without a report after which the reader is replaced.
+
+Not measured; chosen (``docs/design/platform.md``): a list is read each 0.9 s
+(``relay.list_reader.READ_PERIOD_S``), and nodes read for themselves when it is 2 s old.
+"""
 
 
 class BackendListing:
@@ -42,7 +48,7 @@
         self._expected_since = 0.0
 
     def report(self, report: ReportBackends, now: float) -> bool:
-        """Take over a report; return whether the list has changed."""
+        """Take over a report at local time ``now``, in seconds; return whether the list changed."""
         if report.records is None:
             if report.number == self.number and self.number > 0:
                 self._note_report(now)
--- a/src/passlane/fleet/state/listing_updates.py
+++ b/src/passlane/fleet/state/listing_updates.py
@@ -1,8 +1,10 @@
 """What a process that holds an earlier list of back ends is told of the newest one.
 
-A fleet may have thousands of back ends and hundreds of nodes, and the list changes whenever
-one of them comes or leaves. A node that holds a recent list is told what has changed since;
-any other gets the whole list. Each update is packed once, however many nodes get it.
+For: a fleet may have thousands of back ends and hundreds of nodes, and the list changes
+whenever one of them comes or leaves. A node that holds a recent list is told what has changed
+since; any other gets the whole list. Each update is packed once, however many nodes get it.
+Owns: the changes that led to the newest lists, and their packed forms.
+Relies on: nothing; no I/O.
 """
 
 import zlib
@@ -14,8 +16,12 @@
 from passlane.messages.listing import BackendChanges, BackendRecord
 
 LISTS_REMEMBERED = 64
-"""Changes that a node may have missed and still be told one by one; at most some a second come."""
-_LEVEL = 1
+"""Changes that a node may have missed and still be told one by one; at most some a second come.
+
+Not measured; chosen.
+"""
+_COMPRESSION_LEVEL = 1
+"""Level of zlib: the fastest, since each change is packed anew. Not measured; chosen."""
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(BackendChanges)
 
@@ -57,7 +63,7 @@
 
 def pack(changes: BackendChanges) -> bytes:
     """Return the packed form of a change."""
-    return zlib.compress(_encoder.encode(changes), _LEVEL)
+    return zlib.compress(_encoder.encode(changes), _COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> BackendChanges:
--- a/src/passlane/fleet/state/machine.py
+++ b/src/passlane/fleet/state/machine.py
@@ -1,7 +1,12 @@
-"""The replicated state of a fleet: the configuration in force, and the store group's founders."""
+"""The replicated state of a fleet, which the control group agrees on.
+
+For: what must outlive every process of the fleet: the configuration in force, the initial
+members of the store group, and which store machines are retired.
+Owns: ``FleetState``, stored in snapshots with its field names.
+Relies on: commands alone; no I/O.
+"""
 
 from collections.abc import Iterable, Iterator
-from typing import Any
 
 import msgspec
 
@@ -25,7 +30,16 @@
 
 
 class FleetState(msgspec.Struct, frozen=True):
-    """All replicated state; ``retired`` maps names of machines to names of replicas."""
+    """All replicated state.
+
+    Attributes
+    ----------
+    store_founders
+        The initial members of the store group; empty before they are settled. Snapshots hold
+        the field under this name, so it stays.
+    retired
+        Names of the replicas of retired store machines, by the machines' names.
+    """
 
     configuration: RouteConfiguration | None = None
     store_founders: tuple[NamedAddress, ...] = ()
@@ -45,7 +59,7 @@
         """Apply one committed command and return its encoded result."""
         return encode_message(self.execute(_command_decoder.decode(command)))
 
-    def execute(self, command: Any) -> Message:
+    def execute(self, command: FleetCommand) -> Message:
         """Apply one command and return its result."""
         if isinstance(command, ReplaceConfiguration):
             return self._replace(command.configuration)
@@ -53,8 +67,7 @@
             retired = {**self.state.retired, command.name: command.replica_name}
             self.state = msgspec.structs.replace(self.state, retired=retired)
             return ReplicaForbidden(name=command.name)
-        assert isinstance(command, FoundStoreGroup)
-        return self._found(command)
+        return self._settle_initial_members(command)
 
     def _replace(self, configuration: RouteConfiguration) -> ConfigurationReplaced:
         held = self.state.configuration
@@ -63,7 +76,7 @@
         self.state = msgspec.structs.replace(self.state, configuration=configuration)
         return ConfigurationReplaced(version=configuration.version, is_new=True)
 
-    def _found(self, command: FoundStoreGroup) -> StoreGroupFounded:
+    def _settle_initial_members(self, command: FoundStoreGroup) -> StoreGroupFounded:
         if not self.state.store_founders:
             self.state = msgspec.structs.replace(self.state, store_founders=command.members)
         return StoreGroupFounded(members=self.state.store_founders)
--- a/src/passlane/fleet/state/packed_configuration.py
+++ b/src/passlane/fleet/state/packed_configuration.py
@@ -1,7 +1,9 @@
 """A configuration as it travels to nodes: without the operator's document, and compressed.
 
-A change goes to every node at the same moment. Encoding it for each of them, at some tens
-of kilobytes, kept the leader on a small machine from its heartbeats.
+For: a change goes to every node at the same moment. Encoding it for each of them, at some
+tens of kilobytes, kept the leader on a small machine from its heartbeats in the group.
+Owns: the packed form of the newest configuration.
+Relies on: nothing; no I/O.
 """
 
 import zlib
@@ -10,14 +12,15 @@
 
 from passlane.messages.routes import RouteConfiguration
 
-_LEVEL = 6
+_COMPRESSION_LEVEL = 6
+"""Level of zlib, its default. Figures of one large document: ``docs/design/tenant-quotas.md``."""
 _decoder = msgspec.msgpack.Decoder(RouteConfiguration)
 
 
 def pack(configuration: RouteConfiguration) -> bytes:
     """Return the packed form of a configuration."""
     without_source = msgspec.structs.replace(configuration, source=b"")
-    return zlib.compress(msgspec.msgpack.encode(without_source), _LEVEL)
+    return zlib.compress(msgspec.msgpack.encode(without_source), _COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> RouteConfiguration:
--- a/src/passlane/messages/fleet.py
+++ b/src/passlane/messages/fleet.py
@@ -24,7 +24,9 @@
 
 
 class Announce(Message, frozen=True, kw_only=True):
-    """Sent again and again by every process to the leader of the control group.
+    """A heartbeat: sent again and again by every process to the leader of the control group.
+
+    Elsewhere it is called a heartbeat; the class keeps its name, under which it is sent.
 
     Attributes
     ----------
@@ -68,11 +70,11 @@
     Attributes
     ----------
     controls
-        Control replicas that announce themselves.
+        Control replicas that send heartbeats.
     stores
         Members of the store group as its leader told them last; empty before.
     store_founders
-        The first members of the store group.
+        The initial members of the store group, under the name that is sent.
     retired_replicas
         Names of store replicas that are never to join again.
     """
@@ -86,11 +88,11 @@
 class FleetView(Message, frozen=True, kw_only=True):
     """What the leader of the control group knows of the fleet.
 
-    ``configuration`` (packed, see ``fleet.packed_configuration``) is set only for nodes,
+    ``configuration`` (packed, see ``fleet.state.packed_configuration``) is set only for nodes,
     and when it is newer than what the receiver holds. ``number`` changes with any of the
     ``addresses``, which are set only if the receiver holds others. ``has_store_leader`` is
-    true once the leader of the store group has announced itself. ``backends_update`` (see
-    ``fleet.listing_updates``) is set only when the receiver holds another list than that
+    true once the leader of the store group has sent a heartbeat. ``backends_update`` (see
+    ``fleet.state.listing_updates``) is set only when the receiver holds another list than that
     of ``backends_number``; it goes on from the list of ``backends_since``, 0 for none;
     ``backends_age_s`` tells how long ago it was last known to be right, ``None`` if there is
     no list. ``reads_backends`` tells the receiver to read it for all nodes.
@@ -110,7 +112,7 @@
 
 
 class FoundStoreGroup(Message, frozen=True):
-    """Settles the first members of the store group; only the first such command counts."""
+    """Settles the initial members of the store group; only the first such command counts."""
 
     members: tuple[NamedAddress, ...]
 
@@ -122,14 +124,14 @@
 
 
 class RetirementState(enum.StrEnum):
-    """How far a store machine has been emptied."""
+    """How far the retirement of a store machine is: completed once its replica is no member."""
 
     RUNNING = "running"
     COMPLETED = "completed"
 
 
 class RetireStore(Message, frozen=True):
-    """Asks that the store machine of this name be emptied."""
+    """Asks that the store machine of this name be retired."""
 
     name: str
 
@@ -142,7 +144,7 @@
 
 
 class ReadRetirement(Message, frozen=True):
-    """Asks how far a store machine has been emptied."""
+    """Asks how far the retirement of a store machine is."""
 
     name: str
 
