--- a/src/passlane/fleet/control_leader.py
+++ b/src/passlane/fleet/control_leader.py
@@ -62,7 +62,11 @@
         self.address = address
 
     def note_failure(self, address: Address, error: PasslaneError) -> None:
-        """Leave a replica that doesn't lead; it may tell which one does."""
+        """Leave a replica that doesn't lead; it may tell which one does.
+
+        Only the loss of a leader is logged. That others don't answer or don't lead is what a
+        search expects of most replicas, several times a second.
+        """
         if isinstance(error, NotLeaderError) and error.leader is not None:
             self._hint = error.leader
         if self.address == address:
--- a/src/passlane/fleet/state/listing_updates.py
+++ b/src/passlane/fleet/state/listing_updates.py
@@ -77,27 +77,34 @@
     return _decoder.decode(zlib.decompress(data))
 
 
+class _NumberedChanges(msgspec.Struct, frozen=True):
+    """What led to the list of a number from the one before."""
+
+    number: int
+    changes: BackendChanges
+
+
 class ListingUpdates:
     """Updates from the lists of the last numbers to the newest one."""
 
     def __init__(self) -> None:
-        self._changes: deque[tuple[int, BackendChanges]] = deque(maxlen=LISTS_REMEMBERED)
+        self._changes: deque[_NumberedChanges] = deque(maxlen=LISTS_REMEMBERED)
         self._records: Sequence[BackendRecord] = ()
         self._packed: dict[int, bytes] = {}
 
     def note_list(self, number: int, records: Sequence[BackendRecord]) -> None:
         """Note the newest list and its number, which is higher than those before."""
-        self._changes.append((number, changes_between(self._records, records)))
+        self._changes.append(_NumberedChanges(number, changes_between(self._records, records)))
         self._records = records
         self._packed.clear()
 
     def since(self, number: int) -> int:
         """Return the number to start from for a process that holds ``number``; 0 for nothing."""
-        is_known = any(known == number for known, _ in self._changes)
+        is_known = any(known.number == number for known in self._changes)
         return number if is_known else 0
 
     def update_since(self, number: int) -> bytes:
-        """Return the packed update from a list of ``since`` to the newest one."""
+        """Return the packed update from the list of ``number`` to the newest one; 0 for no list."""
         if number not in self._packed:
             self._packed[number] = pack(self._changes_since(number))
         return self._packed[number]
@@ -105,4 +112,4 @@
     def _changes_since(self, number: int) -> BackendChanges:
         if number == 0:
             return BackendChanges(changed=tuple(self._records), gone=())
-        return merged(change for known, change in self._changes if known > number)
+        return merged(known.changes for known in self._changes if known.number > number)
