--- /dev/null
+++ b/tests/fleet/test_heartbeat_service.py
@@ -0,0 +1,104 @@
+"""A heartbeat is answered at once if there is news for its sender, and held otherwise."""
+
+import unittest
+
+import anyio
+import trio.testing
+
+from fleet.leading_group import leader_state, node_heartbeat, store_heartbeat
+from passlane.fleet.heartbeat_service import MAX_WAIT_S, HeartbeatService
+from passlane.fleet.leader_state import NUMBERS_BITS_PER_TERM
+from passlane.messages.common import NotLeaderError
+from passlane.messages.listing import ReportBackends
+from relay.fakes import backend
+
+WAIT_S = 0.2
+
+
+class HeartbeatServiceTest(unittest.TestCase):
+    def run_at_leader(self, body):
+        async def main():
+            self.leader, self.group = leader_state()
+            self.service = HeartbeatService(self.leader)
+            await body()
+
+        clock = trio.testing.MockClock(autojump_threshold=0)
+        anyio.run(main, backend="trio", backend_options={"clock": clock})
+
+    async def answer_within(self, heartbeat):
+        """Return the answer and after how many seconds it came."""
+        started = anyio.current_time()
+        view = await self.service.answer_heartbeat(heartbeat)
+        return view, anyio.current_time() - started
+
+    async def held_node(self):
+        """Return the heartbeat of a node that holds all there is."""
+        view = await self.service.answer_heartbeat(node_heartbeat())
+        return node_heartbeat(
+            view_number=view.number, reads_backends=view.reads_backends, wait_s=WAIT_S
+        )
+
+    def test_a_process_that_holds_nothing_is_answered_at_once(self):
+        async def body():
+            view, after_s = await self.answer_within(node_heartbeat(wait_s=MAX_WAIT_S))
+            self.assertEqual(after_s, 0.0)
+            self.assertEqual(view.number >> NUMBERS_BITS_PER_TERM, self.group.term)
+            self.assertTrue(view.reads_backends)
+            self.assertIsNotNone(view.addresses)
+
+        self.run_at_leader(body)
+
+    def test_without_news_it_is_held_and_told_no_addresses(self):
+        async def body():
+            view, after_s = await self.answer_within(await self.held_node())
+            self.assertAlmostEqual(after_s, WAIT_S)
+            self.assertIsNone(view.addresses)
+
+        self.run_at_leader(body)
+
+    def test_a_report_ends_the_wait(self):
+        async def body():
+            heartbeat = await self.held_node()
+            views = []
+
+            async def wait():
+                views.append(await self.service.answer_heartbeat(heartbeat))
+
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(wait)
+                await anyio.wait_all_tasks_blocked()
+                report = ReportBackends(name="node-1", number=0, records=(backend("i-1"),))
+                reported = await self.service.take_report(report)
+            self.assertEqual(views[0].backends_number, reported.number)
+            self.assertIsNotNone(views[0].backends_update)
+
+        self.run_at_leader(body)
+
+    def test_leadership_that_is_lost_meanwhile_is_not_answered_for(self):
+        async def body():
+            heartbeat = await self.held_node()
+
+            async def wait():
+                with self.assertRaises(NotLeaderError):
+                    await self.service.answer_heartbeat(heartbeat)
+
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(wait)
+                await anyio.wait_all_tasks_blocked()
+                self.group.is_leader = False
+
+        self.run_at_leader(body)
+
+    def test_a_new_term_forgets_the_processes_and_counts_on_above(self):
+        async def body():
+            self.leader.directory.note(store_heartbeat(1), 0.0)
+            before = self.leader.directory.number
+            self.group.term = 2
+            self.assertEqual(self.leader.directory.store_names(), [])
+            self.assertGreater(self.leader.directory.number, before)
+
+        self.run_at_leader(body)
+
+
+if __name__ == "__main__":
+    unittest.main()
