--- a/src/passlane/daemon/__init__.py
+++ b/src/passlane/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The entry point of passlaned: builds the supervisor tree for the configured roles."""
+"""The processes: ``fleet_start`` runs one of a fleet (``fleet/``), ``main`` is ``passlaned``."""
--- a/src/passlane/daemon/fleet_control.py
+++ b/src/passlane/daemon/fleet/control.py
@@ -1,9 +1,15 @@
-"""A control replica of a fleet: configuration, directory, operators' requests."""
+"""A control replica of a fleet: configuration, directory, operators' requests.
+
+For: the role ``control``.
+Owns: a replica of the group ``control`` and the services on top of it, this process's own
+heartbeats, and the server for operators.
+Relies on: the seeds, which are the initial members of the group.
+"""
 
 import anyio
 
-from passlane.daemon.fleet_context import FleetContext
-from passlane.daemon.replicas import (
+from passlane.daemon.fleet.context import FleetContext
+from passlane.daemon.shared.replicas import (
     CONTROL_FOLDER,
     CONTROL_GROUP,
     hand_over_leadership,
@@ -21,10 +27,23 @@
 from passlane.settings.model import GroupSettings, PeerSettings
 
 HEARTBEAT_S = 0.15
+"""Seconds between the group leader's heartbeats to its followers (not those of the fleet).
+
+Not measured; chosen: longer than at stores, since control replicas have the slowest processor
+(``docs/design/start-after-loss.md``).
+"""
 ELECTION_TIMEOUT_S = 0.5
+"""Seconds of silence after which a follower asks for votes. Not measured; chosen."""
 FIRST_ELECTION_SHARE = 0.1
+"""Share of the time-out before the first elections after a start.
+
+What sooner first elections gave: ``docs/measurements/further-deployment.md``, trial c. The
+share itself is not measured; chosen.
+"""
 SNAPSHOT_EVERY_ENTRIES = 500
+"""Entries between two snapshots. Not measured; chosen: the state is small."""
 SEGMENT_BYTES = 2_000_000
+"""Bytes of one file of the log. Not measured; chosen."""
 
 
 class FleetControl:
@@ -35,7 +54,7 @@
         self._scope = anyio.CancelScope()
         random = context.environment.random
         self._follower = FleetFollower(
-            context.announcement, context.seed_addresses(), context.pool, random
+            context.heartbeat, context.seed_addresses(), context.pool, random
         )
         machine = FleetStateMachine()
         self._host = self._build_host(machine)
@@ -73,18 +92,18 @@
             context.router,
             CONTROL_FOLDER,
             may_found=is_seed and context.settings.process.is_first_start,
-            find_members=self._found_members,
+            find_members=self._known_members,
         )
 
-    def _found_members(self) -> list[PeerSettings]:
-        known = [PeerSettings(name=a.host, internal=a) for a in self._follower.controls]
+    def _known_members(self) -> list[PeerSettings]:
+        known = [PeerSettings(name=a.host, internal=a) for a in self._follower.leader.controls]
         members = [
             PeerSettings(name=m.address.host, internal=m.address) for m in self._host.members
         ]
         return known + members
 
     def _control_addresses(self) -> tuple[Address, ...]:
-        return self._follower.controls
+        return self._follower.leader.controls
 
     async def run(self) -> None:
         """Run until stopped."""
@@ -103,7 +122,7 @@
 
     def reload(self, settings: FleetSettings) -> None:
         """Take over what may change while the process runs."""
-        self._follower.replace_seeds(self._context.seed_addresses(settings))
+        self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
 
     async def drain_and_stop(self) -> None:
         """Hand over leadership, then stop."""
--- a/src/passlane/daemon/main.py
+++ b/src/passlane/daemon/main.py
@@ -1,4 +1,9 @@
-"""The command ``passlaned``: runs one process of passlane."""
+"""The command ``passlaned``: runs one process of passlane.
+
+For: ``pyproject.toml`` names this module's path as the command; a node leads programs.
+Owns: the command line, the signals, and the exit codes.
+Relies on: ``passlaned.daemon`` for the process itself.
+"""
 
 import importlib.metadata
 import signal
@@ -13,7 +18,7 @@
 from cleo.helpers import option
 from cleo.io.inputs.option import Option
 
-from passlane.daemon.assembly import Daemon
+from passlane.daemon.passlaned.daemon import Daemon
 from passlane.observability.logging import configure_logging
 from passlane.observability.ring import RingLog
 from passlane.runtime.delayed_network import DelayedNetwork
@@ -26,6 +31,7 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1
+"""A part failed for good."""
 EXIT_BAD_SETTINGS = 2
 
 _KEY_OF_OPTION: Mapping[str, str] = {
--- a/src/passlane/daemon/assembly.py
+++ b/src/passlane/daemon/passlaned/daemon.py
@@ -1,11 +1,17 @@
-"""Builds a daemon from its settings and an environment, real or simulated."""
+"""Builds a daemon from its settings and an environment, real or simulated.
+
+For: ``main`` runs it on the real environment, simulations on a simulated one.
+Owns: the supervisor tree, the connections to other processes, the server for operators, and
+how a planned stop goes.
+Relies on: one part for each role (``parts``).
+"""
 
 from collections.abc import Mapping
 
 import anyio
 
 from passlane.api.operators import build_operator_application
-from passlane.daemon.parts import ControlPart, NodePart, Part, PartContext, StorePart
+from passlane.daemon.passlaned.parts import ControlPart, NodePart, Part, PartContext, StorePart
 from passlane.observability.health import HealthApplication, ReadinessCheck
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
@@ -20,7 +26,10 @@
 from passlane.transport.server import MessageServer
 
 DRAIN_MARGIN_S = 5.0
-"""Added to the node's own bound for draining before the daemon stops anyway."""
+"""Seconds added to the node's own bound for draining before the daemon stops anyway.
+
+Not measured; chosen.
+"""
 
 _log = get_logger("daemon")
 
--- a/src/passlane/simulation/defects/back_ends.py
+++ b/src/passlane/simulation/defects/back_ends.py
@@ -2,7 +2,7 @@
 
 import anyio.lowlevel
 
-from passlane.daemon.assembly import Daemon
+from passlane.daemon.passlaned.daemon import Daemon
 from passlane.identifiers import EngineId
 from passlane.node import service
 from passlane.simulation.defects.base import Defect, replacing
