--- a/tests/decisions/scheduling/test_turn_defects.py
+++ b/tests/decisions/scheduling/test_turn_defects.py
@@ -4,13 +4,13 @@
 import unittest
 from collections.abc import Iterator
 
+from decisions.scheduling import test_turn_figures, test_turn_scheduler
 from passlane.decisions.admission.program_admission import ProgramAdmission
 from passlane.decisions.backends.engine_places import EnginePlaces, EngineTable, PlacedTurn
 from passlane.decisions.order.turn_queue import TurnQueue, WaitingTurn
 from passlane.decisions.placement.turn_placement import TurnDurations
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.simulation.replacement import Replacement, replaced
-from scheduling import test_turn_figures, test_turn_scheduler
 
 _give_back = EngineTable.give_back
 _take_expired = EngineTable.take_expired
