--- a/src/passlane/observability/logging.py
+++ b/src/passlane/observability/logging.py
@@ -1,12 +1,10 @@
 """Structured logs by structlog, kept in a ring in memory.
 
-Every line carries the context that was bound with ``bind_context`` (request, program
-and attempt ids). Values under keys that name secrets are replaced before a line is
-kept.
+Every line carries the identity of its process. Values under keys that name secrets are
+replaced before a line is kept.
 """
 
 import time
-from contextlib import AbstractContextManager
 from typing import Any, cast
 
 import anyio
@@ -25,11 +23,6 @@
     return cast(FilteringBoundLogger, structlog.get_logger(component=name))
 
 
-def bind_context(**identifiers: str) -> AbstractContextManager[None]:
-    """Put identifiers, such as ``program_id``, on every line logged inside the context."""
-    return structlog.contextvars.bound_contextvars(**identifiers)
-
-
 def redact_secrets(_logger: WrappedLogger, _method: str, line: EventDict) -> EventDict:
     """Replace the values of keys that name secrets."""
     for key in SECRET_KEYS.intersection(line):
--- a/tests/observability/test_observability.py
+++ b/tests/observability/test_observability.py
@@ -6,9 +6,10 @@
 
 import anyio
 import msgspec
+import structlog
 
 from passlane.observability.health import HealthApplication
-from passlane.observability.logging import bind_context, configure_logging, get_logger
+from passlane.observability.logging import configure_logging, get_logger
 from passlane.observability.metrics import Metrics
 from passlane.observability.ring import RingLog
 from passlane.observability.standard_output import StandardOutputLog
@@ -50,13 +51,12 @@
         self.ring = RingLog(10)
         configure_logging(self.ring)
 
-    def test_lines_carry_component_and_context_but_no_secrets(self):
-        with bind_context(program_id="p-1"):
-            get_logger("node").info("asked", token="very-secret", authorization="Bearer x")
-        get_logger("node").info("later")
-        first, second = decoded(self.ring)
-        self.assertEqual((first["component"], first["program_id"]), ("node", "p-1"))
-        self.assertNotIn("program_id", second)
+    def test_lines_carry_component_and_identity_but_no_secrets(self):
+        configure_logging(self.ring, process="node-1")
+        self.addCleanup(structlog.contextvars.unbind_contextvars, "process")
+        get_logger("node").info("asked", token="very-secret", authorization="Bearer x")
+        (line,) = decoded(self.ring)
+        self.assertEqual((line["component"], line["process"]), ("node", "node-1"))
         self.assertNotIn(b"very-secret", b"".join(self.ring.lines()))
         self.assertNotIn(b"Bearer x", b"".join(self.ring.lines()))
 
