--- a/src/passlane/api/operator_views.py
+++ b/src/passlane/api/operator_views.py
@@ -47,8 +47,8 @@
 class SystemStatus(msgspec.Struct, frozen=True):
     """Answer to ``GET /v1/status``.
 
-    ``nodes`` are those of the process's region, ``calls_in_flight`` those of the process
-    itself if it is a node. ``problems`` names the groups that did not answer; their parts
+    ``nodes`` are those of the process's region; ``calls_in_flight`` is always ``null``, kept
+    for readers of the answer. ``problems`` names the groups that did not answer; their parts
     are empty then.
     """
 
--- a/src/passlane/api/operators.py
+++ b/src/passlane/api/operators.py
@@ -5,7 +5,7 @@
 """
 
 import random as random_module
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from typing import Any, Protocol
 
 import msgspec
@@ -67,7 +67,6 @@
     store: GroupExecutor,
     ring: LogRing,
     random: random_module.Random,
-    calls_in_flight: Callable[[], int] | None = None,
     caller: Caller | None = None,
 ) -> "OperatorApplication":
     """Return the ASGI application for operators.
@@ -80,8 +79,6 @@
         The process's log.
     random
         Source of idempotency keys for changes that come without one.
-    calls_in_flight
-        Number of calls that this process has in flight, if it is a node.
     caller
         Connections to the nodes, which explain programs; without it nothing is explained.
     """
@@ -89,7 +86,7 @@
     store = NamedGroup("store group", store)
     router: PathRouter[Handler] = PathRouter()
     DocumentRoutes(control, random).add_to(router)
-    StatusRoutes(settings, control, store, ring, calls_in_flight).add_to(router)
+    StatusRoutes(settings, control, store, ring).add_to(router)
     if caller is not None:
         ExplanationRoutes(store, caller).add_to(router)
     return OperatorApplication(settings, router)
@@ -136,13 +133,11 @@
         control: GroupExecutor,
         store: GroupExecutor,
         ring: LogRing,
-        calls_in_flight: Callable[[], int] | None,
     ) -> None:
         self._settings = settings
         self._control = control
         self._store = store
         self._ring = ring
-        self._calls_in_flight = calls_in_flight
 
     def add_to(self, router: PathRouter[Handler]) -> None:
         """Register the routes."""
@@ -208,7 +203,7 @@
             pending=status.pending if status else (),
             regions=status.regions if status else (),
             nodes=nodes,
-            calls_in_flight=self._calls_in_flight() if self._calls_in_flight else None,
+            calls_in_flight=None,
             problems=tuple(problems),
         )
 
--- a/src/passlane/bench/configuration_fleet.py
+++ b/src/passlane/bench/configuration_fleet.py
@@ -146,9 +146,7 @@
     def _start_control(self) -> Address:
         address, router = self.world.add_process(CONTROL)
         group = HollowGroup(self._control_machine, CONTROL_COMMIT_S)
-        service = ControlService(
-            group, self._control_machine, self._environment, router, regions=REGIONS
-        )
+        service = ControlService(group, self._control_machine, router, regions=REGIONS)
         self._tasks.start_soon(service.run)
         self._tasks.start_soon(self._watch_acceptance)
         return address
--- a/src/passlane/bench/configuration_state.py
+++ b/src/passlane/bench/configuration_state.py
@@ -98,8 +98,6 @@
     service = ControlService(
         SingleReplica(machine),
         machine,
-        # The service uses its environment for nothing that is measured here.
-        None,  # type: ignore[arg-type]
         MessageRouter(),
         regions=REGIONS,
     )
--- a/src/passlane/cli/status.py
+++ b/src/passlane/cli/status.py
@@ -58,8 +58,6 @@
 
 def _summary(status: SystemStatus) -> Iterator[str]:
     yield f"answered by {status.process}, region {status.region}, zone {status.zone}"
-    if status.calls_in_flight is not None:
-        yield f"calls in flight at {status.process}: {status.calls_in_flight}"
     leader = next((str(item.address) for item in status.control_members if item.is_leader), None)
     members = ", ".join(str(item.address) for item in status.control_members)
     yield f"control group: leader {leader or 'unknown'}, term {status.control_term}, of {members}"
--- a/src/passlane/control/service.py
+++ b/src/passlane/control/service.py
@@ -29,7 +29,6 @@
 )
 from passlane.observability.logging import get_logger
 from passlane.replication.interfaces import ReplicatedGroup
-from passlane.runtime.interfaces import Environment
 from passlane.transport.interfaces import Router
 
 PolicyChecker = Callable[[str, int], list[str]]
@@ -63,7 +62,6 @@
         self,
         group: ReplicatedGroup,
         machine: ControlStateMachine,
-        environment: Environment,
         router: Router,
         *,
         regions: tuple[str, ...] = (),
@@ -71,7 +69,6 @@
     ) -> None:
         self._group = group
         self._machine = machine
-        self._environment = environment
         self._check_policy = check_policy
         self._duties = LeaderDuties(machine, regions)
         self._proposal_due = anyio.Event()
--- a/src/passlane/daemon/parts.py
+++ b/src/passlane/daemon/parts.py
@@ -131,7 +131,6 @@
         service = ControlService(
             host,
             machine,
-            context.environment,
             context.router,
             regions=settings.control.regions or (settings.process.region,),
             check_policy=describe_policy_problems,
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -55,7 +55,7 @@
         self.machine = ControlStateMachine()
         self.machine.execute(SetRegions(("north",)))
         self.router = MessageRouter()
-        self.service = ControlService(self, self.machine, None, self.router)
+        self.service = ControlService(self, self.machine, self.router)
 
     async def propose(self, command):
         return self.machine.apply(0, command)
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -55,7 +55,7 @@
         return member
 
     async def run_member(self, member):
-        service = ControlService(member.host, member.machine, None, member.router, regions=REGIONS)
+        service = ControlService(member.host, member.machine, member.router, regions=REGIONS)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(member.host.run)
             tasks.start_soon(service.run)
