--- a/src/passlane/api/asgi.py
+++ b/src/passlane/api/asgi.py
@@ -19,7 +19,6 @@
 
 JSON_TYPE = "application/json"
 PROBLEM_TYPE = "application/problem+json"
-TEXT_TYPE = "text/plain; charset=utf-8"
 EVENT_STREAM_TYPE = "text/event-stream"
 
 _json_encoder = msgspec.json.Encoder()
@@ -49,11 +48,6 @@
     return Response(status=status, body=_json_encoder.encode(value), headers=headers or {})
 
 
-def text_response(status: int, text: str) -> Response:
-    """Return an answer of plain text."""
-    return Response(status=status, body=text.encode(), content_type=TEXT_TYPE)
-
-
 def request_headers(scope: Scope) -> dict[str, str]:
     """Return the headers of a request, names in lower case; the last of a name wins."""
     return {
--- a/src/passlane/configuration/view.py
+++ b/src/passlane/configuration/view.py
@@ -134,14 +134,6 @@
         tenant = self.tenants.get(tenant_id)
         return None if tenant is None else self.services.get(tenant.service)
 
-    def policy_of(self, tenant_id: TenantId) -> tuple[str, PolicyBody] | None:
-        """Return name and body of the policy of a tenant's service, if it has one."""
-        service = self.service_of(tenant_id)
-        if service is None or service.policy is None:
-            return None
-        policy = self.policies.get(service.policy)
-        return None if policy is None else (service.policy, policy)
-
     def is_draining(self, target_kind: DrainKind, target: str) -> bool:
         """Return whether an engine, application or node receives no new work."""
         return DrainTarget(target_kind, target) in self.draining
--- a/src/passlane/decisions/backends/cache_view.py
+++ b/src/passlane/decisions/backends/cache_view.py
@@ -46,11 +46,6 @@
         """Whether events were missed and no snapshot has come since."""
         return self._unsure
 
-    @property
-    def incarnation(self) -> int | None:
-        """Incarnation that the view is of; ``None`` until one was seen."""
-        return self._incarnation
-
     @property
     def oldest_used_at(self) -> float | None:
         """Local time when the entry was last used that the engine would evict next."""
--- a/src/passlane/decisions/backends/engine_view.py
+++ b/src/passlane/decisions/backends/engine_view.py
@@ -9,7 +9,7 @@
 from passlane.decisions.backends.circuit_breaker import CircuitBreaker
 from passlane.decisions.backends.speed import MAX_SLOWDOWN, EngineSpeed, FleetSpeed
 from passlane.decisions.inputs.call_scheduler_config import SchedulerConfig
-from passlane.identifiers import CallId, EngineId, ProgramId
+from passlane.identifiers import CallId, EngineId
 from passlane.messages.backends import EngineLoad
 
 OVERDUE_FACTOR = 3.0
@@ -25,7 +25,6 @@
     """
 
     call_id: CallId
-    program_id: ProgramId
     started_at: float
     expected_s: float
     expected_slowdown: float
--- a/src/passlane/decisions/failure/retry_budget.py
+++ b/src/passlane/decisions/failure/retry_budget.py
@@ -26,11 +26,6 @@
         self._config = config or RetryBudgetConfig()
         self._saved = self._config.max_retries
 
-    @property
-    def saved(self) -> float:
-        """Retries that could be made now."""
-        return self._saved
-
     def record_request(self) -> None:
         """Note a first attempt."""
         self._saved = min(self._saved + self._config.retries_per_request, self._config.max_retries)
--- a/src/passlane/decisions/inputs/relayed_call.py
+++ b/src/passlane/decisions/inputs/relayed_call.py
@@ -22,8 +22,6 @@
 
     Attributes
     ----------
-    session_id
-        The line of turns; ``None`` if the caller named none.
     deadline_at
         Local time at which the program should be over; ``None`` if unknown.
     budget_tokens
@@ -31,7 +29,6 @@
     """
 
     program_id: str
-    session_id: str | None
     deadline_at: float | None
     budget_tokens: int | None
 
--- a/src/passlane/decisions/limits/rate_limit.py
+++ b/src/passlane/decisions/limits/rate_limit.py
@@ -79,11 +79,6 @@
         self._bucket = TokenBucket(limits.calls_per_second, limits.burst_calls)
         self._in_flight = 0
 
-    @property
-    def in_flight(self) -> int:
-        """Calls admitted and not yet released."""
-        return self._in_flight
-
     def is_idle(self, now: float) -> bool:
         """Return whether the limiter remembers nothing that a new one would not know."""
         return self._in_flight == 0 and self._bucket.is_full(now)
--- a/src/passlane/decisions/scheduling/call_scheduler.py
+++ b/src/passlane/decisions/scheduling/call_scheduler.py
@@ -333,7 +333,6 @@
         engine.record_start(
             RunningCall(
                 call_id=call.call_id,
-                program_id=call.program_id,
                 started_at=now,
                 expected_s=estimate.service_s,
                 expected_slowdown=engine.slowdown(now),
--- a/src/passlane/identifiers.py
+++ b/src/passlane/identifiers.py
@@ -11,9 +11,6 @@
 CallId = NewType("CallId", str)
 """One call of a program; the same for every attempt at it."""
 
-AttemptId = NewType("AttemptId", str)
-"""One try at running a call on one back end."""
-
 NodeId = NewType("NodeId", str)
 """A node process, by its configured name."""
 
--- a/src/passlane/messages/base.py
+++ b/src/passlane/messages/base.py
@@ -4,7 +4,7 @@
 decoder for a union of classes picks the right one.
 """
 
-from typing import Any, TypeVar
+from typing import Any
 
 import msgspec
 
@@ -13,8 +13,6 @@
     """Base of every message, command and result; immutable, tagged by class name."""
 
 
-MessageType = TypeVar("MessageType", bound=Message)
-
 _encoder = msgspec.msgpack.Encoder()
 
 
--- a/src/passlane/messages/control.py
+++ b/src/passlane/messages/control.py
@@ -221,7 +221,6 @@
 
 
 ControlCommand = PutDocument | WithdrawChange | AcceptRevision | SetRegions
-ControlQuery = ReadDocuments | ReadProgress | ReadControlStatus | RegionReport
 ControlResult = (
     PutResult
     | VersionConflict
--- a/src/passlane/node/call_reports.py
+++ b/src/passlane/node/call_reports.py
@@ -35,7 +35,6 @@
     """One attempt at a back end; ``verdict`` is ``RAN`` if it brought its answer."""
 
     kind: CallKind
-    backend: str
     verdict: Verdict
 
 
--- a/src/passlane/node/led_program.py
+++ b/src/passlane/node/led_program.py
@@ -28,15 +28,12 @@
     ----------
     texts
         Tokens of its answer that were generated so far.
-    new_prompt_tokens
-        Estimated tokens of the caller's messages in it.
     proved_not_run
         Whether this leader knows that nothing of it ran.
     """
 
     call: CallRecord
     texts: tuple[str, ...] = ()
-    new_prompt_tokens: int = 0
     proved_not_run: bool = False
 
     def abandoned_outcome(self) -> CallOutcome:
--- a/src/passlane/node/model_attempt.py
+++ b/src/passlane/node/model_attempt.py
@@ -86,7 +86,7 @@
         self.post(event)
 
     def _report(self, verdict: Verdict) -> None:
-        report = AttemptReport(self.plan.kind, self.start.backend, verdict)
+        report = AttemptReport(self.plan.kind, verdict)
         self.services.reports.publish_attempt(report)
 
     async def _stream(self) -> EngineChunk:
--- a/src/passlane/node/node_core.py
+++ b/src/passlane/node/node_core.py
@@ -54,7 +54,6 @@
     directory: ProgramDirectory
     admission: Admission
     releases: ReleaseLoop
-    poller: EnginePoller
     leader: LeaderService
     forwarder: Forwarder
     incoming: IncomingPartitions
@@ -177,7 +176,6 @@
         directory=directory,
         admission=admission,
         releases=releases,
-        poller=poller,
         leader=leader,
         forwarder=Forwarder(caller, leadership, partition_count, source, reports),
         incoming=incoming,
--- a/src/passlane/node/program_directory.py
+++ b/src/passlane/node/program_directory.py
@@ -142,7 +142,3 @@
         for host in self.hosts:
             if host.is_idle and now - host.program.last_used_at > IDLE_S:
                 del self._hosts[host.program.program_id]
-
-    def forget(self, host: ProgramHost) -> None:
-        """Drop an ended program."""
-        self._hosts.pop(host.program.program_id, None)
--- a/src/passlane/node/tool_attempt.py
+++ b/src/passlane/node/tool_attempt.py
@@ -57,7 +57,7 @@
             self.services.tools.finish(
                 self.offer.application_id, healthy=healthy, now=anyio.current_time()
             )
-            report = AttemptReport(self.plan.kind, self.start.backend, verdict)
+            report = AttemptReport(self.plan.kind, verdict)
             self.services.reports.publish_attempt(report)
         self.post(event)
 
--- a/src/passlane/observability/ring.py
+++ b/src/passlane/observability/ring.py
@@ -23,7 +23,6 @@
 
     def __init__(self, max_lines: int) -> None:
         self._lines: deque[dict[str, Any]] = deque(maxlen=max_lines)
-        self._dumps = 0
 
     def add(self, line: EventDict) -> None:
         """Keep one line."""
@@ -45,7 +44,6 @@
             When the disk refuses.
         """
         existing = len(disk.list_files(folder))
-        self._dumps += 1
         name = f"{folder}/{existing + 1:06d}-{reason}.jsonl"
         await disk.replace(name, b"\n".join(self.lines()) + b"\n")
         return name
--- a/src/passlane/platform/request_format.py
+++ b/src/passlane/platform/request_format.py
@@ -77,7 +77,6 @@
         return None
     return ProgramContext(
         program_id=program_id,
-        session_id=values.get(names.SESSION_ID) or None,
         deadline_at=_later(values, names.PROGRAM_DEADLINE_MS, now),
         budget_tokens=_whole_number(values, names.TOKEN_BUDGET),
     )
--- a/src/passlane/raft/events.py
+++ b/src/passlane/raft/events.py
@@ -10,7 +10,7 @@
 
 from passlane.identifiers import ReplicaId
 from passlane.messages.common import Address
-from passlane.messages.raft import AnyRaftMessage, GroupMember
+from passlane.messages.raft import AnyRaftMessage
 from passlane.raft.snapshot_data import SnapshotData
 
 
@@ -106,16 +106,6 @@
     replica_id: ReplicaId
 
 
-class ReplicaStarted(msgspec.Struct, frozen=True):
-    """What this replica finds on its disk when it starts.
-
-    ``members`` is empty for a replica that has not joined yet: it stays a silent
-    learner until a leader adds it.
-    """
-
-    members: tuple[GroupMember, ...]
-
-
 Event = (
     TimeAdvanced
     | MessageReceived
--- a/src/passlane/replication/replica_host.py
+++ b/src/passlane/replication/replica_host.py
@@ -109,7 +109,6 @@
         self._empty_state = tuple(state_machine.snapshot_parts())
         self._environment = environment
         self._caller = caller
-        self._folder = folder
         self._identity_file = IdentityFile(environment.disk, folder, group, own_name)
         self._entry = GroupEntry(
             group,
--- a/src/passlane/settings/loader.py
+++ b/src/passlane/settings/loader.py
@@ -5,7 +5,7 @@
 
 import re
 import tomllib
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 from types import MappingProxyType
 from typing import Any, TypeVar
@@ -152,8 +152,3 @@
         return msgspec.to_builtins(Address.parse(value))
     except ValueError as error:
         raise _AddressError(SettingsProblem(key, str(error))) from None
-
-
-def problem_lines(problems: Iterable[SettingsProblem]) -> list[str]:
-    """Return one line for each problem."""
-    return [f"{problem.key}: {problem.message}" for problem in problems]
--- a/src/passlane/soak/callers.py
+++ b/src/passlane/soak/callers.py
@@ -140,7 +140,6 @@
     return Attempt(
         request_id=request_id,
         operation=call.name,
-        route=call.route,
         sent_at=now,
         most_runs=call.most_runs,
         is_once=call.is_once,
--- a/src/passlane/soak/ledger.py
+++ b/src/passlane/soak/ledger.py
@@ -41,7 +41,6 @@
 
     request_id: str
     operation: str
-    route: str
     sent_at: float
     most_runs: int
     is_once: bool
--- a/src/passlane/transport/client_connection.py
+++ b/src/passlane/transport/client_connection.py
@@ -91,7 +91,6 @@
         self._pending: dict[int, _PendingCall | _PendingStream] = {}
         self._request_ids = itertools.count(1)
         self._sent_since_receipt = False
-        self.last_used = anyio.current_time()
 
     @property
     def is_closed(self) -> bool:
@@ -178,7 +177,6 @@
             # Silence counts from the first message after a quiet time, not from before.
             self._channel.last_received = now
         self._sent_since_receipt = True
-        self.last_used = now
 
     def send_one_way(self, message: Message) -> bool:
         """Queue a one-way message; return ``False`` when it was dropped."""
--- a/tests/decisions/admission/test_node_load.py
+++ b/tests/decisions/admission/test_node_load.py
@@ -89,7 +89,7 @@
 
 class KnownProgramsTest(unittest.TestCase):
     def call(self, program="p", previous=None):
-        context = ProgramContext(program, None, None, None) if program else None
+        context = ProgramContext(program, None, None) if program else None
         return RelayedCall(
             "r", "POST", "h", "/", (), b"", 0.0, 1.0, program=context, previous_turn=previous
         )
--- a/tests/relay/fakes.py
+++ b/tests/relay/fakes.py
@@ -32,7 +32,7 @@
 
 
 def call(request_id="r-1", *, body=b"new", path="/first/x", budget=None, most=10, **changes):
-    program = ProgramContext("p", "s", None, budget) if budget is not None else None
+    program = ProgramContext("p", None, budget) if budget is not None else None
     values = {
         "request_id": request_id,
         "method": "POST",
--- a/tests/soak/test_ledger.py
+++ b/tests/soak/test_ledger.py
@@ -15,7 +15,6 @@
     def send(self, request_id, *, now=1.0, **changes):
         usual = {
             "operation": request_id,
-            "route": "long",
             "most_runs": 1,
             "is_once": False,
             "body": b"input",
