--- a/src/passlane/emulator/application_model.py
+++ b/src/passlane/emulator/application_model.py
@@ -122,7 +122,6 @@
         self._operations: dict[str, _Operation] = {}
         self._ledger: list[LedgerLine] = []
         self._forced: list[_ForcedBehaviour] = []
-        self.requests_received = 0
 
     def offers(self, tool: str) -> bool:
         """Return whether the application has a tool of this name."""
@@ -136,7 +135,6 @@
 
     def receive(self, tool: str, request: ToolRequest, now: float) -> Handling | ApplicationAnswer:
         """Plan the handling of a request, or give its answer when it is known at once."""
-        self.requests_received += 1
         known = self._operations.get(request.operation_id)
         if tool not in self._settings.tools:
             return self._rejection(404, request, "unknown tool")
--- a/src/passlane/runtime/real.py
+++ b/src/passlane/runtime/real.py
@@ -1,8 +1,7 @@
 """The real environment of a daemon: TCP, HTTP, disk and a random generator."""
 
 import random
-from collections.abc import AsyncIterator
-from contextlib import asynccontextmanager
+from contextlib import AbstractAsyncContextManager
 from pathlib import Path
 
 from passlane.messages.common import Address
@@ -24,11 +23,9 @@
 class _NoHttpClient:
     """Stands for the HTTP client in processes that send no requests."""
 
-    @asynccontextmanager
-    async def exchange(self, request: HttpRequest) -> AsyncIterator[HttpResponse]:
+    def exchange(self, request: HttpRequest) -> AbstractAsyncContextManager[HttpResponse]:
         """Refuse: nothing leaves this process."""
         raise HttpConnectionError("this process sends no requests", bytes_left=False)
-        yield
 
     def has_idle_connection(self, address: Address) -> bool:
         """Return that there is none."""
