--- a/Makefile
+++ b/Makefile
@@ -18,6 +18,7 @@
 	$(VENV)/bin/ruff check src tests
 	$(VENV)/bin/mypy
 	$(VENV)/bin/lint-imports
+	$(VENV)/bin/vulture
 
 format: setup
 	$(VENV)/bin/ruff format src tests
