--- a/src/passlane/backends/failures.py
+++ b/src/passlane/backends/failures.py
@@ -114,6 +114,7 @@
         body = await read_whole(response, MAX_PROBLEM_BYTES)
         problem = msgspec.json.decode(body, type=ProblemBody)
     except (OSError, BackendError, msgspec.MsgspecError):
+        # The refusal is reported all the same, by the status alone.
         return None
     return problem
 
@@ -165,5 +166,6 @@
     try:
         seconds = float(value)
     except ValueError:
+        # No time was named, or a date: the retries' own pauses hold.
         return None
     return seconds if 0 <= seconds < float("inf") else None
--- a/src/passlane/cli/client.py
+++ b/src/passlane/cli/client.py
@@ -165,4 +165,5 @@
     try:
         return ApiError(msgspec.json.decode(body, type=OperatorProblem))
     except msgspec.MsgspecError:
+        # Not the body of an operators' server: the status is all that can be told.
         return PasslaneError(ErrorCode.PROTOCOL_ERROR, f"the server answered {status}")
--- a/src/passlane/configuration/parsing.py
+++ b/src/passlane/configuration/parsing.py
@@ -62,6 +62,7 @@
     try:
         return parse_body(parse_kind(document.kind), document.body)
     except PasslaneError:
+        # Whoever acts on the document counts it among the unreadable ones.
         return None
 
 
--- a/src/passlane/daemon/fleet_start.py
+++ b/src/passlane/daemon/fleet_start.py
@@ -47,6 +47,7 @@
     try:
         addresses = tomllib.loads(path.read_text())["addresses"]
     except (OSError, ValueError, KeyError):
+        # The check of the settings, a moment later, tells what is wrong and ends the process.
         return
     for name in EARLY_ADDRESSES:
         address = addresses.get(name) if isinstance(addresses, dict) else None
--- a/src/passlane/node/engine_poller.py
+++ b/src/passlane/node/engine_poller.py
@@ -17,6 +17,9 @@
 from passlane.messages.backends import CacheSnapshot, EngineLoad
 from passlane.node.call_services import CallServices
 from passlane.node.poll_pace import PollPace
+from passlane.observability.logging import get_logger
+
+_log = get_logger(__name__)
 
 
 @dataclass
@@ -113,7 +116,8 @@
     async def _fetch(self, engine_id: EngineId) -> None:
         try:
             snapshot = await self.read_cache(engine_id)
-        except BackendError:
+        except BackendError as error:
+            _log.info("engine_cache_not_read", engine_id=engine_id, code=error.code.value)
             return
         finally:
             self._fetching.discard(engine_id)
--- a/src/passlane/node/leader_service.py
+++ b/src/passlane/node/leader_service.py
@@ -39,10 +39,13 @@
 from passlane.node.refusal_verdicts import RefusalJudge, refusal_with_verdict
 from passlane.node.release_loop import ReleaseLoop
 from passlane.node.subscription import Subscription
+from passlane.observability.logging import get_logger
 from passlane.policy.governor import BudgetDecision
 from passlane.programs.call_identity import call_id_of
 from passlane.transport.interfaces import Caller
 
+_log = get_logger(__name__)
+
 STORE_TIMEOUT_S = 10.0
 LOADING_RETRY_AFTER_S = 1.0
 UNKNOWN_TENANT_RETRY_AFTER_S = 5.0
@@ -273,8 +276,11 @@
         """Release what engines hold for a sub-agent that ended with its parent."""
         try:
             await self.look_after(notice.program_id)
-        except PasslaneError:
-            return
+        except PasslaneError as error:
+            # The sweep of unsettled programs comes back to it.
+            _log.info(
+                "ended_program_not_settled", program_id=notice.program_id, code=error.code.value
+            )
 
     async def look_after(self, program_id: ProgramId) -> None:
         """Settle what an earlier leader left: doubtful operations and held memory.
--- a/src/passlane/node/memory_sweep.py
+++ b/src/passlane/node/memory_sweep.py
@@ -104,7 +104,8 @@
     async def _sweep_engine(self, engine_id: EngineId) -> None:
         try:
             snapshot = await self._poller.read_cache(engine_id)
-        except BackendError:
+        except BackendError as error:
+            _log.info("engine_not_swept", engine_id=engine_id, code=error.code.value)
             return
         if snapshot is not None:
             await self._compare(engine_id, (entry.program_id for entry in snapshot.entries))
--- a/src/passlane/observability/request_log.py
+++ b/src/passlane/observability/request_log.py
@@ -156,6 +156,7 @@
         try:
             request = _decoder.decode(line[start:].strip().encode())
         except msgspec.MsgspecError:
+            # The last line of a log that is being written, or one of another program.
             continue
         if request.event == REQUEST_EVENT:
             yield request
--- a/src/passlane/policy/compiled.py
+++ b/src/passlane/policy/compiled.py
@@ -128,6 +128,7 @@
     try:
         value = module[name]
     except starlark.StarlarkError:
+        # Not handed out, so it is a function.
         return True
     if value is None:
         return False
--- a/src/passlane/runtime/early_listening.py
+++ b/src/passlane/runtime/early_listening.py
@@ -53,5 +53,6 @@
         listening = bound_socket(host, int(port))
         listening.listen(LISTEN_BACKLOG)
     except (OSError, ValueError, OverflowError):
+        # The server listens again when it starts, and then tells what is wrong.
         return None
     return listening
--- a/src/passlane/runtime/http_client.py
+++ b/src/passlane/runtime/http_client.py
@@ -84,6 +84,7 @@
                 await self._send_unsent()
                 return await self._stream.receive(max_bytes)
         except anyio.EndOfStream:
+            # So httpcore's network stream tells an end.
             return b""
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
             raise httpcore.ReadError(str(error)) from error
--- a/src/passlane/storage/identity.py
+++ b/src/passlane/storage/identity.py
@@ -111,6 +111,7 @@
                 return 0
             return decode_payload(Identity, record.payload, self._name).generation
         except (OSError, PasslaneError):
+            # A file that is missing or damaged; the folders tell the generations then.
             return 0
 
     async def _save(self, identity: Identity) -> None:
--- a/src/passlane/storage/reserve.py
+++ b/src/passlane/storage/reserve.py
@@ -52,4 +52,5 @@
         try:
             return self._disk.open_read(self._name).size
         except FileNotFoundError:
+            # Given back to the disk, or never held.
             return 0
--- a/src/passlane/storage/snapshots.py
+++ b/src/passlane/storage/snapshots.py
@@ -156,6 +156,7 @@
         try:
             file = self._disk.open_read(self._name)
         except FileNotFoundError:
+            # None was taken yet.
             return None
         header, start = self._read_header(file)
         checksums = BlockChecksums()
--- a/src/passlane/store/platform_watch.py
+++ b/src/passlane/store/platform_watch.py
@@ -6,14 +6,17 @@
 from passlane.identifiers import EngineId, NodeId
 from passlane.messages.backends import PlatformList
 from passlane.messages.common import Address
+from passlane.observability.logging import get_logger
 from passlane.runtime.interfaces import HttpClient, HttpRequest
 
 POLL_S = 1.0
 """Seconds between two requests for the list."""
 
+OK_STATUS = 200
 LEAVING = "leaving"
 """State of a machine that is about to go."""
 
+_log = get_logger(__name__)
 _decoder = msgspec.json.Decoder(PlatformList)
 
 
@@ -29,6 +32,7 @@
         self._http_client = http_client
         self._address = address
         self._leaving: tuple[str, ...] = ()
+        self._is_read = True
 
     @property
     def leaving_engines(self) -> tuple[EngineId, ...]:
@@ -52,11 +56,20 @@
             with anyio.fail_after(POLL_S):
                 async with self._http_client.exchange(request) as response:
                     body = b"".join([chunk async for chunk in response.chunks()])
-            if response.status != 200:
+            if response.status != OK_STATUS:
+                self._note_failure(f"status {response.status}")
                 return
             listed = _decoder.decode(body)
-        except (OSError, msgspec.DecodeError):
+        except (OSError, msgspec.DecodeError) as error:
+            self._note_failure(str(error) or type(error).__name__)
             return
+        self._is_read = True
         self._leaving = tuple(
             sorted(machine.name for machine in listed.machines if machine.state == LEAVING)
         )
+
+    def _note_failure(self, reason: str) -> None:
+        """Log that the list can't be read, once until it can be read again."""
+        if self._is_read:
+            _log.info("machine_list_not_read", reason=reason)
+        self._is_read = False
--- a/src/passlane/store/service.py
+++ b/src/passlane/store/service.py
@@ -102,6 +102,7 @@
         try:
             await self._barrier.wait()
         except PasslaneError:
+            # Deposed before it began; the group logs the change, and ``run`` tries again.
             return
         term = LeaderTerm(
             number=term_number,
--- a/src/passlane/transport/channel.py
+++ b/src/passlane/transport/channel.py
@@ -115,6 +115,7 @@
             try:
                 data = await self._stream.receive(RECEIVE_BYTES)
             except anyio.EndOfStream:
+                # The ordinary end of a connection; who still waits on it is told by its owner.
                 return
             self.last_received = anyio.current_time()
             for frame in self._decoder.feed(data):
--- a/src/passlane/transport/client.py
+++ b/src/passlane/transport/client.py
@@ -122,5 +122,6 @@
         try:
             connection = await self._connection(address, ONE_WAY_CONNECT_S)
         except PasslaneError:
+            # One-way messages may be lost: who sends them repeats them or does without.
             return
         connection.send_one_way(message)
