--- a/src/passlane/runtime/without_openssl.py
+++ b/src/passlane/runtime/without_openssl.py
@@ -17,11 +17,17 @@
 
 
 class TlsNotAvailableError(RuntimeError):
-    """Something asked for TLS in a process that was started without it."""
+    """Something asked for TLS in a process that was started without it.
+
+    A fault of the code, which no request is answered with: it has no code of the errors.
+    """
 
 
 class _PlaceholderError(Exception):
-    """Stands for a class or constant: may be named in annotations, compared and caught."""
+    """Stands for a class or constant: may be named in annotations, compared and caught.
+
+    An exception only because some of the names that it stands for are; it is never raised.
+    """
 
     def __init__(self, *_arguments: Any, **_options: Any) -> None:
         raise TlsNotAvailableError("this process was started without TLS")
--- a/src/passlane/settings/loader.py
+++ b/src/passlane/settings/loader.py
@@ -107,7 +107,7 @@
 
 
 class _AddressError(Exception):
-    """A text that is no address."""
+    """A text that is no address; ``convert_settings`` makes a ``SettingsError`` of it."""
 
     def __init__(self, problem: SettingsProblem) -> None:
         super().__init__(problem.message)
--- a/src/passlane/storage/recovery.py
+++ b/src/passlane/storage/recovery.py
@@ -70,7 +70,7 @@
 
 
 class _InconsistentError(Exception):
-    """The records stop making sense here."""
+    """The records stop making sense here; the reader cuts the log off, or refuses it."""
 
 
 def recover_log(segments: list[SegmentFile], group: str, snapshot: LogPosition) -> RecoveredLog:
