--- a/src/passlane/configuration/files.py
+++ b/src/passlane/configuration/files.py
@@ -35,7 +35,6 @@
 
     def __init__(self, path: Path, place: str, message: str) -> None:
         super().__init__(ErrorCode.INVALID_DOCUMENT, f"{path}: {place}{message}")
-        self.path = path
 
 
 @dataclass(frozen=True)
--- a/src/passlane/daemon/fleet_start.py
+++ b/src/passlane/daemon/fleet_start.py
@@ -12,7 +12,7 @@
 import sys
 import time
 import tomllib
-from collections.abc import Iterator, Mapping
+from collections.abc import Iterator
 from pathlib import Path
 
 from passlane.platform.names import SETTINGS_VARIABLE
@@ -23,12 +23,12 @@
 """Settings under ``addresses`` that others connect to from outside the fleet."""
 
 
-def main(variables: Mapping[str, str] = os.environ) -> int:
+def main() -> int:
     """Listen and ignore reload signals until the daemon takes over, then run it."""
     started_at = time.monotonic()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     gc.disable()
-    path = Path(variables.get(SETTINGS_VARIABLE, ""))
+    path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     sockets = ListeningSockets()
     sockets.listen(early_addresses(path))
     leave_openssl_out()
--- a/src/passlane/node/trace_recorder.py
+++ b/src/passlane/node/trace_recorder.py
@@ -4,8 +4,6 @@
 and so the work they cause, stay.
 """
 
-from collections.abc import Callable
-
 import anyio
 import msgspec
 
@@ -48,8 +46,6 @@
         Written into the first line.
     redacts_content
         Whether texts are replaced.
-    clock
-        Local monotonic time in seconds.
     """
 
     def __init__(
@@ -58,11 +54,9 @@
         deployment: str,
         *,
         redacts_content: bool,
-        clock: Callable[[], float] = anyio.current_time,
     ) -> None:
         self._file_name = file_name
         self._redacts_content = redacts_content
-        self._clock = clock
         self._started_at: float | None = None
         self._dropped = 0
         start = TraceStart(format=TRACE_FORMAT, name=file_name, deployment=deployment)
@@ -96,7 +90,7 @@
         """Record a new program."""
         self._add(
             ProgramCreated(
-                at_s=self._at(self._clock()),
+                at_s=self._at(anyio.current_time()),
                 tenant=request.tenant_id,
                 program=request.program_id,
                 parent=request.parent_id,
@@ -106,7 +100,7 @@
 
     def take_ended(self, program_id: ProgramId) -> None:
         """Record a program's end."""
-        self._add(ProgramEndAsked(at_s=self._at(self._clock()), program=program_id))
+        self._add(ProgramEndAsked(at_s=self._at(anyio.current_time()), program=program_id))
 
     def _outcome(self, report: CallReport) -> CallOutcomeStated:
         answer = report.answer
--- a/src/passlane/policy/compiled.py
+++ b/src/passlane/policy/compiled.py
@@ -68,7 +68,6 @@
     """
 
     def __init__(self, source: str, max_steps: int) -> None:
-        self.source = source
         self.max_steps = max_steps
         module = starlark.Module()
         limit = _StepLimit(max_steps)
--- a/src/passlane/settings/loader.py
+++ b/src/passlane/settings/loader.py
@@ -31,7 +31,6 @@
     def __init__(self, path: Path, problems: Sequence[SettingsProblem]) -> None:
         lines = "; ".join(f"{path}: {problem.key}: {problem.message}" for problem in problems)
         super().__init__(ErrorCode.INVALID_SETTINGS, lines)
-        self.path = path
         self.problems = tuple(problems)
 
 
--- a/src/passlane/soak/machines.py
+++ b/src/passlane/soak/machines.py
@@ -34,9 +34,9 @@
 _NETWORK_PARTS = 250
 
 
-def loopback_network(process_id: int | None = None) -> str:
+def loopback_network() -> str:
     """Return the first three numbers of the addresses that a soak uses."""
-    number = process_id or os.getpid()
+    number = os.getpid()
     second = number // _NETWORK_PARTS % _NETWORK_PARTS + 1
     return f"127.{second}.{number % _NETWORK_PARTS + 1}"
 
--- a/src/passlane/transport/channel.py
+++ b/src/passlane/transport/channel.py
@@ -10,7 +10,7 @@
 from passlane.errors import ErrorCode, PasslaneError, Verdict
 from passlane.messages.base import Message
 from passlane.messages.registry import decode_any_message
-from passlane.transport.frames import MAX_FRAME_BYTES, Frame, FrameDecoder, encode_frame
+from passlane.transport.frames import Frame, FrameDecoder, encode_frame
 
 RECEIVE_BYTES = 65_536
 WRITE_BATCH_BYTES = 262_144
@@ -41,10 +41,9 @@
     one turn of the loop leave in one write.
     """
 
-    def __init__(self, stream: ByteStream, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
+    def __init__(self, stream: ByteStream) -> None:
         self._stream = stream
-        self._max_frame_bytes = max_frame_bytes
-        self._decoder = FrameDecoder(max_frame_bytes)
+        self._decoder = FrameDecoder()
         self._queue: deque[bytes] = deque()
         self._queued_bytes = 0
         self._queue_filled = anyio.Event()
@@ -70,7 +69,7 @@
             raise PasslaneError(
                 ErrorCode.CONNECTION_LOST, "the connection is closed", verdict=Verdict.NOT_RUN
             )
-        data = encode_frame(frame, self._max_frame_bytes)
+        data = encode_frame(frame)
         self._queue.append(data)
         self._queued_bytes += len(data)
         self._queue_filled.set()
--- a/src/passlane/transport/credit.py
+++ b/src/passlane/transport/credit.py
@@ -11,8 +11,8 @@
 class CreditGate:
     """Counts the credit of one stream at the server."""
 
-    def __init__(self, window: int = STREAM_WINDOW) -> None:
-        self._credit = window
+    def __init__(self) -> None:
+        self._credit = STREAM_WINDOW
         self._granted = anyio.Event()
 
     def grant(self, items: int) -> None:
--- a/src/passlane/transport/frames.py
+++ b/src/passlane/transport/frames.py
@@ -52,18 +52,18 @@
     body: bytes = b""
 
 
-def encode_frame(frame: Frame, max_frame_bytes: int = MAX_FRAME_BYTES) -> bytes:
+def encode_frame(frame: Frame) -> bytes:
     """Return the bytes of ``frame``.
 
     Raises
     ------
     PasslaneError
-        ``FRAME_TOO_LARGE`` when the body is larger than ``max_frame_bytes``.
+        ``FRAME_TOO_LARGE`` when the body is larger than ``MAX_FRAME_BYTES``.
     """
     length = len(frame.body)
-    if length > max_frame_bytes:
+    if length > MAX_FRAME_BYTES:
         raise PasslaneError(
-            ErrorCode.FRAME_TOO_LARGE, f"a body of {length} bytes is above {max_frame_bytes}"
+            ErrorCode.FRAME_TOO_LARGE, f"a body of {length} bytes is above {MAX_FRAME_BYTES}"
         )
     header = _HEADER.pack(PROTOCOL_VERSION, frame.kind, length, frame.request_id, frame.value)
     return header + frame.body
@@ -72,8 +72,7 @@
 class FrameDecoder:
     """Cuts a stream of bytes into frames."""
 
-    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES) -> None:
-        self._max_frame_bytes = max_frame_bytes
+    def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
@@ -106,8 +105,8 @@
             raise PasslaneError(ErrorCode.PROTOCOL_ERROR, f"protocol version {version} is unknown")
         if kind not in _KINDS:
             raise PasslaneError(ErrorCode.PROTOCOL_ERROR, f"frame kind {kind} is unknown")
-        if length > self._max_frame_bytes:
+        if length > MAX_FRAME_BYTES:
             raise PasslaneError(
                 ErrorCode.FRAME_TOO_LARGE,
-                f"a body of {length} bytes is above {self._max_frame_bytes}",
+                f"a body of {length} bytes is above {MAX_FRAME_BYTES}",
             )
