--- a/src/passlane/decisions/limits/rate_limit.py
+++ b/src/passlane/decisions/limits/rate_limit.py
@@ -44,19 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantLimits:
-    """What a tenant may do at one node.
-
-    ``burst`` is in calls; ``None`` lets one second's worth of calls come at once.
-    """
+    """What a tenant may do at one node; one second's worth of calls may come at once."""
 
     calls_per_second: float
     max_calls_in_flight: int
-    burst: float | None = None
-
-    @property
-    def burst_calls(self) -> float:
-        """Calls that may come at once."""
-        return self.calls_per_second if self.burst is None else self.burst
 
 
 @dataclass(frozen=True, slots=True)
@@ -76,7 +67,7 @@
 
     def __init__(self, limits: TenantLimits) -> None:
         self._limits = limits
-        self._bucket = TokenBucket(limits.calls_per_second, limits.burst_calls)
+        self._bucket = TokenBucket(limits.calls_per_second, limits.calls_per_second)
         self._in_flight = 0
 
     def is_idle(self, now: float) -> bool:
@@ -88,7 +79,7 @@
         if limits == self._limits:
             return
         self._limits = limits
-        self._bucket.change(limits.calls_per_second, limits.burst_calls)
+        self._bucket.change(limits.calls_per_second, limits.calls_per_second)
 
     def admit(self, now: float) -> Admission:
         """Admit one call at ``now`` (local monotonic seconds) or refuse it."""
