--- a/src/passlane/relay/__init__.py
+++ b/src/passlane/relay/__init__.py
@@ -1,1 +1,1 @@
-"""Requests relayed to back ends: placement, verdicts, retries and streams."""
+"""Relays requests to back ends; why each ended, and by which rule, is in ``end_reasons``."""
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -8,12 +8,12 @@
 from passlane.decisions.admission.node_load import LoadChange, NodeCapacity, NodeLoad, NodeReading
 from passlane.decisions.admission.program_admission import ProgramAdmission
 from passlane.decisions.admission.program_admission import retry_after as promise_retry_after
-from passlane.decisions.backends.engine_places import EnginePlaces, PlacedTurn
+from passlane.decisions.backends.engine_slots import EngineSlots, PlacedTurn
 from passlane.decisions.backends.health import AttemptWatch, congestion_level, stall_limit_s
 from passlane.decisions.backends.registry import BackendLoad, BackendRegistry, ServiceJudgement
 from passlane.decisions.backends.speed import FleetSpeed
 from passlane.decisions.failure.client_timeout import first_part_due_at
-from passlane.decisions.failure.retry_after import retry_after_s as outage_retry_after_s
+from passlane.decisions.failure.retry_after import retry_after_outage_s as outage_retry_after_s
 from passlane.decisions.inputs.call_events import (
     CacheEventsReported,
     CacheSnapshotReported,
@@ -53,7 +53,8 @@
     TurnWithdrawn,
 )
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
-from passlane.decisions.order.room_queue import PauseRange, RoomTurn, WaitingCall
+from passlane.decisions.order.room_queue import PauseRange, WaitingCall
+from passlane.decisions.order.room_queue import RetryPermit as RoomTurn
 from passlane.decisions.order.service_room import ServiceRoom
 from passlane.decisions.placement.plain_placement import PlainCall, PlainChoice, PlainView
 from passlane.decisions.placement.request_placement import (
@@ -113,7 +114,7 @@
     "EngineChoice",
     "EngineId",
     "EngineLoad",
-    "EnginePlaces",
+    "EngineSlots",
     "EngineUnreachable",
     "EnginesChanged",
     "EnginesLeaving",
@@ -212,7 +213,7 @@
 SHORTENED: dict[type, str] = {
     BackendLoad: "record.instance_id",
     BackendRecord: "instance_id",
-    EnginePlaces: "instance_id",
+    EngineSlots: "instance_id",
     WaitingCall: "request_id",
 }
 """Objects with state of their own, for which the named path of attributes stands in a digest."""
