--- a/src/passlane/policy/compiled.py
+++ b/src/passlane/policy/compiled.py
@@ -68,7 +68,6 @@
     """
 
     def __init__(self, source: str, max_steps: int) -> None:
-        self.source = source
         self.max_steps = max_steps
         module = starlark.Module()
         limit = _StepLimit(max_steps)
@@ -128,6 +127,7 @@
     try:
         value = module[name]
     except starlark.StarlarkError:
+        # Not handed out, so it is a function.
         return True
     if value is None:
         return False
--- a/src/passlane/settings/loader.py
+++ b/src/passlane/settings/loader.py
@@ -5,7 +5,7 @@
 
 import re
 import tomllib
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Mapping, Sequence
 from pathlib import Path
 from types import MappingProxyType
 from typing import Any, TypeVar
@@ -31,7 +31,6 @@
     def __init__(self, path: Path, problems: Sequence[SettingsProblem]) -> None:
         lines = "; ".join(f"{path}: {problem.key}: {problem.message}" for problem in problems)
         super().__init__(ErrorCode.INVALID_SETTINGS, lines)
-        self.path = path
         self.problems = tuple(problems)
 
 
@@ -107,7 +106,7 @@
 
 
 class _AddressError(Exception):
-    """A text that is no address."""
+    """A text that is no address; ``convert_settings`` makes a ``SettingsError`` of it."""
 
     def __init__(self, problem: SettingsProblem) -> None:
         super().__init__(problem.message)
@@ -152,8 +151,3 @@
         return msgspec.to_builtins(Address.parse(value))
     except ValueError as error:
         raise _AddressError(SettingsProblem(key, str(error))) from None
-
-
-def problem_lines(problems: Iterable[SettingsProblem]) -> list[str]:
-    """Return one line for each problem."""
-    return [f"{problem.key}: {problem.message}" for problem in problems]
