--- a/.ci/dead_code_exceptions.py
+++ b/.ci/dead_code_exceptions.py
@@ -49,7 +49,7 @@
 _.is_not_assigned  # PlacementRank
 _.is_elsewhere  # PlacementRank
 _.fullness  # PlacementRank
-_.dislike  # PlacementRank
+_.negative_score  # PlacementRank
 
 # Members of enumerations that are drawn from the whole class.
 _.KILL_NODE  # DisturbanceKind
@@ -75,11 +75,3 @@
 _.within_seeds  # Within how many seeds it must be found.
 _.node_files  # Calls are recorded on a node's disk as they were made.
 _.runs_by_operation  # An application runs no operation twice that must run once.
-
-# Of the simulation, with no reader; none has a reason to stay.
-_.is_down  # SimulatedBackEnd
-_.finished_at  # Observer, Cluster
-_.syncs  # SimulatedDisk
-_.unblock  # SimulatedNetwork
-EnvironmentWrapper  # simulation.process
-_._invoked_at  # RaftClient
