--- a/src/passlane/soak/proxy.py
+++ b/src/passlane/soak/proxy.py
@@ -70,7 +70,9 @@
         """Reset the connections that are open now."""
         for connection, scope in self._connections.items():
             raw = connection.extra(SocketAttribute.raw_socket)
-            raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_AT_CLOSE)
+            # One that has been closed stays here until its task ends.
+            if raw.fileno() >= 0:
+                raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_AT_CLOSE)
             scope.cancel()
 
     async def _serve(self, caller: SocketStream) -> None:
--- a/tests/soak/test_proxy.py
+++ b/tests/soak/test_proxy.py
@@ -1,5 +1,6 @@
 """The proxy of bytes of a soak, on loopback."""
 
+import socket
 import unittest
 
 import anyio
@@ -36,6 +37,27 @@
         tasks.cancel_scope.cancel()
 
 
+class ClosedConnection:
+    """A connection whose socket is closed, while its task has not ended yet."""
+
+    def extra(self, _attribute):
+        closed = socket.socket()
+        closed.close()
+        return closed
+
+
+class ResetTest(unittest.TestCase):
+    def test_a_connection_that_is_closed_already_holds_up_no_reset(self):
+        async def check():
+            proxy = FaultyProxy("echo", Address("127.0.0.1", PORT), Address("127.0.0.1", PORT))
+            scopes = [anyio.CancelScope(), anyio.CancelScope()]
+            proxy._connections = {ClosedConnection(): scope for scope in scopes}
+            proxy.reset_all()
+            self.assertTrue(all(scope.cancel_called for scope in scopes))
+
+        anyio.run(check)
+
+
 class ProxyTest(unittest.TestCase):
     def test_bytes_are_held_until_the_mode_ends(self):
         async def check(proxy, stream):
