--- a/src/passlane/turns/leader_finder.py
+++ b/src/passlane/turns/leader_finder.py
@@ -1,8 +1,8 @@
-"""Answers which replica of the store group leads, and notes when another one does.
+"""Finds the leader of the store group and detects when it changes.
 
-It is for ``TurnStoreClient``. It owns the leader as now believed and since when it is in doubt;
-one search serves all requests of the process. It relies on ``ReplicaSearch`` for asking all
-replicas, and on terms for telling a newer leader from an older one.
+It is for ``TurnStoreClient``. It owns the address of the current leader and the time since which
+it is unconfirmed; one search serves all requests of the process. It relies on ``ReplicaSearch``
+to probe all replicas, and on terms to tell a newer leader from an older one.
 
 Times are in seconds.
 """
@@ -20,34 +20,31 @@
 from passlane.transport.interfaces import Caller
 from passlane.transport.replica_search import ReplicaSearch, SearchPauses
 
-LOST_AFTER_S = 1.0
-"""Seconds without a word of its leader after which the store group counts as lost. Not measured;
-chosen."""
+UNAVAILABLE_AFTER_S = 1.0
+"""Time with an unconfirmed leader after which the store group counts as unavailable."""
 PROBE_TIMEOUT_S = 0.3
-"""Seconds that one replica has to say whether it leads. Not measured; chosen."""
-SEARCH_PAUSES = SearchPauses(first_s=0.04, longest_s=0.18, growth=2.0)
-"""The longest, together with a question that nobody answers, stays below half a second. Not
-measured; chosen."""
-TRUST_S = 0.15
-"""Seconds for which a leader that has just answered is not put in doubt again. Not measured;
-chosen."""
+"""Timeout of a probe of one replica."""
+SEARCH_BACKOFF = SearchPauses(first_s=0.04, longest_s=0.18, growth=2.0)
+"""The maximum together with a probe that times out stays below half a second."""
+RECENT_ANSWER_S = 0.15
+"""Time after an answer during which the leader is not suspected."""
 
 _log = get_logger(__name__)
 
 
 class StoreLeaderFinder:
-    """Asks all replicas at once which of them leads, as long as that is in doubt.
+    """Probes all replicas in parallel for the leader while it is unconfirmed.
 
-    All requests of the process share one search. A leader of an older term never takes
-    the place of a newer one, so that a cut-off replica that still believes it leads
-    draws no requests.
+    All requests of the process share one search. A leader of an older term never replaces
+    one of a newer term while the group is available, so that a partitioned replica that
+    still believes it leads receives no requests.
 
     Parameters
     ----------
     addresses
-        Returns the replicas' internal addresses as now known.
-    on_moved
-        Called when another replica turns out to lead.
+        Returns the replicas' internal addresses as currently known.
+    on_leader_changed
+        Called when another replica becomes the leader.
     """
 
     def __init__(
@@ -55,31 +52,31 @@
         caller: Caller,
         addresses: Callable[[], Sequence[Address]],
         random: random_module.Random,
-        on_moved: Callable[[], None],
+        on_leader_changed: Callable[[], None],
     ) -> None:
         self._caller = caller
         self._addresses = addresses
-        self._on_moved = on_moved
+        self._on_leader_changed = on_leader_changed
         self._term = 0
         self._hint: Address | None = None
-        self._in_doubt_since: float | None = None
-        self._heard_at = -math.inf
-        self._search_wanted = anyio.Event()
+        self._unconfirmed_since: float | None = None
+        self._last_answer_at = -math.inf
+        self._search_requested = anyio.Event()
         self._found = anyio.Event()
         self.leader: Address | None = None
         self._search = ReplicaSearch(
-            self._candidates, self._ask, self._is_sure, SEARCH_PAUSES, random
+            self._candidates, self._probe, self._is_confirmed, SEARCH_BACKOFF, random
         )
 
     @property
-    def is_lost(self) -> bool:
-        """Whether the leader has been in doubt for so long that the group counts as lost."""
-        return self.doubt_s >= LOST_AFTER_S
+    def is_unavailable(self) -> bool:
+        """Whether the leader has been unconfirmed for so long that the group is unavailable."""
+        return self.unconfirmed_s >= UNAVAILABLE_AFTER_S
 
     @property
-    def doubt_s(self) -> float:
-        """For how long the leader has been in doubt; 0 while it is not."""
-        since = self._in_doubt_since
+    def unconfirmed_s(self) -> float:
+        """Seconds for which the leader has been unconfirmed; 0 while it is confirmed."""
+        since = self._unconfirmed_since
         return anyio.current_time() - since if since is not None else 0.0
 
     async def wait_for_leader(self, deadline: float) -> Address:
@@ -91,7 +88,7 @@
             ``UNAVAILABLE`` when none is found in time.
         """
         while self.leader is None:
-            self._doubt()
+            self._mark_unconfirmed()
             found = self._found
             with anyio.move_on_at(deadline) as scope:
                 await found.wait()
@@ -100,15 +97,18 @@
         return self.leader
 
     def suspect(self, address: Address) -> None:
-        """Note that an answer of the leader is overdue; it stays unless another one leads."""
-        is_trusted = anyio.current_time() - self._heard_at < TRUST_S
-        if address == self.leader and not is_trusted:
-            self._doubt()
+        """Mark the leader as unconfirmed, because an answer of it is overdue.
 
-    def reject(self, address: Address, hint: Address | None, reason: str) -> None:
-        """Note that a replica doesn't lead, or can't be reached; ``hint`` may lead instead.
+        It remains the leader until another replica confirms that it leads.
+        """
+        has_answered_recently = anyio.current_time() - self._last_answer_at < RECENT_ANSWER_S
+        if address == self.leader and not has_answered_recently:
+            self._mark_unconfirmed()
+
+    def mark_failed(self, address: Address, hint: Address | None, reason: str) -> None:
+        """Record that a replica doesn't lead or can't be reached; ``hint`` may lead instead.
 
-        Of a replica that is not taken to lead that is no news, so it is logged of the leader only.
+        Only the loss of the current leader is logged; of other replicas this is expected.
         """
         self._hint = hint
         if address != self.leader:
@@ -116,34 +116,34 @@
         _log.info("store_leader_lost", address=str(address), reason=reason)
         self.leader = None
         self._found = anyio.Event()
-        self._doubt()
+        self._mark_unconfirmed()
 
     def confirm(self, address: Address) -> None:
-        """Note that a replica answered as the leader."""
+        """Record that a replica answered as the leader."""
         if address == self.leader:
-            self._heard_at = anyio.current_time()
-            self._in_doubt_since = None
+            self._last_answer_at = anyio.current_time()
+            self._unconfirmed_since = None
 
     async def run(self) -> None:
-        """Search at the start and whenever the leader is in doubt, until cancelled."""
-        self._doubt()
+        """Search at the start and whenever the leader is unconfirmed, until cancelled."""
+        self._mark_unconfirmed()
         while True:
-            await self._search_wanted.wait()
-            self._search_wanted = anyio.Event()
-            if self._in_doubt_since is not None:
+            await self._search_requested.wait()
+            self._search_requested = anyio.Event()
+            if self._unconfirmed_since is not None:
                 await self._search.run()
 
-    def _doubt(self) -> None:
-        if self._in_doubt_since is None:
-            self._in_doubt_since = anyio.current_time()
-            self._search_wanted.set()
+    def _mark_unconfirmed(self) -> None:
+        if self._unconfirmed_since is None:
+            self._unconfirmed_since = anyio.current_time()
+            self._search_requested.set()
 
     def _candidates(self) -> list[Address]:
         hints = [self._hint] if self._hint is not None else []
         return list(dict.fromkeys([*self._addresses(), *hints]))
 
-    async def _ask(self, address: Address) -> bool:
-        """Ask one replica whether it leads; return whether the doubt is over."""
+    async def _probe(self, address: Address) -> bool:
+        """Probe one replica; return whether the leader is now confirmed."""
         try:
             answer = await self._caller.call(
                 address, FindTurnStore(), TurnStoreFound, timeout_s=PROBE_TIMEOUT_S
@@ -151,25 +151,25 @@
         except PasslaneError as error:
             _log.debug("no_store_leader", address=str(address), code=error.code.value)
         else:
-            self._take_over(address, answer.term)
-        return self._is_sure()
+            self._accept_leader(address, answer.term)
+        return self._is_confirmed()
 
-    def _is_sure(self) -> bool:
-        return self._in_doubt_since is None
+    def _is_confirmed(self) -> bool:
+        return self._unconfirmed_since is None
 
-    def _take_over(self, address: Address, term: int) -> None:
-        """Believe a replica that says it leads, unless a later leader is known."""
-        since = self._in_doubt_since
-        if since is None or (term < self._term and not self.is_lost):
+    def _accept_leader(self, address: Address, term: int) -> None:
+        """Accept a replica that claims to lead, unless a leader of a later term is known."""
+        since = self._unconfirmed_since
+        if since is None or (term < self._term and not self.is_unavailable):
             return
         if address != self.leader:
             lost_s = round(anyio.current_time() - since, 3)
             _log.info("store_leader_found", address=str(address), term=term, lost_s=lost_s)
-        has_moved = address != self.leader
+        is_new_leader = address != self.leader
         self.leader = address
         self._term = term
-        self._heard_at = anyio.current_time()
-        self._in_doubt_since = None
+        self._last_answer_at = anyio.current_time()
+        self._unconfirmed_since = None
         self._found.set()
-        if has_moved:
-            self._on_moved()
+        if is_new_leader:
+            self._on_leader_changed()
--- a/tests/turns/test_client.py
+++ b/tests/turns/test_client.py
@@ -1,4 +1,4 @@
-"""A node's access to the store group while its leader changes, is silent, or is away."""
+"""A node's client of the store group while the leader changes, is silent, or is unavailable."""
 
 import functools
 import random
@@ -26,7 +26,7 @@
 
 
 class ScriptedStores:
-    """Store replicas of which one leads; some are silent: they take requests and never answer."""
+    """Store replicas of which one leads; silent ones receive requests and never answer."""
 
     def __init__(self, leader):
         self.leader = leader
@@ -37,7 +37,7 @@
         self.calls = []
         self.answers = []
 
-    def lead(self, leader):
+    def elect(self, leader):
         self.leader = leader
         self.term += 1
 
@@ -62,7 +62,7 @@
 
 
 def on_virtual_clock(leader=STORES[0]):
-    """Run a test's body with a client whose stores are scripted."""
+    """Run a test's body on a virtual clock, with a client of scripted stores."""
 
     def decorate(body):
         @functools.wraps(body)
@@ -85,14 +85,14 @@
 
 class TurnStoreClientTest(unittest.TestCase):
     @on_virtual_clock()
-    async def test_the_leader_is_asked_once_it_is_known(self, client, stores):
+    async def test_requests_go_only_to_the_known_leader(self, client, stores):
         await client.reserve(reservation(), timeout_s=1.0)
         stores.calls.clear()
         await client.reserve(reservation("b"), timeout_s=1.0)
         self.assertEqual([address for _, address, _ in stores.calls], [STORES[0]])
 
     @on_virtual_clock()
-    async def test_what_a_lost_answer_may_have_reserved_is_told_with_a_refusal(
+    async def test_a_refusal_reports_a_possible_reservation_of_an_earlier_attempt(
         self, client, stores
     ):
         refusal = BudgetSpent(spent_tokens=30, reserved_tokens=0)
@@ -105,7 +105,7 @@
         doubtful = await client.reserve(reservation("c"), timeout_s=1.0)
         self.assertEqual((doubtful.answer, doubtful.may_stand), (refusal, True))
         stores.silent.add(STORES[0])
-        stores.lead(STORES[1])
+        stores.elect(STORES[1])
         stores.answers = [refusal]
         moved = await client.reserve(reservation("e"), timeout_s=1.5)
         self.assertEqual((moved.answer, moved.may_stand), (refusal, True))
@@ -125,21 +125,19 @@
         self.assertEqual([address for _, address, _ in stores.calls], [STORES[0]])
 
     @on_virtual_clock()
-    async def test_a_request_leaves_a_silent_leader_as_soon_as_another_is_found(
-        self, client, stores
-    ):
+    async def test_a_request_moves_from_a_silent_leader_to_the_new_one(self, client, stores):
         await client.reserve(reservation(), timeout_s=1.0)
         stores.silent.add(STORES[0])
-        stores.lead(STORES[1])
+        stores.elect(STORES[1])
         started = anyio.current_time()
         await client.reserve(reservation("b"), timeout_s=1.5)
         self.assertLess(anyio.current_time() - started, 0.35)
 
     @on_virtual_clock()
-    async def test_a_late_failure_of_the_former_leader_changes_nothing(self, client, stores):
+    async def test_a_late_failure_of_the_former_leader_has_no_effect(self, client, stores):
         await client.reserve(reservation(), timeout_s=1.0)
         stores.silent.add(STORES[0])
-        stores.lead(STORES[1])
+        stores.elect(STORES[1])
         async with anyio.create_task_group() as tasks:
             for number in range(4):
                 tasks.start_soon(
@@ -153,7 +151,7 @@
         self.assertFalse(client.is_lost)
 
     @on_virtual_clock()
-    async def test_all_requests_that_wait_share_one_search(self, client, stores):
+    async def test_waiting_requests_share_one_search(self, client, stores):
         await client.reserve(reservation(), timeout_s=1.0)
         stores.silent.update(STORES)
         stores.calls.clear()
@@ -169,7 +167,7 @@
         self.assertLessEqual(len(probes), 10 * len(STORES))
 
     @on_virtual_clock()
-    async def test_a_group_that_is_away_is_lost_then_found_again(self, client, stores):
+    async def test_a_silent_group_becomes_unavailable_and_recovers(self, client, stores):
         await client.reserve(reservation(), timeout_s=1.0)
         stores.silent.update(STORES)
         with self.assertRaises(PasslaneError):
@@ -180,7 +178,7 @@
             await client.reserve(reservation("c"), timeout_s=1.5)
         self.assertLess(anyio.current_time() - started, 0.5)
         stores.silent.clear()
-        stores.lead(STORES[2])
+        stores.elect(STORES[2])
         await anyio.sleep(0.5)
         self.assertFalse(client.is_lost)
         await client.reserve(reservation("d"), timeout_s=0.1)
@@ -194,8 +192,8 @@
         self.assertEqual(len(stores.sent_to(STORES[0])), 1)
 
     @on_virtual_clock()
-    async def test_an_older_term_never_takes_the_place_of_a_newer_one(self, client, stores):
-        stores.lead(STORES[1])
+    async def test_a_leader_of_an_older_term_is_not_accepted(self, client, stores):
+        stores.elect(STORES[1])
         await client.reserve(reservation(), timeout_s=1.0)
         stores.silent.add(STORES[1])
         stores.leader = STORES[0]
