--- a/src/passlane/turns/state/__init__.py
+++ b/src/passlane/turns/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the store group agrees on about programs whose turns any node relays; no I/O."""
+"""Replicated state of the store group about programs and their turns; no I/O."""
--- a/src/passlane/turns/state/machine.py
+++ b/src/passlane/turns/state/machine.py
@@ -1,11 +1,11 @@
-"""The replicated state of turns: what programs spent and reserved, and histories.
+"""The replicated state of turns: programs' spending and reservations, and histories.
 
-It is for the service of turns. It owns programs' reservations and spending, and kept turns; it
+It is for ``TurnService``. It owns programs' reservations and spending, and the stored turns. It
 relies on the group to apply the same commands in the same order at each replica.
 
-Turns form a tree and are found by their id alone, whatever program they belong to.
-The machine has no clock: the leader tells by ``AdvanceAge`` that time has passed, so
-what must be kept for some seconds is never forgotten early, whoever leads.
+Turns form a tree and are looked up by id alone, independent of their program. The machine has no
+clock: the leader advances its age by ``AdvanceAge``, so that a change of leader never expires a
+record early.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -32,19 +32,17 @@
 )
 
 RETENTION_MARGIN_S = 15.0
-"""Seconds for which records are kept beyond what was asked: the age of the state lags behind real
-time. Not measured; chosen."""
-PROGRAM_RETENTION_S = 60.0
-"""Seconds for which a program's spending is remembered after its last turn, at least. Not
-measured; chosen."""
-RECORDS_IN_PART = 100
-"""Programs or turns in one part of a snapshot. Not measured; chosen."""
+"""Retention beyond the requested time, because the age of the state lags behind real time."""
+MIN_PROGRAM_RETENTION_S = 60.0
+"""Minimum retention of a program's spending after its last turn."""
+MAX_RECORDS_PER_PART = 100
+"""Programs or turns in one part of a snapshot."""
 
 _command_decoder = message_decoder(TurnCommand)
 
 
 class ProgramSpending(msgspec.Struct):
-    """Tokens of one program, settled and reserved by attempt, and the engine it used last."""
+    """A program's spent tokens, its reserved tokens by attempt, and the engine it used last."""
 
     spent_tokens: int = 0
     reserved: dict[str, int] = {}
@@ -53,14 +51,14 @@
 
 
 class StoredTurn(msgspec.Struct, frozen=True):
-    """A kept turn and the age until which it is kept."""
+    """A stored turn and the age of the state until which it is retained."""
 
     turn: KeptTurn
     keep_until_s: float
 
 
 class _RecordsPart(msgspec.Struct, frozen=True):
-    """Some records of a snapshot, as they are written."""
+    """A part of a snapshot with records, in the form in which it is written."""
 
     age_s: float
     programs: dict[str, ProgramSpending] = {}
@@ -68,27 +66,27 @@
 
 
 class SnapshotPart(_RecordsPart, frozen=True):
-    """Any part of a snapshot, as it is read."""
+    """Any part of a snapshot, in the form in which it is read."""
 
     usage: UsageSnapshot | None = None
 
 
 class UsagePart(msgspec.Struct, frozen=True):
-    """The part of a snapshot that tells of grants; older builds read it as one without records."""
+    """The part of a snapshot with quota grants; older builds read it as one without records."""
 
     age_s: float
     usage: UsageSnapshot
 
 
 class UsageRecords(Protocol):
-    """Keeps what was granted to tenants, beside the state."""
+    """Stores the replicated quota grants, outside the state machine."""
 
     def snapshot(self) -> UsageSnapshot | None:
-        """Return what is known; ``None`` if nothing is."""
+        """Return the recorded grants; ``None`` if there are none."""
         ...
 
     def restore(self, snapshot: UsageSnapshot) -> None:
-        """Know what a snapshot tells, and nothing else."""
+        """Replace the recorded grants by those of a snapshot."""
         ...
 
 
@@ -102,18 +100,19 @@
 
     Parameters
     ----------
-    note_usage
-        Told what was granted to tenants, and when on the group's clock; no part of the state.
+    on_usage
+        Called with replicated quota grants and their time on the group's clock; the grants are
+        not part of the state.
     usage_records
-        Keeps what was told; goes into snapshots, since they stand for the commands that told it.
+        Stores these grants; included in snapshots, which replace the commands with the grants.
     """
 
     def __init__(
         self,
-        note_usage: UsageListener | None = None,
+        on_usage: UsageListener | None = None,
         usage_records: UsageRecords | None = None,
     ) -> None:
-        self._note_usage = note_usage
+        self._on_usage = on_usage
         self._usage_records = usage_records
         self.age_s = 0.0
         self._programs: dict[str, ProgramSpending] = {}
@@ -130,13 +129,13 @@
         if isinstance(command, SettleTurn):
             return self._settle(command)
         if isinstance(command, NoteUsage):
-            return self._pass_usage_on(command)
+            return self._forward_usage(command)
         return self._advance_age(command)
 
     def knows_program(self, program_id: str) -> bool:
-        """Whether a turn of the program was reserved of late.
+        """Whether a turn of the program was reserved recently.
 
-        A program may have a settlement alone: its caller left before anything was reserved.
+        A program may have only a settlement, if its caller left before anything was reserved.
         """
         program = self._programs.get(program_id)
         return program is not None and program.keep_until_s > 0.0
@@ -147,7 +146,7 @@
         return program.used_last if program is not None else ""
 
     def history_of(self, turn_id: str | None) -> bytes:
-        """Return what the chain that ends with a turn puts before a new input."""
+        """Return the concatenated contents of the chain of turns that ends with ``turn_id``."""
         contents: list[bytes] = []
         while turn_id is not None:
             turn = self._turns[turn_id].turn
@@ -159,14 +158,14 @@
         if command.previous is not None and command.previous not in self._turns:
             return TurnUnknown(turn_id=command.previous)
         if command.previous is not None:
-            self._keep_chain(command.previous, self.age_s + command.retention_s)
+            self._extend_chain_retention(command.previous, self.age_s + command.retention_s)
         program = self._programs.setdefault(command.program_id, ProgramSpending())
-        self._keep_program(program, command.retention_s)
+        self._extend_program_retention(program, command.retention_s)
         if command.attempt_id in program.reserved:
             return TurnReserved(used_last=program.used_last)
         reserved = sum(program.reserved.values())
-        wanted = program.spent_tokens + reserved + command.most_tokens
-        if command.budget_tokens is not None and wanted > command.budget_tokens:
+        required = program.spent_tokens + reserved + command.most_tokens
+        if command.budget_tokens is not None and required > command.budget_tokens:
             return BudgetSpent(spent_tokens=program.spent_tokens, reserved_tokens=reserved)
         program.reserved[command.attempt_id] = command.most_tokens
         return TurnReserved(used_last=program.used_last)
@@ -178,17 +177,17 @@
         program.used_last = command.served_by or program.used_last
         turn = command.turn
         if turn is not None and turn.turn_id not in self._turns:
-            self._keep_turn(turn)
+            self._store_turn(turn)
         return TurnSettled()
 
-    def _keep_turn(self, turn: KeptTurn) -> None:
+    def _store_turn(self, turn: KeptTurn) -> None:
         keep_until_s = self.age_s + turn.retention_s + RETENTION_MARGIN_S
         self._turns[turn.turn_id] = StoredTurn(turn, keep_until_s)
         if turn.previous is not None:
-            self._keep_chain(turn.previous, self.age_s + turn.retention_s)
+            self._extend_chain_retention(turn.previous, self.age_s + turn.retention_s)
 
-    def _keep_chain(self, turn_id: str | None, until_s: float) -> None:
-        """Keep a turn and all before it at least until an age."""
+    def _extend_chain_retention(self, turn_id: str | None, until_s: float) -> None:
+        """Extend the retention of a turn and its predecessors to an age plus the margin."""
         until_s += RETENTION_MARGIN_S
         while turn_id is not None:
             stored = self._turns.get(turn_id)
@@ -197,14 +196,14 @@
             self._turns[turn_id] = StoredTurn(stored.turn, until_s)
             turn_id = stored.turn.previous
 
-    def _keep_program(self, program: ProgramSpending, retention_s: float) -> None:
-        kept_s = max(retention_s, PROGRAM_RETENTION_S) + RETENTION_MARGIN_S
-        program.keep_until_s = max(program.keep_until_s, self.age_s + kept_s)
+    def _extend_program_retention(self, program: ProgramSpending, retention_s: float) -> None:
+        retention_with_margin_s = max(retention_s, MIN_PROGRAM_RETENTION_S) + RETENTION_MARGIN_S
+        program.keep_until_s = max(program.keep_until_s, self.age_s + retention_with_margin_s)
 
-    def _pass_usage_on(self, command: NoteUsage) -> UsageNoted:
-        """Tell whoever counts against limits; the state itself holds nothing of it."""
-        if self._note_usage is not None:
-            self._note_usage(command.usages, command.group_s)
+    def _forward_usage(self, command: NoteUsage) -> UsageNoted:
+        """Forward the grants to the quota ledger; they are not part of the state."""
+        if self._on_usage is not None:
+            self._on_usage(command.usages, command.group_s)
         return UsageNoted()
 
     def _advance_age(self, command: AdvanceAge) -> AgeAdvanced:
@@ -222,7 +221,7 @@
         return AgeAdvanced(age_s=self.age_s)
 
     def snapshot_parts(self) -> Iterator[bytes]:
-        """Return the state as of this call, encoded in parts."""
+        """Return the state at the time of this call, encoded in parts."""
         programs = [
             (program_id, msgspec.structs.replace(program, reserved=dict(program.reserved)))
             for program_id, program in self._programs.items()
@@ -241,15 +240,15 @@
         yield msgspec.msgpack.encode(_RecordsPart(age_s))
         if usage is not None:
             yield msgspec.msgpack.encode(UsagePart(age_s, usage))
-        for start in range(0, len(programs), RECORDS_IN_PART):
-            some = dict(programs[start : start + RECORDS_IN_PART])
-            yield msgspec.msgpack.encode(_RecordsPart(age_s, programs=some))
-        for start in range(0, len(turns), RECORDS_IN_PART):
-            some_turns = tuple(turns[start : start + RECORDS_IN_PART])
-            yield msgspec.msgpack.encode(_RecordsPart(age_s, turns=some_turns))
+        for start in range(0, len(programs), MAX_RECORDS_PER_PART):
+            part_programs = dict(programs[start : start + MAX_RECORDS_PER_PART])
+            yield msgspec.msgpack.encode(_RecordsPart(age_s, programs=part_programs))
+        for start in range(0, len(turns), MAX_RECORDS_PER_PART):
+            part_turns = tuple(turns[start : start + MAX_RECORDS_PER_PART])
+            yield msgspec.msgpack.encode(_RecordsPart(age_s, turns=part_turns))
 
     def restore_parts(self, parts: Iterable[bytes]) -> Iterator[None]:
-        """Replace the state by that of a snapshot."""
+        """Replace the state by that of a snapshot; yields after each part."""
         restored = TurnStateMachine()
         usage: UsageSnapshot | None = None
         for data in parts:
--- a/tests/turns/state/test_machine.py
+++ b/tests/turns/state/test_machine.py
@@ -49,7 +49,7 @@
         refusal = self.machine.execute(reserve("d"))
         self.assertEqual(refusal, BudgetSpent(spent_tokens=10, reserved_tokens=20))
 
-    def test_a_turn_that_did_not_run_gives_its_reservation_back(self):
+    def test_a_turn_that_did_not_run_releases_its_reservation(self):
         for attempt in ("a", "b", "c"):
             self.machine.execute(reserve(attempt))
         self.machine.execute(settle("c", 0))
@@ -64,17 +64,17 @@
         self.assertIsInstance(self.machine.execute(reserve("c")), TurnReserved)
         self.assertIsInstance(self.machine.execute(reserve("d")), BudgetSpent)
 
-    def test_spending_is_kept_for_as_long_as_a_program_may_come_again(self):
+    def test_spending_is_retained_between_turns_of_a_program(self):
         self.machine.execute(reserve("a", most=30))
         self.machine.execute(settle("a", 30))
         self.machine.execute(AdvanceAge(seconds=60.0))
         self.assertIsInstance(self.machine.execute(reserve("b")), BudgetSpent)
 
-    def test_a_program_is_told_which_engine_it_used_last(self):
+    def test_a_reservation_names_the_engine_that_was_used_last(self):
         self.assertEqual(self.machine.execute(reserve("a")), TurnReserved(used_last=""))
         self.machine.execute(msgspec.structs.replace(settle("a"), served_by="i-1"))
         self.machine.execute(reserve("b"))
-        # A turn that no engine served doesn't change where the program's memory is.
+        # A turn that no engine served doesn't change the engine that the program used last.
         self.machine.execute(settle("b", 0))
         self.assertEqual(self.machine.execute(reserve("c")), TurnReserved(used_last="i-1"))
         self.assertEqual(self.machine.execute(reserve("c")), TurnReserved(used_last="i-1"))
@@ -89,20 +89,20 @@
 class HistoryTest(unittest.TestCase):
     def setUp(self):
         self.machine = TurnStateMachine()
-        self.keep("one", b"1")
-        self.keep("two", b"2", previous="one")
+        self.store_turn("one", b"1")
+        self.store_turn("two", b"2", previous="one")
 
-    def keep(self, turn_id, content, previous=None):
+    def store_turn(self, turn_id, content, previous=None):
         self.machine.execute(reserve(turn_id, budget=None))
         self.machine.execute(settle(turn_id, 1, previous=previous, content=content))
 
-    def test_a_history_goes_from_the_oldest_turn_on(self):
-        self.keep("three", b"3", previous="two")
+    def test_a_history_starts_with_the_oldest_turn(self):
+        self.store_turn("three", b"3", previous="two")
         self.assertEqual(self.machine.history_of("three"), b"123")
 
-    def test_several_turns_may_go_on_from_one_whatever_their_program(self):
-        self.keep("left", b"l", previous="two")
-        self.keep("right", b"r", previous="two")
+    def test_turns_of_any_program_may_branch_from_one_turn(self):
+        self.store_turn("left", b"l", previous="two")
+        self.store_turn("right", b"r", previous="two")
         self.assertEqual(self.machine.history_of("left"), b"12l")
         self.assertEqual(self.machine.history_of("right"), b"12r")
         other = reserve("x", program="another", previous="left")
@@ -113,20 +113,20 @@
         self.assertEqual(answer, TurnUnknown(turn_id="never"))
         self.assertIsInstance(self.machine.execute(reserve("y", most=28)), TurnReserved)
 
-    def test_a_turn_lives_as_long_as_a_later_one_needs_it(self):
+    def test_a_turn_is_retained_as_long_as_its_successors(self):
         self.machine.execute(AdvanceAge(seconds=50.0))
-        self.keep("three", b"3", previous="two")
+        self.store_turn("three", b"3", previous="two")
         self.machine.execute(AdvanceAge(seconds=55.0))
         self.assertEqual(self.machine.history_of("three"), b"123")
 
-    def test_an_old_turn_is_forgotten(self):
+    def test_an_expired_turn_is_removed(self):
         self.machine.execute(AdvanceAge(seconds=60.0 + RETENTION_MARGIN_S + 1.0))
         answer = self.machine.execute(reserve("x", previous="two"))
         self.assertEqual(answer, TurnUnknown(turn_id="two"))
 
 
 class SnapshotTest(unittest.TestCase):
-    def test_a_restored_state_answers_alike_and_snapshots_show_one_moment(self):
+    def test_a_restored_state_is_that_of_the_time_of_the_snapshot(self):
         machine = TurnStateMachine()
         for number in range(250):
             turn_id = str(number)
@@ -155,8 +155,8 @@
         self.assertEqual(result, encode_message(TurnReserved()))
 
 
-class EarlierFilesTest(unittest.TestCase):
-    """Commands and a snapshot as replicas wrote them before there were tenants."""
+class EarlierFormatTest(unittest.TestCase):
+    """Commands and a snapshot in the format that predates tenants."""
 
     RESERVED = (
         b"\x86\xa4type\xabReserveTurn\xaaprogram_id\xa1p\xaaattempt_id\xa1a\xabmost_tokens\n"
@@ -193,11 +193,11 @@
 
 
 class UsageTest(unittest.TestCase):
-    def test_what_was_granted_is_passed_on_and_is_no_part_of_the_state(self):
-        told = []
-        machine = TurnStateMachine(lambda usages, group_s: told.append((usages, group_s)))
+    def test_replicated_grants_are_forwarded_and_not_stored_in_the_state(self):
+        forwarded = []
+        machine = TurnStateMachine(lambda usages, group_s: forwarded.append((usages, group_s)))
         before = list(machine.snapshot_parts())
         usages = (TenantUsage("corner", 3),)
         machine.apply(1, encode_message(NoteUsage(usages=usages, group_s=1.5)))
-        self.assertEqual(told, [(usages, 1.5)])
+        self.assertEqual(forwarded, [(usages, 1.5)])
         self.assertEqual(list(machine.snapshot_parts()), before)
--- a/tests/turns/state/test_usage_in_snapshots.py
+++ b/tests/turns/state/test_usage_in_snapshots.py
@@ -1,12 +1,7 @@
-"""A replica that took over a snapshot knows what was granted to tenants before it.
+"""Snapshots include the quota grants of the commands that they replace.
 
-What happens: a store joins, or starts again, by a snapshot; it then leads, and grants a tenant's
-whole limit anew within the window in which an earlier leader had granted it.
-
-Why: replicas hear of grants by commands of the log, and keep them outside the replicated state. A
-snapshot stands for all commands before it, and had nothing of them.
-
-What showed it: the ledger below grants 48 requests in a window of 5 s for which 48 were granted.
+Guards against a replica that is restored from a snapshot, becomes the leader, and grants a
+tenant's limit a second time within one window.
 """
 
 import unittest
@@ -18,27 +13,27 @@
 
 LIMIT = QuotaLimit(tenant="corner", rate_per_s=8.0, burst=8.0, version=1)
 CAPACITY = 48
-"""Requests of the limit in a window of 5 s."""
+"""Requests that the limit allows in a window of 5 s."""
 DRAW = QuotaDraw(limit=LIMIT, use=QuotaUse.ALONE)
 
 
 class Replica:
-    """One replica: its state, and what it knows of grants."""
+    """One replica: its state machine and its quota ledger."""
 
     def __init__(self):
         self.ledger = QuotaLedger(QuotaRules(window_s=5.0))
         self.machine = TurnStateMachine(self.ledger.note_replicated, self.ledger.history)
 
-    def hear(self, granted, group_s, tenant="corner"):
+    def apply_grant(self, granted, group_s, tenant="corner"):
         usages = (TenantUsage(tenant, granted),)
         self.machine.execute(NoteUsage(usages=usages, group_s=group_s))
 
-    def take_over(self, other):
+    def restore_from(self, other):
         for _ in self.machine.restore_parts(list(other.machine.snapshot_parts())):
             pass
 
-    def lead(self, now, draws=2 * CAPACITY):
-        """Return how many requests it grants for this moment as a new leader."""
+    def immediate_grants_as_leader(self, now, draws=2 * CAPACITY):
+        """Return how many requests it grants at once as a new leader."""
         self.ledger.enter_term(2, now)
         answers = [self.ledger.draw(DRAW, now) for _ in range(draws)]
         return sum(isinstance(a, QuotaGranted) and a.start_after_s == 0.0 for a in answers)
@@ -48,50 +43,53 @@
     def setUp(self):
         self.before, self.after = Replica(), Replica()
 
-    def test_what_was_granted_within_the_window_is_not_granted_anew(self):
-        self.before.hear(CAPACITY, 1.0)
-        self.after.take_over(self.before)
-        self.assertEqual(self.after.lead(100.0), 0)
+    def test_requests_granted_within_the_window_are_not_granted_again(self):
+        self.before.apply_grant(CAPACITY, 1.0)
+        self.after.restore_from(self.before)
+        self.assertEqual(self.after.immediate_grants_as_leader(100.0), 0)
 
-    def test_the_rest_of_the_window_is(self):
-        self.before.hear(CAPACITY - 5, 1.0)
-        self.after.take_over(self.before)
-        self.assertEqual(self.after.lead(100.0), 5)
+    def test_the_rest_of_the_window_is_granted(self):
+        self.before.apply_grant(CAPACITY - 5, 1.0)
+        self.after.restore_from(self.before)
+        self.assertEqual(self.after.immediate_grants_as_leader(100.0), 5)
 
-    def test_what_comes_after_the_snapshot_counts_beside_it(self):
-        self.before.hear(20, 1.0)
-        self.after.take_over(self.before)
+    def test_grants_after_the_snapshot_are_added(self):
+        self.before.apply_grant(20, 1.0)
+        self.after.restore_from(self.before)
         for replica in (self.before, self.after):
-            replica.hear(10, 2.0)
-        self.assertEqual(self.after.lead(100.0), CAPACITY - 30)
-        self.assertEqual(self.before.lead(100.0), CAPACITY - 30)
+            replica.apply_grant(10, 2.0)
+        self.assertEqual(self.after.immediate_grants_as_leader(100.0), CAPACITY - 30)
+        self.assertEqual(self.before.immediate_grants_as_leader(100.0), CAPACITY - 30)
 
-    def test_a_snapshot_of_a_snapshot_holds_the_same(self):
+    def test_a_snapshot_of_a_restored_replica_includes_the_grants(self):
         third = Replica()
-        self.before.hear(CAPACITY, 1.0)
-        self.after.take_over(self.before)
-        third.take_over(self.after)
-        self.assertEqual(third.lead(100.0), 0)
-
-    def test_what_is_older_than_a_window_is_not_in_it(self):
-        self.before.hear(CAPACITY, 1.0)
-        self.before.hear(1, 50.0)
-        self.after.take_over(self.before)
-        self.assertEqual(self.after.lead(100.0), CAPACITY - 1)
-
-    def test_a_snapshot_without_it_leaves_what_is_known(self):
-        self.after.hear(CAPACITY, 1.0)
+        self.before.apply_grant(CAPACITY, 1.0)
+        self.after.restore_from(self.before)
+        third.restore_from(self.after)
+        self.assertEqual(third.immediate_grants_as_leader(100.0), 0)
+
+    def test_grants_older_than_the_window_do_not_count(self):
+        self.before.apply_grant(CAPACITY, 1.0)
+        self.before.apply_grant(1, 50.0)
+        self.after.restore_from(self.before)
+        self.assertEqual(self.after.immediate_grants_as_leader(100.0), CAPACITY - 1)
+
+    def test_a_snapshot_without_grants_keeps_the_recorded_ones(self):
+        self.after.apply_grant(CAPACITY, 1.0)
         for _ in self.after.machine.restore_parts(TurnStateMachine().snapshot_parts()):
             pass
-        self.assertEqual(self.after.lead(100.0), 0)
+        self.assertEqual(self.after.immediate_grants_as_leader(100.0), 0)
 
-    def test_a_leader_that_lags_is_counted_alike_by_both(self):
-        self.before.hear(10, 9.0)
-        self.before.hear(10, 2.0)
-        self.after.take_over(self.before)
+    def test_grants_of_a_lagging_clock_count_the_same_after_a_restore(self):
+        self.before.apply_grant(10, 9.0)
+        self.before.apply_grant(10, 2.0)
+        self.after.restore_from(self.before)
         for replica in (self.before, self.after):
-            replica.hear(10, 3.0)
-        self.assertEqual(self.after.lead(100.0), self.before.lead(100.0))
+            replica.apply_grant(10, 3.0)
+        self.assertEqual(
+            self.after.immediate_grants_as_leader(100.0),
+            self.before.immediate_grants_as_leader(100.0),
+        )
 
 
 if __name__ == "__main__":
