--- a/src/passlane/turns/accounts.py
+++ b/src/passlane/turns/accounts.py
@@ -1,6 +1,6 @@
-"""Proposes what the store group agrees on of turns: reservations, settlements, and its age.
+"""Proposes commands on turns to the store group: reservations, settlements and the state's age.
 
-It is for the service of turns on the leader. It owns no state: budgets and histories stand in
+It is for ``TurnService`` on the leader. It owns no state: budgets and histories are part of
 ``turns.state``. It relies on ``Leadership`` for replication.
 """
 
@@ -15,15 +15,15 @@
 from passlane.turns.leadership import Leadership
 from passlane.turns.state.machine import TurnStateMachine
 
-AGE_STEP_S = 5.0
-"""Seconds after which the leader tells that time has passed; records are kept for some tens of
-seconds. Not measured; chosen."""
+AGE_UPDATE_INTERVAL_S = 5.0
+"""Interval at which the leader advances the age of the state; records are retained for tens of
+seconds."""
 
 _log = get_logger(__name__)
 
 
 class TurnAccounts:
-    """Reservations and settlements of turns."""
+    """Reserves and settles the tokens of turns."""
 
     def __init__(self, machine: TurnStateMachine, leadership: Leadership) -> None:
         self._machine = machine
@@ -32,24 +32,24 @@
     async def run(self) -> None:
         """Advance the age of the state while this replica leads."""
         while True:
-            await anyio.sleep(AGE_STEP_S)
-            if not self._leadership.is_held:
+            await anyio.sleep(AGE_UPDATE_INTERVAL_S)
+            if not self._leadership.is_leading:
                 continue
             try:
-                await self._leadership.propose(AdvanceAge(seconds=AGE_STEP_S))
+                await self._leadership.propose(AdvanceAge(seconds=AGE_UPDATE_INTERVAL_S))
             except PasslaneError as error:
-                # The next step follows; too low an age only keeps records for longer.
+                # A skipped update only retains records for longer.
                 _log.info("age_not_advanced", code=error.code.value)
 
     async def reserve(self, request: ReserveTurn, quota: QuotaGranted) -> Message:
-        """Reserve a turn's tokens; the answer holds the history that goes before its input.
+        """Reserve a turn's tokens; the answer contains the history that precedes its input.
 
         Raises
         ------
         PasslaneError
             When the reservation is not known to be replicated.
         """
-        result = await self._leadership.propose(_as_replicated(request))
+        result = await self._leadership.propose(_without_leader_fields(request))
         if not isinstance(result, TurnReserved):
             return result
         history = b""
@@ -58,21 +58,21 @@
         return msgspec.structs.replace(result, history=history, start_after_s=quota.start_after_s)
 
     async def release(self, request: ReserveTurn) -> None:
-        """Settle a turn that was reserved and will not run."""
+        """Settle a reserved turn that will not run, with 0 tokens."""
         released = SettleTurn(
             program_id=request.program_id, attempt_id=request.attempt_id, tokens=0
         )
         await self._leadership.propose(released)
 
     async def settle(self, request: SettleTurn) -> Message:
-        """Settle a turn; on return it is durable on a majority."""
+        """Settle a turn; on return the settlement is durable on a majority."""
         return await self._leadership.propose(
-            _as_replicated(request), may_be_deferred=_is_settled_in_background(request)
+            _without_leader_fields(request), may_be_deferred=_is_deferrable(request)
         )
 
 
-def _as_replicated(request: ReserveTurn | SettleTurn) -> ReserveTurn | SettleTurn:
-    """Return the command without what only the leader needs."""
+def _without_leader_fields(request: ReserveTurn | SettleTurn) -> ReserveTurn | SettleTurn:
+    """Return the command without the fields that only the leader uses."""
     if isinstance(request, ReserveTurn):
         if request.quota is None and request.demand is None:
             return request
@@ -82,10 +82,9 @@
     return msgspec.structs.replace(request, quota=None, outcome=None)
 
 
-def _is_settled_in_background(request: SettleTurn) -> bool:
-    """Whether nobody waits for the answer: nothing is kept and nothing granted with it.
+def _is_deferrable(request: SettleTurn) -> bool:
+    """Whether no caller waits for the settlement: it stores no turn and draws no quota.
 
-    Until it is settled a reservation counts as spent (docs/PROMISES.md), so no program spends
-    beyond its budget meanwhile.
+    An unsettled reservation counts as spent, so deferring its settlement cannot exceed a budget.
     """
     return request.turn is None and request.quota is None
--- a/src/passlane/turns/decision_log.py
+++ b/src/passlane/turns/decision_log.py
@@ -1,12 +1,9 @@
-"""Log lines of what the scheduler of turns decides, on the replica that leads the store group.
+"""Logs the decisions of the turn scheduler on the replica that leads the store group.
 
-They are for whoever asks why a turn went to an engine, waited, or was refused; the rule behind
-each line is named at its function, and docs/design/turn-scheduling.md has them in one table. The
-names of events and fields stay as readers know them: in ``places`` and ``place_wait_s`` a place is
-a slot of an engine, ``told_to_return`` counts programs that were refused and are to retry.
-
-It owns no state and relies on ``decisions.inputs.turn_events`` for what decided. Times are in
-seconds.
+The lines show operators why a turn went to an engine, waited, or was refused; the docstring of
+each function names the rules behind its line. In the names of events and fields, a place
+(``places``, ``place_wait_s``) is a slot of an engine, and ``told_to_return`` counts refused
+programs that are to retry. The module owns no state. Times are in seconds.
 """
 
 from collections.abc import Sequence
@@ -24,36 +21,42 @@
 from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures
 from passlane.observability.logging import get_logger
 
-MOST_ENGINES_LOGGED = 10
-MOST_OLDEST_LOGGED = 3
-"""Engines in one line ``engine_slots``, a second. Chosen."""
+MAX_UNUSED_ENGINES_LOGGED = 10
+MAX_OLDEST_ENGINES_LOGGED = 3
+"""Bounds on the engines listed in one log line ``engine_slots``."""
 
 _log = get_logger(__name__)
 
 
-def log_decision(asked: TurnAsked, decision: TurnDecision) -> None:
-    """Log a decision that made a turn wait or refused it; any other is logged by its node."""
+def log_decision(turn_event: TurnAsked, decision: TurnDecision) -> None:
+    """Log a decision on a turn that waited, was refused or was withdrawn.
+
+    The turn's node logs all other decisions.
+    """
     if isinstance(decision, TurnPlaced) and decision.waited_s > 0:
-        _log_placed(asked, decision)
+        _log_placed(turn_event, decision)
     elif isinstance(decision, TurnNotPlaced):
-        _log_refused(asked, decision)
+        _log_refused(turn_event, decision)
     elif isinstance(decision, TurnWithdrawn):
-        _log.info("turn_withdrawn", request_id=asked.attempt_id, program_id=asked.program_id)
+        _log.info(
+            "turn_withdrawn", request_id=turn_event.attempt_id, program_id=turn_event.program_id
+        )
 
 
-def log_figures(service: str, figures: SchedulerFigures) -> None:
-    """Log how full a service is, while a turn waits or a refused program is to retry.
+def log_slot_usage(service: str, figures: SchedulerFigures) -> None:
+    """Log the slot usage of a service while a turn waits or a refused program is to retry.
 
-    ``running`` of ``slots`` turns run; why the others wait: ``decisions.order.turn_precedence``.
+    ``running`` of ``slots`` turns run; ``decisions.order.turn_precedence`` explains why the others
+    wait.
     """
     if figures.has_waiting:
         _log.info("places", service=service, **msgspec.structs.asdict(figures))
 
 
 def log_slots(service: str, states: Sequence[EngineSlotState]) -> None:
-    """Log engines that have free slots and get no turns, and those with the oldest turns.
+    """Log the engines whose free slots are unusable, and those with the oldest turns.
 
-    Why an engine gets none: ``EngineTable.usable``.
+    ``EngineTable.usable`` explains why an engine gets no turns.
     """
     unused = [state for state in states if state.running < state.slots and not state.is_usable]
     busy = [state for state in states if state.oldest_attempt]
@@ -61,28 +64,28 @@
     _log.info(
         "engine_slots",
         service=service,
-        unused=[msgspec.structs.asdict(state) for state in unused[:MOST_ENGINES_LOGGED]],
-        oldest=[msgspec.structs.asdict(state) for state in oldest[:MOST_OLDEST_LOGGED]],
+        unused=[msgspec.structs.asdict(state) for state in unused[:MAX_UNUSED_ENGINES_LOGGED]],
+        oldest=[msgspec.structs.asdict(state) for state in oldest[:MAX_OLDEST_ENGINES_LOGGED]],
     )
 
 
-def _log_placed(asked: TurnAsked, decision: TurnPlaced) -> None:
-    """Log where a turn went that waited.
+def _log_placed(turn_event: TurnAsked, decision: TurnPlaced) -> None:
+    """Log the placement of a turn that waited.
 
-    Why it waited: ``decisions.order.turn_precedence`` if it asked when slots were free, else
-    ``decisions.order.turn_queue``. Why there: ``decisions.placement.turn_placement``, whose
-    ``EndEstimate.end_s`` is ``expected_s``.
+    The turn waited because of ``decisions.order.turn_precedence`` if slots were free when it
+    requested one, else because of ``decisions.order.turn_queue``. The engine was chosen by
+    ``decisions.placement.turn_placement``, whose ``EndEstimate.end_s`` is ``expected_s``.
     """
-    demand = asked.demand
+    demand = turn_event.demand
     _log.info(
         "turn_placed",
-        request_id=asked.attempt_id,
-        program_id=asked.program_id,
+        request_id=turn_event.attempt_id,
+        program_id=turn_event.program_id,
         tenant=demand.tenant,
         urgency=demand.urgency,
-        is_first=asked.is_first,
+        is_first=turn_event.is_first,
         instance=decision.engine,
-        used_last=asked.used_last,
+        used_last=turn_event.used_last,
         waited_s=round(decision.waited_s, 4),
         expected_s=round(decision.expected_s, 4),
         running=decision.running,
@@ -90,18 +93,18 @@
     )
 
 
-def _log_refused(asked: TurnAsked, decision: TurnNotPlaced) -> None:
-    """Log a refusal for want of room.
+def _log_refused(turn_event: TurnAsked, decision: TurnNotPlaced) -> None:
+    """Log a refusal for lack of capacity.
 
-    ``waited_s`` 0: it could not begin soon (``TurnEntry._refusal_at_once``); more: it waited as
-    long as it may (``program_admission.hold_s``, ``LONGEST_LOOPING_HOLD_S``). ``waiting`` and
-    ``retry_after_s`` are those of ``program_admission.ExpectedStart``.
+    If ``waited_s`` is 0, the turn could not have begun soon (``TurnEntry``); otherwise it waited
+    for the maximum time (``program_admission``). ``waiting`` and ``retry_after_s`` are those of
+    ``program_admission.ExpectedStart``.
     """
-    demand = asked.demand
+    demand = turn_event.demand
     _log.info(
         "program_refused",
-        request_id=asked.attempt_id,
-        program_id=asked.program_id,
+        request_id=turn_event.attempt_id,
+        program_id=turn_event.program_id,
         tenant=demand.tenant,
         urgency=demand.urgency,
         waiting=decision.waiting,
--- a/src/passlane/turns/dispatch.py
+++ b/src/passlane/turns/dispatch.py
@@ -1,8 +1,8 @@
-"""Carries out what the scheduler of turns decides: wakes requests that wait for a slot.
+"""Applies the decisions of the turn scheduler: wakes requests that wait for a slot.
 
-It is for the service of turns on the replica that leads the store group. It owns the turns whose
-decision is outstanding, and gives the scheduler its clock. It relies on ``TurnScheduler`` for the
-decisions, which are logged by ``decision_log`` as they are carried out.
+It is for ``TurnService`` on the replica that leads the store group. It owns the turns whose
+decision is outstanding, and passes the current time to the scheduler. It relies on
+``TurnScheduler`` for the decisions, and on ``decision_log`` to log them.
 """
 
 from collections.abc import Iterable
@@ -18,31 +18,31 @@
 )
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.messages.listing import BackendRecord
-from passlane.turns.decision_log import log_decision, log_figures, log_slots
+from passlane.turns.decision_log import log_decision, log_slot_usage, log_slots
 
 TICK_S = 0.05
-"""Seconds after which slots are given back by time and long waits are ended; turns that wait bear
-some tenths of a second. Not measured; chosen."""
-FIGURES_PERIOD_S = 1.0
-"""Seconds between two log lines ``places``. Not measured; chosen."""
+"""Interval at which the scheduler expires slots and ends waits that are too long; waiting turns
+tolerate some tenths of a second."""
+SLOT_LOG_INTERVAL_S = 1.0
+"""Interval between two log lines ``places``."""
 
 
 class PendingTurn(msgspec.Struct, eq=False):
-    """A turn whose decision may still be outstanding."""
+    """A turn and its decision, which may be outstanding."""
 
     asked: TurnAsked
     decided: anyio.Event
     decision: TurnDecision | None = None
 
     async def wait(self) -> TurnDecision:
-        """Return the decision once there is one."""
+        """Wait for the decision and return it."""
         await self.decided.wait()
         assert self.decision is not None
         return self.decision
 
 
 class TurnDispatcher:
-    """The scheduler of turns on the replica that leads the store group."""
+    """Runs the turn scheduler on the replica that leads the store group."""
 
     def __init__(self, scheduler: TurnScheduler) -> None:
         self._scheduler = scheduler
@@ -50,50 +50,50 @@
 
     @property
     def scheduler(self) -> TurnScheduler:
-        """What decides."""
+        """The scheduler that makes the decisions."""
         return self._scheduler
 
     def begin_term(self) -> None:
-        """Begin anew as the leader of another term."""
-        self._carry_out(self._scheduler.begin(anyio.current_time()))
+        """Reset the scheduler at the start of a term that this replica leads."""
+        self._apply_decisions(self._scheduler.begin(anyio.current_time()))
 
     def replace_backends(self, records: Iterable[BackendRecord]) -> None:
-        """Take over the list of back ends."""
-        self._carry_out(self._scheduler.replace_backends(records, anyio.current_time()))
+        """Replace the list of backends."""
+        self._apply_decisions(self._scheduler.replace_backends(records, anyio.current_time()))
 
-    def ask(self, asked: TurnAsked) -> PendingTurn:
-        """Ask for a slot; the same attempt may ask again while it waits."""
-        pending = self._pending.get(asked.attempt_id)
+    def submit(self, turn_event: TurnAsked) -> PendingTurn:
+        """Request a slot; a repeated request of a waiting attempt returns the same pending turn."""
+        pending = self._pending.get(turn_event.attempt_id)
         if pending is not None:
             return pending
-        pending = PendingTurn(asked, anyio.Event())
-        self._pending[asked.attempt_id] = pending
-        self._carry_out(self._scheduler.ask(asked, anyio.current_time()))
+        pending = PendingTurn(turn_event, anyio.Event())
+        self._pending[turn_event.attempt_id] = pending
+        self._apply_decisions(self._scheduler.ask(turn_event, anyio.current_time()))
         return pending
 
     def end(self, ended: TurnEnded) -> None:
-        """Note the end of a turn that had a slot or waited for one."""
-        self._carry_out(self._scheduler.end(ended, anyio.current_time()))
+        """End a turn that has a slot or waits for one."""
+        self._apply_decisions(self._scheduler.end(ended, anyio.current_time()))
 
     def advance(self) -> None:
-        """Let time pass."""
-        self._carry_out(self._scheduler.advance(anyio.current_time()))
+        """Advance the scheduler to the current time."""
+        self._apply_decisions(self._scheduler.advance(anyio.current_time()))
 
     def withdraw_all(self) -> None:
-        """Let nobody wait here any longer: this replica does not lead."""
+        """Withdraw all waiting turns, because this replica does not lead."""
         for attempt_id in list(self._pending):
-            self._carry_out([TurnWithdrawn(attempt_id)])
+            self._apply_decisions([TurnWithdrawn(attempt_id)])
 
-    def log_figures(self) -> None:
-        """Write how full the services are, while any turn waits or is to retry."""
+    def log_slot_usage(self) -> None:
+        """Log the slot usage of each service in which turns wait or are to retry."""
         now = anyio.current_time()
         for name in self._scheduler.service_names:
             figures = self._scheduler.figures(name)
-            log_figures(name, figures)
+            log_slot_usage(name, figures)
             if figures.has_waiting:
                 log_slots(name, self._scheduler.slot_states(name, now))
 
-    def _carry_out(self, decisions: Iterable[TurnDecision]) -> None:
+    def _apply_decisions(self, decisions: Iterable[TurnDecision]) -> None:
         for decision in decisions:
             pending = self._pending.pop(decision.attempt_id, None)
             if pending is None:
--- a/src/passlane/turns/leadership.py
+++ b/src/passlane/turns/leadership.py
@@ -1,8 +1,8 @@
-"""Answers whether this replica of the store group leads, and sends commands to the group.
+"""Checks whether this replica leads the store group, and proposes commands to the group.
 
-It is for the parts that serve turns. It owns the term that they last served; when that changes,
-the ledger of quotas goes on from what others granted, and the scheduler of turns begins anew. It
-relies on the group (``ReplicatedGroup``) for who leads and for replication.
+It is for the services that handle turns. It owns the term in which they last answered; in a new
+term the quota ledger continues from the replicated grants, and the turn scheduler is reset. It
+relies on ``ReplicatedGroup`` for the leader and for replication.
 """
 
 import anyio
@@ -18,7 +18,7 @@
 
 
 class Leadership:
-    """The lead of the store group, as far as turns are served under it.
+    """Leadership of the store group as the turn services use it.
 
     Attributes
     ----------
@@ -35,22 +35,22 @@
         self.served_term = -1
 
     @property
-    def is_held(self) -> bool:
+    def is_leading(self) -> bool:
         """Whether this replica leads."""
         return self._group.is_leader
 
     @property
     def term(self) -> int:
-        """The group's term."""
+        """The group's current term."""
         return self._group.term
 
-    def require(self) -> None:
-        """Refuse unless this replica leads; in a new term, go on from what others granted.
+    def require_leadership(self) -> None:
+        """Raise unless this replica leads; initialize the leader's state in a new term.
 
         Raises
         ------
         NotLeaderError
-            When it does not lead.
+            When this replica does not lead.
         """
         if not self._group.is_leader:
             raise NotLeaderError("not the leader of the store group", self._group.leader_address)
@@ -60,12 +60,12 @@
             self._dispatcher.begin_term()
 
     async def propose(self, command: Message, *, may_be_deferred: bool = False) -> Message:
-        """Have a command replicated and return its result.
+        """Replicate a command and return its result.
 
         Raises
         ------
         PasslaneError
-            When it is not known to be replicated; the verdict tells whether it may be.
+            When the command is not known to be replicated; the verdict says whether it may be.
         """
         encoded = encode_message(command)
         result = await self._group.propose(encoded, may_be_deferred=may_be_deferred)
--- a/src/passlane/turns/quota_grants.py
+++ b/src/passlane/turns/quota_grants.py
@@ -1,8 +1,8 @@
-"""Grants tenants' requests on the leader of the store group, and tells replicas what it granted.
+"""Draws on tenants' quotas on the leader of the store group, and replicates what was granted.
 
-It is for turns, their settlements and calls that are no turns. It owns when replicas are told;
-what is granted is decided in ``decisions.limits.quota_ledger``, whose refusals the nodes log as
-``quota_refused``. It relies on ``Leadership`` for replication.
+It is for turns, their settlements, and requests outside turns. It owns when grants are
+replicated; ``decisions.limits.quota_ledger`` decides what is granted, and the nodes log its
+refusals as ``quota_refused``. It relies on ``Leadership`` for replication.
 """
 
 import anyio
@@ -14,72 +14,72 @@
 from passlane.observability.logging import get_logger
 from passlane.turns.leadership import Leadership
 
-USAGE_PERIOD_S = 0.15
-"""Seconds after which the leader tells what it has granted to tenants; it tells at once where much
-is untold, see ``QuotaLedger.must_tell``. Not measured; chosen."""
+USAGE_REPLICATION_INTERVAL_S = 0.15
+"""Interval at which the leader replicates its grants; grants beyond the allowed bound
+(``QuotaLedger.must_tell``) are replicated at once."""
 
 _log = get_logger(__name__)
 
 
 class QuotaGrants:
-    """Draws on tenants' limits, and the telling of what was granted."""
+    """Draws on tenants' quotas and replicates the grants."""
 
     def __init__(self, quotas: QuotaLedger, leadership: Leadership) -> None:
         self._quotas = quotas
         self._leadership = leadership
-        self._telling = anyio.Lock()
+        self._replication_lock = anyio.Lock()
 
     async def run(self) -> None:
-        """Tell all replicas what was granted to tenants, while this one leads."""
+        """Replicate the grants at intervals while this replica leads."""
         while True:
-            await anyio.sleep(USAGE_PERIOD_S)
-            if not self._leadership.is_held:
+            await anyio.sleep(USAGE_REPLICATION_INTERVAL_S)
+            if not self._leadership.is_leading:
                 continue
             try:
-                async with self._telling:
-                    await self._tell_now()
+                async with self._replication_lock:
+                    await self._replicate_usage()
             except PasslaneError as error:
-                # What is not told is little, and the allowed excess covers it.
+                # The unreplicated grants stay within the excess that a limit allows.
                 _log.info("usage_not_told", code=error.code.value)
 
     async def draw(self, draw: QuotaDraw) -> QuotaAnswer:
-        """Grant or refuse; a grant may have to wait until replicas were told of others.
+        """Grant or refuse a draw; a grant may wait until earlier ones are replicated.
 
         Raises
         ------
         PasslaneError
-            When they could not be told; nothing may be sent.
+            When they could not be replicated; the request must not be sent.
         """
         answer = self._quotas.draw(draw, anyio.current_time())
         if isinstance(answer, QuotaGranted) and self._quotas.must_tell(draw.limit):
-            await self._tell_until_little_is_untold(draw.limit)
+            await self._replicate_until_within_bound(draw.limit)
         return answer
 
-    def note_sent(self, draw: QuotaDraw, granted_for: float) -> None:
-        """Note that a request that was granted for a moment is sent now only."""
-        self._quotas.note_sent(draw, granted_for, anyio.current_time())
+    def record_sent(self, draw: QuotaDraw, scheduled_at: float) -> None:
+        """Record that a request granted for ``scheduled_at`` (local time, s) is sent only now."""
+        self._quotas.note_sent(draw, scheduled_at, anyio.current_time())
 
     def give_back(self, draw: QuotaDraw) -> None:
-        """Take back a request that was granted and will never be sent."""
+        """Return the grant of a request that will never be sent."""
         self._quotas.give_back(draw)
 
-    async def _tell_until_little_is_untold(self, limit: QuotaLimit) -> None:
-        """Return once replicas know of nearly all grants of a tenant, or raise."""
-        async with self._telling:
+    async def _replicate_until_within_bound(self, limit: QuotaLimit) -> None:
+        """Replicate until a tenant's unreplicated grants are within the bound, or raise."""
+        async with self._replication_lock:
             while self._quotas.must_tell(limit):
-                await self._tell_now()
+                await self._replicate_usage()
 
-    async def _tell_now(self) -> None:
-        """Tell all replicas what was granted; on return a majority holds it."""
+    async def _replicate_usage(self) -> None:
+        """Replicate the recorded grants; on return a majority has stored them."""
         now = anyio.current_time()
         usages = self._quotas.usages_to_tell(now)
         if not usages:
             return
-        told = NoteUsage(usages=usages, group_s=self._quotas.group_s(now))
-        is_told = False
+        command = NoteUsage(usages=usages, group_s=self._quotas.group_s(now))
+        is_replicated = False
         try:
-            await self._leadership.propose(told)
-            is_told = True
+            await self._leadership.propose(command)
+            is_replicated = True
         finally:
-            # Without an answer it may be held by a majority or not; it is told once more then.
-            self._quotas.note_told(usages, is_told=is_told)
+            # Without an answer the outcome is unknown, so the grants are replicated again.
+            self._quotas.note_told(usages, is_told=is_replicated)
--- a/src/passlane/turns/service.py
+++ b/src/passlane/turns/service.py
@@ -1,9 +1,9 @@
 """Serves turns on one replica of the store group; only the leader answers.
 
-It is for the nodes that relay turns: it takes in reservations, settlements, draws on limits and
-the search for the leader. It owns the order of the steps of each; the steps themselves stand in
-``quota_grants`` (limits), ``slot_waits`` (slots of engines) and ``accounts`` (what is
-replicated). It relies on ``Leadership`` for whether it may answer.
+It is for the nodes that relay turns: it handles reservations, settlements, quota draws and probes
+for the leader. It owns the order of the steps of each request; the steps are implemented in
+``quota_grants`` (quotas), ``slot_waits`` (slots of engines) and ``accounts`` (replicated
+commands). It relies on ``Leadership`` for whether this replica may answer.
 """
 
 import anyio
@@ -31,7 +31,7 @@
 from passlane.replication.interfaces import ReplicatedGroup
 from passlane.transport.interfaces import Router
 from passlane.turns.accounts import TurnAccounts
-from passlane.turns.dispatch import FIGURES_PERIOD_S, TICK_S, TurnDispatcher
+from passlane.turns.dispatch import SLOT_LOG_INTERVAL_S, TICK_S, TurnDispatcher
 from passlane.turns.leadership import Leadership
 from passlane.turns.quota_grants import QuotaGrants
 from passlane.turns.slot_waits import SlotWaits
@@ -39,10 +39,10 @@
 
 
 class TurnService:
-    """Answers nodes' requests about turns, in the order of their steps.
+    """Handles nodes' requests for turns.
 
-    Each method raises ``NotLeaderError`` where this replica does not lead, and
-    ``PasslaneError`` where what it asked of the group is not known to be replicated.
+    Each handler raises ``NotLeaderError`` when this replica does not lead, and
+    ``PasslaneError`` when a command is not known to be replicated.
     """
 
     def __init__(
@@ -65,42 +65,42 @@
         router.add_unary(DrawQuota, self.draw_quota)
 
     async def run(self) -> None:
-        """Carry out the leader's duties until cancelled."""
+        """Run the leader's background tasks until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._accounts.run)
             tasks.start_soon(self._quotas.run)
-            tasks.start_soon(self._advance_dispatch)
-            tasks.start_soon(self._log_figures)
+            tasks.start_soon(self._advance_dispatcher)
+            tasks.start_soon(self._log_slot_usage)
 
-    async def _advance_dispatch(self) -> None:
-        """Let the scheduler of turns know that time passes."""
+    async def _advance_dispatcher(self) -> None:
+        """Advance the turn scheduler while this replica leads; else withdraw waiting turns."""
         while True:
             await anyio.sleep(TICK_S)
-            if self._leadership.is_held:
+            if self._leadership.is_leading:
                 self._dispatcher.advance()
             else:
                 self._dispatcher.withdraw_all()
 
-    async def _log_figures(self) -> None:
-        """Log now and then how full the engines are, while this replica leads."""
+    async def _log_slot_usage(self) -> None:
+        """Log the slot usage at intervals while this replica leads."""
         while True:
-            await anyio.sleep(FIGURES_PERIOD_S)
-            if self._leadership.is_held:
-                self._dispatcher.log_figures()
+            await anyio.sleep(SLOT_LOG_INTERVAL_S)
+            if self._leadership.is_leading:
+                self._dispatcher.log_slot_usage()
 
     async def reserve(self, request: ReserveTurn) -> Message:
-        """Reserve a turn's tokens; the reply holds the history that goes before its input.
+        """Reserve a turn's tokens; the reply contains the history that precedes its input.
 
-        A turn that asks for a slot of an engine gets its answer when it has one.
+        A turn that requests a slot of an engine is answered when it has one or is refused.
         """
-        self._leadership.require()
+        self._leadership.require_leadership()
         draw = self._draw_of(request)
         if draw is None:
             return await self._reserve_granted(request, QuotaGranted())
         return await self._reserve_with_draw(request, draw)
 
     async def _reserve_with_draw(self, request: ReserveTurn, draw: QuotaDraw) -> Message:
-        """Draw on the tenant's limit, reserve, and give back what is not sent."""
+        """Draw the tenant's quota and reserve; return the grant if the turn is not sent."""
         drawn_at = anyio.current_time()
         quota = await self._quotas.draw(draw)
         if isinstance(quota, QuotaRefused):
@@ -110,25 +110,26 @@
         try:
             answer = await self._reserve_granted(request, quota)
             if request.demand is not None and term == self._leadership.served_term:
-                self._quotas.note_sent(draw, drawn_at + quota.start_after_s)
+                self._quotas.record_sent(draw, drawn_at + quota.start_after_s)
             return answer
         finally:
-            # Without this answer the node sends nothing; what another term counts it was told.
+            # Without this answer the node sends nothing. In another term the ledger counts only
+            # the replicated grants, so there is nothing to return.
             is_sent = isinstance(answer, TurnReserved)
             if not is_sent and term == self._leadership.served_term:
                 self._quotas.give_back(draw)
 
     async def _reserve_granted(self, request: ReserveTurn, quota: QuotaGranted) -> Message:
-        """Reserve a turn that its tenant's limit lets go on."""
+        """Reserve a turn that was granted its tenant's quota."""
         if request.demand is None:
             return await self._accounts.reserve(request, quota)
-        # No slot is kept for a turn that its tenant's limit lets wait.
+        # A turn that its tenant's quota delays must not occupy a slot.
         await anyio.sleep(quota.start_after_s)
-        self._leadership.require()
+        self._leadership.require_leadership()
         return await self._slots.reserve(request, request.demand, quota)
 
     def _draw_of(self, request: ReserveTurn) -> QuotaDraw | None:
-        """Return what a turn draws from its limit; only the first of a program begins one."""
+        """Return a turn's quota draw; only the first turn of a program begins a program."""
         if request.quota is None:
             return None
         is_known = self._machine.knows_program(request.program_id)
@@ -136,8 +137,8 @@
         return msgspec.structs.replace(request.quota, use=use)
 
     async def settle(self, request: SettleTurn) -> Message:
-        """Settle a turn; the reply means that it is durable on a majority."""
-        self._leadership.require()
+        """Settle a turn; the reply confirms that the settlement is durable on a majority."""
+        self._leadership.require_leadership()
         self._dispatcher.end(
             TurnEnded(
                 attempt_id=request.attempt_id,
@@ -154,11 +155,11 @@
         return msgspec.structs.replace(result, ahead=granted.ahead)
 
     async def draw_quota(self, request: DrawQuota) -> Message:
-        """Count a request that is no turn against its tenant's limit."""
-        self._leadership.require()
+        """Draw a tenant's quota for a request outside turns."""
+        self._leadership.require_leadership()
         return await self._quotas.draw(request.draw)
 
     async def find(self, request: FindTurnStore) -> Message:
-        """Tell a node that lost the store group that its leader is here."""
-        self._leadership.require()
+        """Answer a probe for the leader with the current term."""
+        self._leadership.require_leadership()
         return TurnStoreFound(term=self._leadership.term)
--- a/src/passlane/turns/slot_metrics.py
+++ b/src/passlane/turns/slot_metrics.py
@@ -1,8 +1,8 @@
-"""Metrics of the scheduler of turns on the replica that leads the store group.
+"""Metrics of the turn scheduler on the replica that leads the store group.
 
-They are for operators and rest on ``TurnScheduler.figures``; no state is owned. The metric keeps
-the name ``turn_places`` and the state ``told_to_return``, which operators' charts know: a place is
-a slot of an engine, and those told to return were refused and are to retry.
+They are for operators and are computed from ``TurnScheduler.figures``; no state is owned. The
+metric ``turn_places`` and its state ``told_to_return`` keep the names that operators' charts use:
+a place is a slot of an engine, and ``told_to_return`` counts refused programs that are to retry.
 """
 
 from collections.abc import Callable
@@ -20,18 +20,18 @@
 
 
 def expose_slots(metrics: Metrics, scheduler: TurnScheduler) -> None:
-    """Show slots and turns of all services together, one series for each state."""
+    """Register the gauge of slots and turns, summed over services, with one series per state."""
     gauge = metrics.gauge(
         "turn_places", "Places of engines, and turns that run, wait or are to return", ("state",)
     )
     for state, figure in _STATES.items():
-        gauge.labels(state).set_function(_sum_of(scheduler, figure))
+        gauge.labels(state).set_function(_sum_over_services(scheduler, figure))
 
 
-def _sum_of(
+def _sum_over_services(
     scheduler: TurnScheduler, figure: Callable[[SchedulerFigures], int]
 ) -> Callable[[], float]:
-    """Return what gives a figure summed over the services."""
+    """Return a function that computes the sum of a figure over the services."""
 
     def total() -> float:
         return float(sum(figure(scheduler.figures(name)) for name in scheduler.service_names))
--- a/src/passlane/turns/slot_waits.py
+++ b/src/passlane/turns/slot_waits.py
@@ -1,9 +1,9 @@
-"""Reserves turns that ask for a slot of an engine: the reservation beside the wait for the slot.
+"""Reserves turns that request a slot of an engine: combines the reservation and the wait.
 
-It is for the service of turns on the leader. It owns the newest question of each attempt, so that
-an older one ends nothing and releases nothing. It relies on ``TurnDispatcher`` for the decision and
-on ``TurnAccounts`` for the reservation itself; a new program has its slot first, since it reserves
-nothing if it is refused.
+It is for ``TurnService`` on the leader. It owns the newest request of each attempt, so that an
+older request neither ends the turn nor releases its reservation. It relies on ``TurnDispatcher``
+for the slot and on ``TurnAccounts`` for the reservation. A new program gets its slot first, because
+it must not reserve tokens if it is refused.
 """
 
 import msgspec
@@ -34,7 +34,7 @@
         self._machine = machine
         self._dispatcher = dispatcher
         self._leadership = leadership
-        self._questions: dict[str, object] = {}
+        self._newest_requests: dict[str, object] = {}
 
     async def reserve(
         self, request: ReserveTurn, demand: TurnDemand, quota: QuotaGranted
@@ -44,32 +44,36 @@
         Raises
         ------
         PasslaneError
-            When this replica does not lead any more, or nobody waits for the turn here, or the
-            group did not take the command; the reservation may have been made.
+            When this replica no longer leads, when the turn was withdrawn, or when the command
+            is not known to be replicated; the reservation may have been made.
         """
-        asked = self._asked(request, demand)
-        question = object()
-        self._questions[request.attempt_id] = question
+        turn_event = self._build_turn_event(request, demand)
+        request_token = object()
+        self._newest_requests[request.attempt_id] = request_token
         try:
-            return await self._reserve_with_slot(request, asked, quota, question)
+            return await self._reserve_with_slot(request, turn_event, quota, request_token)
         except BaseException:
-            # Also when the caller has gone: the slot, or the wait for it, must not outlive it.
-            if self._is_newest(request, question):
+            # Also on cancellation: the slot or the wait for it must not outlive the caller.
+            if self._is_newest(request, request_token):
                 self._dispatcher.end(TurnEnded(attempt_id=request.attempt_id))
             raise
         finally:
-            if self._is_newest(request, question):
-                del self._questions[request.attempt_id]
+            if self._is_newest(request, request_token):
+                del self._newest_requests[request.attempt_id]
 
-    def _is_newest(self, request: ReserveTurn, question: object) -> bool:
-        """Whether nobody has asked about the attempt again since."""
-        return self._questions.get(request.attempt_id) is question
+    def _is_newest(self, request: ReserveTurn, request_token: object) -> bool:
+        """Whether no newer request of the attempt has arrived."""
+        return self._newest_requests.get(request.attempt_id) is request_token
 
     async def _reserve_with_slot(
-        self, request: ReserveTurn, asked: TurnAsked, quota: QuotaGranted, question: object
+        self,
+        request: ReserveTurn,
+        turn_event: TurnAsked,
+        quota: QuotaGranted,
+        request_token: object,
     ) -> Message:
-        pending = self._dispatcher.ask(asked)
-        if asked.is_first:
+        pending = self._dispatcher.submit(turn_event)
+        if turn_event.is_first:
             decision = await self._wait_for_slot(pending)
             if isinstance(decision, TurnNotPlaced):
                 return _refusal(decision)
@@ -79,13 +83,13 @@
             return answer
         decision = await self._wait_for_slot(pending)
         if isinstance(decision, TurnNotPlaced):
-            # A newer question may have found the reservation made, and rely on it.
-            if self._is_newest(request, question):
+            # A newer request may rely on the reservation.
+            if self._is_newest(request, request_token):
                 await self._accounts.release(request)
             return _refusal(decision)
         return _with_slot(answer, decision, quota)
 
-    def _asked(self, request: ReserveTurn, demand: TurnDemand) -> TurnAsked:
+    def _build_turn_event(self, request: ReserveTurn, demand: TurnDemand) -> TurnAsked:
         return TurnAsked(
             attempt_id=request.attempt_id,
             program_id=request.program_id,
@@ -96,18 +100,18 @@
         )
 
     async def _wait_for_slot(self, pending: PendingTurn) -> TurnPlaced | TurnNotPlaced:
-        """Return once a turn has a slot or is refused.
+        """Wait until a turn has a slot or is refused.
 
         Raises
         ------
         PasslaneError
-            ``UNAVAILABLE`` when nobody waits for it here any longer.
+            ``UNAVAILABLE`` when the turn was withdrawn.
         """
         decision = await pending.wait()
         if isinstance(decision, TurnPlaced | TurnNotPlaced):
             return decision
-        self._leadership.require()
-        raise PasslaneError(ErrorCode.UNAVAILABLE, "the turn is not waited for any longer")
+        self._leadership.require_leadership()
+        raise PasslaneError(ErrorCode.UNAVAILABLE, "the turn was withdrawn before it had a slot")
 
 
 def _refusal(decision: TurnNotPlaced) -> TurnRefused:
@@ -119,7 +123,7 @@
 
 
 def _with_slot(answer: TurnReserved, placed: TurnPlaced, quota: QuotaGranted) -> TurnReserved:
-    """Return a reservation's answer that names the engine; ``place_wait_s`` is the slot's wait."""
+    """Return the reservation's answer with the engine and the times waited for slot and quota."""
     return msgspec.structs.replace(
         answer,
         engine=placed.engine,
--- a/tests/turns/test_decision_log.py
+++ b/tests/turns/test_decision_log.py
@@ -1,4 +1,4 @@
-"""The log lines that lead to a decision of the scheduler of turns."""
+"""Log lines of the turn scheduler's decisions."""
 
 import unittest
 
@@ -13,9 +13,9 @@
 )
 from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures
 from passlane.messages.placement import TurnDemand
-from passlane.turns.decision_log import log_decision, log_figures
+from passlane.turns.decision_log import log_decision, log_slot_usage
 
-ASKED = TurnAsked(
+TURN_EVENT = TurnAsked(
     attempt_id="a",
     program_id="p",
     is_first=True,
@@ -25,20 +25,20 @@
         service="llm", route="r", urgency=12, zone="a", tenant="corner", program_time_left_s=2.5
     ),
 )
-OF_TURN = {"request_id": "a", "program_id": "p", "log_level": "info"}
+TURN_FIELDS = {"request_id": "a", "program_id": "p", "log_level": "info"}
 
 
 class DecisionLineTest(unittest.TestCase):
-    def lines_of(self, decision: TurnDecision) -> list[dict[str, object]]:
+    def lines_for(self, decision: TurnDecision) -> list[dict[str, object]]:
         with capture_logs() as lines:
-            log_decision(ASKED, decision)
+            log_decision(TURN_EVENT, decision)
         return [{key: line[key] for key in line if key != "component"} for line in lines]
 
-    def test_a_turn_that_waited_tells_why_and_where_it_went(self):
+    def test_a_placed_turn_that_waited_is_logged(self):
         placed = TurnPlaced(
             attempt_id="a", engine="e1", waited_s=0.03125, expected_s=0.24, running=6, waiting=17
         )
-        expected = OF_TURN | {
+        expected = TURN_FIELDS | {
             "event": "turn_placed",
             "tenant": "corner",
             "urgency": 12,
@@ -50,16 +50,16 @@
             "running": 6,
             "waiting": 17,
         }
-        self.assertEqual(self.lines_of(placed), [expected])
+        self.assertEqual(self.lines_for(placed), [expected])
 
-    def test_a_turn_that_did_not_wait_has_no_line_here(self):
-        self.assertEqual(self.lines_of(TurnPlaced(attempt_id="a", engine="e1", waited_s=0.0)), [])
+    def test_a_placed_turn_that_did_not_wait_is_not_logged(self):
+        self.assertEqual(self.lines_for(TurnPlaced(attempt_id="a", engine="e1", waited_s=0.0)), [])
 
-    def test_a_refusal_tells_what_it_rests_on(self):
+    def test_a_refusal_is_logged_with_its_reasons(self):
         refused = TurnNotPlaced(
             attempt_id="a", retry_after_s=0.75, waiting=9, busy_share=0.875, waited_s=0.5
         )
-        expected = OF_TURN | {
+        expected = TURN_FIELDS | {
             "event": "program_refused",
             "tenant": "corner",
             "urgency": 12,
@@ -69,22 +69,22 @@
             "retry_after_s": 0.75,
             "program_time_left_s": 2.5,
         }
-        self.assertEqual(self.lines_of(refused), [expected])
+        self.assertEqual(self.lines_for(refused), [expected])
 
-    def test_a_turn_that_nobody_waits_for_has_a_line(self):
-        expected = OF_TURN | {"event": "turn_withdrawn"}
-        self.assertEqual(self.lines_of(TurnWithdrawn("a")), [expected])
+    def test_a_withdrawn_turn_is_logged(self):
+        expected = TURN_FIELDS | {"event": "turn_withdrawn"}
+        self.assertEqual(self.lines_for(TurnWithdrawn("a")), [expected])
 
 
-class FiguresLineTest(unittest.TestCase):
+class SlotUsageLineTest(unittest.TestCase):
     def events_for(self, **given: int) -> list[str]:
         none = {"waiting_under_way": 0, "waiting_new": 0, "told_to_return": 0}
         figures = SchedulerFigures(engines=1, slots=6, running=6, **(none | given))
         with capture_logs() as lines:
-            log_figures("llm", figures)
+            log_slot_usage("llm", figures)
         return [line["event"] for line in lines]
 
-    def test_a_service_has_a_line_while_somebody_waits_or_is_to_retry(self):
+    def test_slot_usage_is_logged_while_turns_wait_or_are_to_retry(self):
         self.assertEqual(self.events_for(), [])
         for name in ("waiting_under_way", "waiting_new", "told_to_return"):
             self.assertEqual(self.events_for(**{name: 1}), ["places"], name)
--- a/tests/turns/test_service.py
+++ b/tests/turns/test_service.py
@@ -1,4 +1,4 @@
-"""Turns on the store group's leader: places beside reservations, and what becomes of both."""
+"""Turns on the store group's leader: slots, reservations and quotas, and their release."""
 
 import functools
 import unittest
@@ -21,18 +21,20 @@
 from passlane.turns.state.machine import TurnStateMachine
 
 PROPOSE_S = 0.01
-BEFORE = ReserveTurn(program_id="under-way", attempt_id="before", most_tokens=1, budget_tokens=100)
+EARLIER_TURN = ReserveTurn(
+    program_id="under-way", attempt_id="before", most_tokens=1, budget_tokens=100
+)
 QUOTA = QuotaDraw(
     limit=QuotaLimit(tenant="t", rate_per_s=2.0, burst=10.0, version=1),
     use=QuotaUse.BEGIN_PROGRAM,
     route="r",
 )
-"""Of a limit of 20 requests in a window."""
+"""A draw on a limit of 20 requests in a window."""
 ENGINE = BackendRecord("e1", "llm", Address("10.0.0.1", 80), "a", 1, BackendState.READY)
 
 
-class LoneGroup:
-    """A group of one replica that leads while it is told to."""
+class SingleReplicaGroup:
+    """A group of one replica that leads while ``is_leader`` is set."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -50,13 +52,13 @@
 
 
 def with_leader(body):
-    """Run a test's body with a service that leads and knows one engine of one place."""
+    """Run a test's body with a leading service and one engine with one slot."""
 
     @functools.wraps(body)
     def test(self):
         async def main():
             machine = TurnStateMachine()
-            self.group = LoneGroup(machine)
+            self.group = SingleReplicaGroup(machine)
             self.dispatcher = TurnDispatcher(TurnScheduler())
             quotas = QuotaLedger(QuotaRules())
             self.service = TurnService(
@@ -65,9 +67,9 @@
             self.dispatcher.replace_backends([ENGINE])
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.service.run)
-                # A program under way whose history is at an engine that is gone.
-                await self.service.reserve(BEFORE)
-                await self.settle(BEFORE.attempt_id, BEFORE.program_id, served_by="e9")
+                # A running program whose last engine is no longer listed.
+                await self.service.reserve(EARLIER_TURN)
+                await self.settle(EARLIER_TURN.attempt_id, EARLIER_TURN.program_id, served_by="e9")
                 await anyio.sleep(LEARNING_S)
                 await body(self)
                 tasks.cancel_scope.cancel()
@@ -78,7 +80,7 @@
     return test
 
 
-class PlaceTest(unittest.TestCase):
+class SlotTest(unittest.TestCase):
     async def reserve(
         self, attempt: str, program: str = "p", *, most: int = 10, quota: QuotaDraw | None = None
     ) -> Message:
@@ -98,12 +100,12 @@
         )
 
     @with_leader
-    async def test_a_turn_is_told_where_it_has_a_place(self):
+    async def test_a_reservation_names_the_engine_of_its_slot(self):
         answer = await self.reserve("a")
         self.assertEqual(answer, TurnReserved(engine="e1"))
 
     @with_leader
-    async def test_the_next_turn_waits_until_the_place_is_given_back(self):
+    async def test_the_next_turn_waits_until_the_slot_is_released(self):
         await self.reserve("a")
         await self.settle("a")
         await self.reserve("b")
@@ -121,7 +123,7 @@
         self.assertGreater(answers[0].place_wait_s, 0.19)
 
     @with_leader
-    async def test_only_reservations_and_settlements_are_replicated(self):
+    async def test_demand_and_outcome_are_not_replicated(self):
         await self.reserve("a")
         await self.settle("a")
         for command in self.group.commands:
@@ -129,7 +131,7 @@
             self.assertNotIn(b"outcome", command)
 
     @with_leader
-    async def test_a_program_that_finds_no_room_reserves_nothing(self):
+    async def test_a_program_refused_for_lack_of_capacity_reserves_nothing(self):
         await self.reserve("a")
         before = len(self.group.commands)
         answer = await self.reserve("b", "q")
@@ -137,12 +139,12 @@
         self.assertEqual(len(self.group.commands), before)
 
     @with_leader
-    async def test_a_turn_beyond_its_budget_keeps_no_place(self):
+    async def test_a_turn_beyond_its_budget_occupies_no_slot(self):
         self.assertIsInstance(await self.reserve("a", most=1_000), BudgetSpent)
         self.assertEqual((await self.reserve("b", "q")).engine, "e1")
 
     @with_leader
-    async def test_a_turn_that_nobody_waits_for_keeps_no_place(self):
+    async def test_a_cancelled_request_occupies_no_slot(self):
         await self.reserve("a")
         with anyio.move_on_after(0.1):
             await self.reserve("b", "under-way")
@@ -150,7 +152,7 @@
         self.assertEqual((await self.reserve("c", "q")).engine, "e1")
 
     @with_leader
-    async def test_who_waits_learns_at_once_that_the_leader_has_lost_its_lead(self):
+    async def test_waiting_requests_fail_at_once_when_leadership_is_lost(self):
         await self.reserve("a")
 
         async def lose():
@@ -165,7 +167,7 @@
             self.assertLess(anyio.current_time() - started, 0.1 + 2 * TICK_S)
 
     @with_leader
-    async def test_a_leader_of_another_term_lets_nodes_choose_at_first(self):
+    async def test_a_leader_of_a_new_term_lets_nodes_choose_engines_at_first(self):
         await self.reserve("a")
         self.group.term = 2
         self.assertEqual((await self.reserve("b", "q")).engine, "")
@@ -173,7 +175,7 @@
         self.assertEqual((await self.reserve("c", "r")).engine, "e1")
 
     @with_leader
-    async def test_the_same_attempt_asked_twice_has_one_place(self):
+    async def test_a_repeated_attempt_occupies_one_slot(self):
         first = await self.reserve("a")
         self.assertEqual(await self.reserve("a"), first)
         encoded = [c for c in self.group.commands if c == encode_message(
@@ -183,46 +185,46 @@
         await self.settle("a")
         self.assertEqual((await self.reserve("b", "q")).engine, "e1")
 
-    async def ask_and_leave(self, attempt: str, program: str, after_s: float, **given) -> None:
+    async def reserve_and_cancel(self, attempt: str, program: str, after_s: float, **given) -> None:
         with anyio.move_on_after(after_s):
             await self.reserve(attempt, program, **given)
 
     @with_leader
-    async def test_a_repeated_question_keeps_its_turn_when_the_first_one_ends(self):
+    async def test_a_repeated_request_keeps_waiting_when_the_first_is_cancelled(self):
         await self.reserve("a")
         answers = []
 
-        async def ask_again():
+        async def reserve_again():
             await anyio.sleep(0.1)
             answers.append(await self.reserve("b", "under-way"))
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.ask_and_leave, "b", "under-way", 0.2)
-            tasks.start_soon(ask_again)
+            tasks.start_soon(self.reserve_and_cancel, "b", "under-way", 0.2)
+            tasks.start_soon(reserve_again)
             await anyio.sleep(0.3)
             await self.settle("a")
         self.assertEqual(answers[0].engine, "e1")
         self.assertGreater(answers[0].place_wait_s, 0.29)
 
     @with_leader
-    async def test_a_repeated_question_keeps_its_place_when_the_first_one_ends(self):
+    async def test_a_repeated_request_keeps_its_slot_when_the_first_is_cancelled(self):
         answers = []
 
-        async def ask_again():
+        async def reserve_again():
             await anyio.sleep(0.001)
             answers.append(await self.reserve("b", "under-way"))
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self.ask_and_leave, "b", "under-way", PROPOSE_S / 2)
-            tasks.start_soon(ask_again)
+            tasks.start_soon(self.reserve_and_cancel, "b", "under-way", PROPOSE_S / 2)
+            tasks.start_soon(reserve_again)
         self.assertEqual(answers[0].engine, "e1")
         self.assertEqual(self.dispatcher.scheduler.figures("llm").running, 1)
 
     @with_leader
-    async def test_who_leaves_at_any_moment_keeps_no_place(self):
+    async def test_a_request_cancelled_at_any_time_occupies_no_slot(self):
         for number in range(30):
-            await self.ask_and_leave(f"n{number}", f"new{number}", 0.0005 * number)
-            await self.ask_and_leave(f"u{number}", "under-way", 0.0005 * number)
+            await self.reserve_and_cancel(f"n{number}", f"new{number}", 0.0005 * number)
+            await self.reserve_and_cancel(f"u{number}", "under-way", 0.0005 * number)
             if 0.0005 * number < PROPOSE_S:
                 self.assertEqual(self.dispatcher.scheduler.figures("llm").running, 0)
             await self.settle(f"n{number}", f"new{number}")
@@ -230,16 +232,16 @@
         self.assertEqual(self.dispatcher.scheduler.figures("llm").running, 0)
 
     @with_leader
-    async def test_callers_that_leave_while_they_wait_use_up_no_limit(self):
+    async def test_requests_cancelled_while_waiting_use_no_quota(self):
         await self.reserve("a")
         for number in range(30):
-            await self.ask_and_leave(f"b{number}", "under-way", 0.05, quota=QUOTA)
+            await self.reserve_and_cancel(f"b{number}", "under-way", 0.05, quota=QUOTA)
             await self.settle(f"b{number}", "under-way", served_by="")
         await self.settle("a")
         self.assertIsInstance(await self.reserve("c", "under-way", quota=QUOTA), TurnReserved)
 
     @with_leader
-    async def test_a_leader_of_another_term_knows_so_after_the_wait_for_a_limit(self):
+    async def test_a_new_term_is_detected_after_the_wait_for_quota(self):
         limit = QuotaLimit(tenant="t", rate_per_s=2.0, burst=0.0, version=1)
         quota = QuotaDraw(limit=limit, use=QuotaUse.BEGIN_PROGRAM, route="r")
         for number in range(10):
@@ -259,14 +261,14 @@
         self.assertEqual(answers[0].engine, "")
 
     @with_leader
-    async def test_a_program_whose_first_turn_was_left_is_new_when_it_comes_back(self):
+    async def test_a_program_whose_first_turn_was_cancelled_is_still_new(self):
         await self.reserve("a")
-        await self.ask_and_leave("b", "q", 0.05)
+        await self.reserve_and_cancel("b", "q", 0.05)
         await self.settle("b", "q", served_by="")
         self.assertIsInstance(await self.reserve("c", "q"), TurnRefused)
 
     @with_leader
-    async def test_a_limit_holds_for_turns_that_waited_for_places(self):
+    async def test_a_limit_holds_for_turns_that_waited_for_slots(self):
         sent = []
 
         async def run_turn(number):
@@ -285,11 +287,11 @@
             for number in range(20, 40):
                 tasks.start_soon(run_turn, number)
         self.assertGreaterEqual(len(sent), 20)
-        for moment in sent:
-            self.assertLessEqual(sum(moment <= other < moment + 5.0 for other in sent), 20)
+        for sent_at in sent:
+            self.assertLessEqual(sum(sent_at <= other < sent_at + 5.0 for other in sent), 20)
 
     @with_leader
-    async def test_programs_that_find_no_room_use_up_no_limit(self):
+    async def test_programs_refused_for_lack_of_capacity_use_no_quota(self):
         await self.reserve("a", "under-way")
         for number in range(30):
             refused = await self.reserve(f"r{number}", f"q{number}", quota=QUOTA)
--- a/tests/turns/test_slot_waits.py
+++ b/tests/turns/test_slot_waits.py
@@ -1,10 +1,6 @@
-"""A question about a slot that is asked twice: its reservation belongs to the newer one.
+"""Repeated requests for a slot: only the newest request of an attempt may release its reservation.
 
-What happens: the answer to a reservation is lost while the group is about to release it, since the
-turn found no slot. The node asks again and is given a slot; the older question then releases the
-reservation, and the turn runs without any.
-
-Why: each question released the reservation by itself, whether or not a newer one relied on it.
+Guards against a refused older request that releases the reservation of a placed newer one.
 """
 
 import unittest
@@ -22,7 +18,7 @@
 from passlane.turns.leadership import Leadership
 from passlane.turns.slot_waits import SlotWaits
 from passlane.turns.state.machine import TurnStateMachine
-from turns.test_service import PROPOSE_S, LoneGroup
+from turns.test_service import PROPOSE_S, SingleReplicaGroup
 
 DEMAND = TurnDemand(service="llm", route="r", urgency=1, zone="a")
 TURN = ReserveTurn(program_id="p", attempt_id="a", most_tokens=10, budget_tokens=100)
@@ -30,8 +26,8 @@
 PLACED = TurnPlaced(attempt_id="a", engine="e1", waited_s=0.0)
 
 
-class LoggedGroup(LoneGroup):
-    """Applies commands in the order in which they are proposed, as a log does."""
+class OrderedGroup(SingleReplicaGroup):
+    """Applies commands in the order in which they are proposed."""
 
     async def propose(self, command, *, may_be_deferred=False):
         result = self.machine.apply(0, command)
@@ -40,14 +36,14 @@
 
 
 class ScriptedDispatcher:
-    """Decides each question as it is told."""
+    """Answers requests with the given decisions, in order."""
 
     def __init__(self, *decisions):
         self._decisions = list(decisions)
         self.ended = []
 
-    def ask(self, asked):
-        pending = PendingTurn(asked, anyio.Event(), self._decisions.pop(0))
+    def submit(self, turn_event):
+        pending = PendingTurn(turn_event, anyio.Event(), self._decisions.pop(0))
         pending.decided.set()
         return pending
 
@@ -58,29 +54,29 @@
         pass
 
 
-class RepeatedQuestionTest(unittest.TestCase):
-    def ask_twice(self, second_after_s, *decisions):
-        """Ask for the same turn twice; return both answers and the tokens that stay reserved."""
+class RepeatedRequestTest(unittest.TestCase):
+    def reserve_twice(self, second_after_s, *decisions):
+        """Request a slot for the same turn twice; return both answers and the reserved tokens."""
         answers = {}
 
         async def main():
             machine = TurnStateMachine()
-            known = ReserveTurn(
+            earlier = ReserveTurn(
                 program_id="p", attempt_id="first", most_tokens=1, budget_tokens=100
             )
-            machine.execute(known)
+            machine.execute(earlier)
             machine.execute(SettleTurn(program_id="p", attempt_id="first", tokens=1))
             dispatcher = ScriptedDispatcher(*decisions)
-            leadership = Leadership(LoggedGroup(machine), QuotaLedger(QuotaRules()), dispatcher)
+            leadership = Leadership(OrderedGroup(machine), QuotaLedger(QuotaRules()), dispatcher)
             slots = SlotWaits(TurnAccounts(machine, leadership), machine, dispatcher, leadership)
 
-            async def ask(name):
+            async def send_request(name):
                 answers[name] = await slots.reserve(TURN, DEMAND, QuotaGranted())
 
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(ask, "older")
+                tasks.start_soon(send_request, "older")
                 await anyio.sleep(second_after_s)
-                tasks.start_soon(ask, "newer")
+                tasks.start_soon(send_request, "newer")
             probe = ReserveTurn(
                 program_id="p", attempt_id="probe", most_tokens=100, budget_tokens=100
             )
@@ -90,15 +86,15 @@
         anyio.run(main, backend="trio", backend_options={"clock": clock})
         return answers["older"], answers["newer"], answers["reserved"]
 
-    def test_a_turn_that_is_placed_keeps_its_reservation(self):
+    def test_a_placed_turn_keeps_its_reservation(self):
         for number in range(60):
-            _, newer, reserved = self.ask_twice(0.0005 * number, REFUSED, PLACED)
+            _, newer, reserved = self.reserve_twice(0.0005 * number, REFUSED, PLACED)
             self.assertIsInstance(newer, TurnReserved)
-            self.assertEqual(reserved, TURN.most_tokens, f"asked again after {0.5 * number} ms")
+            self.assertEqual(reserved, TURN.most_tokens, f"requested again after {0.5 * number} ms")
 
-    def test_a_turn_that_is_refused_twice_keeps_none(self):
+    def test_a_turn_refused_twice_keeps_no_reservation(self):
         for number in range(60):
-            older, newer, reserved = self.ask_twice(0.0005 * number, REFUSED, REFUSED)
+            older, newer, reserved = self.reserve_twice(0.0005 * number, REFUSED, REFUSED)
             self.assertIsInstance(older, TurnRefused)
             self.assertIsInstance(newer, TurnRefused)
             self.assertEqual(reserved, 0)
