--- a/src/passlane/fleet/state/__init__.py
+++ b/src/passlane/fleet/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a fleet's control group agrees on and what its leader remembers; no I/O."""
+"""Replicated state of the control group, and soft state of its leader; no I/O."""
--- a/src/passlane/fleet/state/directory.py
+++ b/src/passlane/fleet/state/directory.py
@@ -1,9 +1,9 @@
-"""What the leader of the control group remembers of the processes that send heartbeats.
+"""The control leader's directory of the processes that send heartbeats.
 
-For: views of the fleet (who is reached where), and the choice of the store group's initial
-members.
-Owns: the newest heartbeat (message ``Announce``) of each process, and the members of the
-store group as its leader told them last. Soft state; no I/O, the time is an argument.
+For: views of the fleet (the addresses of its processes), and the choice of the store group's
+initial members.
+Owns: the newest heartbeat (message ``Announce``) of each process, and the members of the store
+group last reported by its leader. Soft state; no I/O, the time is an argument.
 Relies on: heartbeats alone.
 """
 
@@ -14,20 +14,16 @@
 
 from passlane.messages.fleet import Announce, FleetRole, NamedAddress
 
-FORGET_AFTER_S = 6.0
-"""Seconds of silence after which a process is no longer counted.
-
-Not measured; chosen: some heartbeats long (one each 0.8 s, ``follower.WAIT_S``).
-"""
-FOUNDING_PAUSE_S = 1.5
-"""Seconds without a new store process after which the store group is formed.
-
-Not measured; chosen (``docs/design/platform.md``): machines of one deployment start together.
-"""
+EXPIRE_AFTER_S = 6.0
+"""Time without a heartbeat after which a process is removed; several heartbeat intervals
+(``follower.HEARTBEAT_WAIT_S``)."""
+FORMATION_QUIET_S = 1.5
+"""Time without a new store process after which the store group is formed; the machines of a
+deployment start together."""
 
 
-class _Known(msgspec.Struct):
-    """The newest heartbeat of a process, when it first came from this address, and when last."""
+class _TrackedProcess(msgspec.Struct):
+    """A process's newest heartbeat, and the times of its first and last one from this address."""
 
     heartbeat: Announce
     first_at: float
@@ -35,36 +31,36 @@
 
 
 class _Addresses(msgspec.Struct, frozen=True):
-    """Control replicas' addresses as they are under one number of the directory."""
+    """The control replicas' addresses at one number of the directory."""
 
     number: int
     controls: tuple[NamedAddress, ...]
 
 
 class FleetDirectory:
-    """Processes by name; soft state that a new leader gathers anew.
+    """Processes by name; soft state that a new leader rebuilds from heartbeats.
 
-    ``number`` grows whenever an address that others need has changed. Nobody needs a
-    node's: if each node that comes back were news to all others, a new leader would have
-    the square of their number to tell.
+    ``number`` is incremented whenever an address that other processes need has changed. No process
+    needs the address of a node; otherwise, the updates that a new leader sends would grow with the
+    square of the number of nodes.
     """
 
     def __init__(self, first_number: int) -> None:
         self.number = first_number
-        self._known: dict[str, _Known] = {}
+        self._processes: dict[str, _TrackedProcess] = {}
         self._group_members: tuple[NamedAddress, ...] = ()
         self._addresses = _Addresses(first_number - 1, ())
 
     def note(self, heartbeat: Announce, now: float) -> bool:
-        """Take over a heartbeat; return whether the view of the fleet has changed.
+        """Record a heartbeat; return whether the view of the fleet has changed.
 
         ``now`` is the local time in seconds.
         """
-        self._forget_silent(now)
-        known = self._known.get(heartbeat.name)
-        is_new = known is None or known.heartbeat.address != heartbeat.address
-        first_at = now if known is None or is_new else known.first_at
-        self._known[heartbeat.name] = _Known(heartbeat, first_at, now)
+        self._expire_silent(now)
+        process = self._processes.get(heartbeat.name)
+        is_new = process is None or process.heartbeat.address != heartbeat.address
+        first_at = now if process is None or is_new else process.first_at
+        self._processes[heartbeat.name] = _TrackedProcess(heartbeat, first_at, now)
         members = heartbeat.group_members
         is_new_replica = is_new and heartbeat.role is not FleetRole.NODE
         has_changed = is_new_replica or bool(members and members != self._group_members)
@@ -74,16 +70,18 @@
             self.number += 1
         return has_changed
 
-    def _forget_silent(self, now: float) -> None:
-        silent = [n for n, known in self._known.items() if now - known.last_at > FORGET_AFTER_S]
+    def _expire_silent(self, now: float) -> None:
+        silent = [
+            n for n, process in self._processes.items() if now - process.last_at > EXPIRE_AFTER_S
+        ]
         for name in silent:
-            if self._known.pop(name).heartbeat.role is not FleetRole.NODE:
+            if self._processes.pop(name).heartbeat.role is not FleetRole.NODE:
                 self.number += 1
 
     def stores(self) -> tuple[NamedAddress, ...]:
-        """Return the members of the store group as its leader told them last; empty before.
+        """Return the members of the store group last reported by its leader; empty before.
 
-        Spares are left out: nobody has anything to ask them.
+        Spares are not included, because they receive no requests.
         """
         return self._group_members
 
@@ -92,55 +90,55 @@
         return self._current_addresses().controls
 
     def _current_addresses(self) -> _Addresses:
-        """Return the replicas' addresses, gathered once for each number."""
+        """Return the control replicas' addresses, computed once for each number."""
         if self._addresses.number != self.number:
-            controls = {self._address_of(known) for known in self._of_role(FleetRole.CONTROL)}
+            controls = {self._address_of(process) for process in self._of_role(FleetRole.CONTROL)}
             self._addresses = _Addresses(self.number, tuple(sorted(controls)))
         return self._addresses
 
     def node_count(self) -> int:
-        """Return how many nodes send heartbeats."""
+        """Return the number of nodes that send heartbeats."""
         return len(self._of_role(FleetRole.NODE))
 
     def node_names(self) -> list[str]:
         """Return the names of the nodes that send heartbeats."""
-        return [known.heartbeat.name for known in self._of_role(FleetRole.NODE)]
+        return [process.heartbeat.name for process in self._of_role(FleetRole.NODE)]
 
     def store_names(self) -> list[str]:
         """Return the names of the store machines that send heartbeats."""
-        return [known.heartbeat.name for known in self._of_role(FleetRole.STORE)]
+        return [process.heartbeat.name for process in self._of_role(FleetRole.STORE)]
 
     def announcement_of(self, name: str) -> Announce | None:
-        """Return the newest heartbeat (``Announce``) of this machine, if there is one."""
-        known = self._known.get(name)
-        return known.heartbeat if known is not None else None
+        """Return the newest heartbeat of a machine; ``None`` if there is none."""
+        process = self._processes.get(name)
+        return process.heartbeat if process is not None else None
 
-    def founders_due(self, now: float, places: int) -> tuple[NamedAddress, ...]:
-        """Return the initial members of the store group, or none while more may come.
+    def founders_due(self, now: float, max_members: int) -> tuple[NamedAddress, ...]:
+        """Return the initial members of the store group; empty while more may register.
 
-        They are ``places`` at most, spread over zones, and go into ``FoundStoreGroup``. Only
-        replicas whose disks never held anything are taken.
+        At most ``max_members`` members are chosen, spread over zones. Only replicas whose disks
+        never stored any data are eligible.
         """
-        stores = [k for k in self._of_role(FleetRole.STORE) if k.heartbeat.may_found]
-        if not stores or now - max(known.first_at for known in stores) < FOUNDING_PAUSE_S:
+        stores = [store for store in self._of_role(FleetRole.STORE) if store.heartbeat.may_found]
+        if not stores or now - max(process.first_at for process in stores) < FORMATION_QUIET_S:
             return ()
-        members = _spread_over_zones(known.heartbeat for known in stores)[:places]
+        members = _spread_over_zones(process.heartbeat for process in stores)[:max_members]
         return tuple(sorted(NamedAddress(m.replica_name, m.address) for m in members))
 
-    def _of_role(self, role: FleetRole) -> list[_Known]:
-        return [known for known in self._known.values() if known.heartbeat.role is role]
+    def _of_role(self, role: FleetRole) -> list[_TrackedProcess]:
+        return [process for process in self._processes.values() if process.heartbeat.role is role]
 
     @staticmethod
-    def _address_of(known: _Known) -> NamedAddress:
-        heartbeat = known.heartbeat
+    def _address_of(process: _TrackedProcess) -> NamedAddress:
+        heartbeat = process.heartbeat
         return NamedAddress(name=heartbeat.replica_name, address=heartbeat.address)
 
 
 def _spread_over_zones(heartbeats: Iterable[Announce]) -> list[Announce]:
-    """Return heartbeats in an order in which zones take turns."""
+    """Return heartbeats in an order that alternates between zones."""
     ranks: Counter[str] = Counter()
     ranked = []
-    for heartbeat in sorted(heartbeats, key=lambda known: known.replica_name):
+    for heartbeat in sorted(heartbeats, key=lambda announcement: announcement.replica_name):
         ranked.append((ranks[heartbeat.zone], heartbeat.zone, heartbeat))
         ranks[heartbeat.zone] += 1
     ranked.sort(key=lambda entry: entry[:2])
--- a/src/passlane/fleet/state/listing_updates.py
+++ b/src/passlane/fleet/state/listing_updates.py
@@ -1,9 +1,9 @@
-"""What a process that holds an earlier list of back ends is told of the newest one.
+"""Incremental updates from earlier lists of backends to the newest one.
 
-For: a fleet may have thousands of back ends and hundreds of nodes, and the list changes
-whenever one of them comes or leaves. A node that holds a recent list is told what has changed
-since; any other gets the whole list. Each update is packed once, however many nodes get it.
-Owns: the changes that led to the newest lists, and their packed forms.
+For: a fleet may have thousands of backends and hundreds of nodes, and the list changes whenever a
+backend starts or stops. A node with a recent list receives the changes since; any other receives
+the whole list. Each update is packed once, independent of the number of receivers.
+Owns: the changes between the newest lists, and their packed forms.
 Relies on: nothing; no I/O.
 """
 
@@ -15,13 +15,11 @@
 
 from passlane.messages.listing import BackendChanges, BackendRecord
 
-LISTS_REMEMBERED = 64
-"""Changes that a node may have missed and still be told one by one; at most some a second come.
-
-Not measured; chosen.
-"""
+MAX_RETAINED_CHANGES = 64
+"""Changes that are retained for incremental updates; the list changes a few times a second at
+most."""
 _COMPRESSION_LEVEL = 1
-"""Level of zlib: the fastest, since each change is packed anew. Not measured; chosen."""
+"""Fastest level of zlib, because each change is packed separately."""
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(BackendChanges)
 
@@ -29,15 +27,15 @@
 def changes_between(
     before: Iterable[BackendRecord], after: Iterable[BackendRecord]
 ) -> BackendChanges:
-    """Return what turns one list into another."""
+    """Return the changes from one list to another."""
     old = {record.instance_id: record for record in before}
     new = {record.instance_id: record for record in after}
     changed = tuple(record for name, record in new.items() if old.get(name) != record)
     return BackendChanges(changed=changed, gone=tuple(name for name in old if name not in new))
 
 
-def merged(changes: Iterable[BackendChanges]) -> BackendChanges:
-    """Return one change that has the effect of all, in their order."""
+def merge_changes(changes: Iterable[BackendChanges]) -> BackendChanges:
+    """Merge consecutive changes into one with the same effect."""
     changed: dict[str, BackendRecord] = {}
     gone: dict[str, None] = {}
     for change in changes:
@@ -53,7 +51,7 @@
 def apply_changes(
     records: Iterable[BackendRecord], changes: BackendChanges
 ) -> tuple[BackendRecord, ...]:
-    """Return the list after a change."""
+    """Return the list after the changes."""
     by_name = {record.instance_id: record for record in records}
     for name in changes.gone:
         by_name.pop(name, None)
@@ -62,49 +60,52 @@
 
 
 def pack(changes: BackendChanges) -> bytes:
-    """Return the packed form of a change."""
+    """Return the packed form of changes."""
     return zlib.compress(_encoder.encode(changes), _COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes) -> BackendChanges:
-    """Return a packed change.
+    """Return unpacked changes.
 
     Raises
     ------
     zlib.error, msgspec.DecodeError
-        When the bytes hold none.
+        When the bytes cannot be decoded.
     """
     return _decoder.decode(zlib.decompress(data))
 
 
 class _NumberedChanges(msgspec.Struct, frozen=True):
-    """What led to the list of a number from the one before."""
+    """The changes from the previous list to the list of this number."""
 
     number: int
     changes: BackendChanges
 
 
 class ListingUpdates:
-    """Updates from the lists of the last numbers to the newest one."""
+    """Updates from recent lists to the newest one."""
 
     def __init__(self) -> None:
-        self._changes: deque[_NumberedChanges] = deque(maxlen=LISTS_REMEMBERED)
+        self._changes: deque[_NumberedChanges] = deque(maxlen=MAX_RETAINED_CHANGES)
         self._records: Sequence[BackendRecord] = ()
         self._packed: dict[int, bytes] = {}
 
-    def note_list(self, number: int, records: Sequence[BackendRecord]) -> None:
-        """Note the newest list and its number, which is higher than those before."""
+    def record_list(self, number: int, records: Sequence[BackendRecord]) -> None:
+        """Record the newest list and its number, which must be higher than all before."""
         self._changes.append(_NumberedChanges(number, changes_between(self._records, records)))
         self._records = records
         self._packed.clear()
 
     def since(self, number: int) -> int:
-        """Return the number to start from for a process that holds ``number``; 0 for nothing."""
-        is_known = any(known.number == number for known in self._changes)
-        return number if is_known else 0
+        """Return the base number of an update for a process with list ``number``.
+
+        This is ``number`` itself if its changes are retained, else 0 for an empty list.
+        """
+        is_retained = any(entry.number == number for entry in self._changes)
+        return number if is_retained else 0
 
     def update_since(self, number: int) -> bytes:
-        """Return the packed update from the list of ``number`` to the newest one; 0 for no list."""
+        """Return the packed update from list ``number`` (0: empty list) to the newest one."""
         if number not in self._packed:
             self._packed[number] = pack(self._changes_since(number))
         return self._packed[number]
@@ -112,4 +113,4 @@
     def _changes_since(self, number: int) -> BackendChanges:
         if number == 0:
             return BackendChanges(changed=tuple(self._records), gone=())
-        return merged(known.changes for known in self._changes if known.number > number)
+        return merge_changes(entry.changes for entry in self._changes if entry.number > number)
--- a/src/passlane/fleet/state/machine.py
+++ b/src/passlane/fleet/state/machine.py
@@ -1,7 +1,7 @@
-"""The replicated state of a fleet, which the control group agrees on.
+"""The control group's replicated state of the fleet.
 
-For: what must outlive every process of the fleet: the configuration in force, the initial
-members of the store group, and which store machines are retired.
+For: state that must survive restarts of all processes: the current configuration, the initial
+members of the store group, and the retired store machines.
 Owns: ``FleetState``, stored in snapshots with its field names.
 Relies on: commands alone; no I/O.
 """
@@ -30,15 +30,14 @@
 
 
 class FleetState(msgspec.Struct, frozen=True):
-    """All replicated state.
+    """All replicated state of the fleet; snapshots store the field names.
 
     Attributes
     ----------
     store_founders
-        The initial members of the store group; empty before they are settled. Snapshots hold
-        the field under this name, so it stays.
+        The initial members of the store group; empty before the group is formed.
     retired
-        Names of the replicas of retired store machines, by the machines' names.
+        Names of the replicas of retired store machines, by machine name.
     """
 
     configuration: RouteConfiguration | None = None
@@ -50,7 +49,7 @@
 
 
 class FleetStateMachine:
-    """Applies changes of the fleet's configuration (a ``StateMachine``)."""
+    """Applies commands to the fleet's state (a ``StateMachine``)."""
 
     def __init__(self) -> None:
         self.state = FleetState()
@@ -62,31 +61,31 @@
     def execute(self, command: FleetCommand) -> Message:
         """Apply one command and return its result."""
         if isinstance(command, ReplaceConfiguration):
-            return self._replace(command.configuration)
+            return self._replace_configuration(command.configuration)
         if isinstance(command, ForbidReplica):
             retired = {**self.state.retired, command.name: command.replica_name}
             self.state = msgspec.structs.replace(self.state, retired=retired)
             return ReplicaForbidden(name=command.name)
-        return self._settle_initial_members(command)
+        return self._set_initial_members(command)
 
-    def _replace(self, configuration: RouteConfiguration) -> ConfigurationReplaced:
-        held = self.state.configuration
-        if held is not None and configuration.version <= held.version:
-            return ConfigurationReplaced(version=held.version, is_new=False)
+    def _replace_configuration(self, configuration: RouteConfiguration) -> ConfigurationReplaced:
+        current = self.state.configuration
+        if current is not None and configuration.version <= current.version:
+            return ConfigurationReplaced(version=current.version, is_new=False)
         self.state = msgspec.structs.replace(self.state, configuration=configuration)
         return ConfigurationReplaced(version=configuration.version, is_new=True)
 
-    def _settle_initial_members(self, command: FoundStoreGroup) -> StoreGroupFounded:
+    def _set_initial_members(self, command: FoundStoreGroup) -> StoreGroupFounded:
         if not self.state.store_founders:
             self.state = msgspec.structs.replace(self.state, store_founders=command.members)
         return StoreGroupFounded(members=self.state.store_founders)
 
     def snapshot_parts(self) -> Iterator[bytes]:
-        """Return the state as of this call; it is small enough for one part."""
+        """Return the state at the time of this call, encoded in one part."""
         return iter((msgspec.msgpack.encode(self.state),))
 
     def restore_parts(self, parts: Iterable[bytes]) -> Iterator[None]:
-        """Replace the state by that of a snapshot."""
+        """Replace the state by that of a snapshot; yields after each part is decoded."""
         for part in parts:
             state = _state_decoder.decode(part)
             yield
--- a/src/passlane/fleet/state/packed_configuration.py
+++ b/src/passlane/fleet/state/packed_configuration.py
@@ -1,7 +1,7 @@
-"""A configuration as it travels to nodes: without the operator's document, and compressed.
+"""The packed form of a configuration for nodes: without the operator's document, and compressed.
 
-For: a change goes to every node at the same moment. Encoding it for each of them, at some
-tens of kilobytes, kept the leader on a small machine from its heartbeats in the group.
+For: a change is sent to all nodes at the same time. Encoding tens of kilobytes for each node would
+delay the leader's heartbeats in the group on a small machine, so each version is encoded once.
 Owns: the packed form of the newest configuration.
 Relies on: nothing; no I/O.
 """
@@ -13,7 +13,7 @@
 from passlane.messages.routes import RouteConfiguration
 
 _COMPRESSION_LEVEL = 6
-"""Level of zlib, its default. Figures of one large document: ``docs/design/tenant-quotas.md``."""
+"""Default level of zlib."""
 _decoder = msgspec.msgpack.Decoder(RouteConfiguration)
 
 
@@ -24,25 +24,25 @@
 
 
 def unpack(data: bytes) -> RouteConfiguration:
-    """Return a packed configuration; its ``source`` is empty.
+    """Return the unpacked configuration; its ``source`` is empty.
 
     Raises
     ------
     zlib.error, msgspec.DecodeError
-        When the bytes hold none.
+        When the bytes cannot be decoded.
     """
     return _decoder.decode(zlib.decompress(data))
 
 
 class PackedConfigurations:
-    """Packs each configuration once."""
+    """Caches the packed form of the newest configuration."""
 
     def __init__(self) -> None:
         self._version = 0
         self._packed = b""
 
     def of(self, configuration: RouteConfiguration) -> bytes:
-        """Return the packed form of a configuration."""
+        """Return the packed form of a configuration, from the cache if the version is the same."""
         if configuration.version != self._version or not self._packed:
             self._packed = pack(configuration)
             self._version = configuration.version
--- a/tests/fleet/state/test_backend_listing.py
+++ b/tests/fleet/state/test_backend_listing.py
@@ -1,4 +1,4 @@
-"""One node reads the list of back ends for all, and is replaced when it falls silent."""
+"""One node reads the list of backends for all, and is replaced when its reports are overdue."""
 
 import unittest
 
@@ -25,14 +25,14 @@
         self.assertTrue(self.listing.report(report(backend("i-2")), 3.0))
         self.assertGreater(self.listing.number, first)
 
-    def test_numbers_of_another_term_are_never_taken_for_ones_own(self):
+    def test_a_report_with_the_number_of_another_term_is_ignored(self):
         other = BackendListing(200)
         other.report(report(backend("i-1")), 1.0)
         unchanged = ReportBackends(name="node-1", number=other.number, records=None)
         self.assertFalse(self.listing.report(unchanged, 2.0))
         self.assertIsNone(self.listing.read_at)
 
-    def test_a_report_without_records_confirms_the_list_held(self):
+    def test_a_report_without_records_confirms_the_current_list(self):
         self.listing.report(report(backend("i-1")), 1.0)
         unchanged = ReportBackends(name="node-1", number=self.listing.number, records=None)
         self.assertFalse(self.listing.report(unchanged, 2.0))
@@ -45,7 +45,7 @@
             self.listing.report(report(backend("i-1")), float(second))
             self.assertFalse(self.listing.choose_reader(NODES, float(second)))
 
-    def test_a_reader_that_falls_silent_or_leaves_is_replaced(self):
+    def test_a_reader_that_is_overdue_or_has_left_is_replaced(self):
         self.listing.choose_reader(NODES, 0.0)
         self.assertTrue(self.listing.choose_reader(NODES, REPORT_OVERDUE_S + 0.1))
         self.assertEqual(self.listing.reader, "node-2")
--- a/tests/fleet/state/test_listing_updates.py
+++ b/tests/fleet/state/test_listing_updates.py
@@ -1,10 +1,10 @@
-"""Processes with older lists of back ends end up with the newest one, by whatever way."""
+"""Updates from any earlier list of backends lead to the newest list."""
 
 import random
 import unittest
 
 from passlane.fleet.state.listing_updates import (
-    LISTS_REMEMBERED,
+    MAX_RETAINED_CHANGES,
     ListingUpdates,
     apply_changes,
     unpack,
@@ -14,7 +14,7 @@
 
 
 def random_list(source, before):
-    """Return a list in which some back ends left, came or began to leave."""
+    """Return a list in which some backends were removed, added or began to drain."""
     kept = [record for record in before if source.random() < 0.9]
     kept = [
         backend(record.instance_id, state=BackendState.DRAINING)
@@ -23,7 +23,7 @@
         for record in kept
     ]
     new = [backend(f"i-{source.getrandbits(24)}") for _ in range(source.randrange(3))]
-    # Instances may be listed again after they were gone.
+    # An instance may be listed again after it was removed.
     return (*kept, *new, *([backend("i-again")] if source.random() < 0.5 else []))
 
 
@@ -31,37 +31,37 @@
     def setUp(self):
         self.updates = ListingUpdates()
 
-    def brought_up_to_date(self, number, records):
+    def updated(self, number, records):
         since = self.updates.since(number)
         changes = unpack(self.updates.update_since(since))
         return apply_changes(records if since else (), changes)
 
-    def test_every_earlier_list_becomes_the_newest(self):
+    def test_every_earlier_list_is_updated_to_the_newest(self):
         for seed in range(20):
             self.updates = ListingUpdates()
             source = random.Random(seed)
             lists = [tuple(backend(f"i-{n}") for n in range(30))]
-            for _ in range(LISTS_REMEMBERED + 20):
+            for _ in range(MAX_RETAINED_CHANGES + 20):
                 lists.append(random_list(source, lists[-1]))
             for number, records in enumerate(lists, 1):
-                self.updates.note_list(number, records)
+                self.updates.record_list(number, records)
             newest = {record.instance_id: record for record in lists[-1]}
             for number, records in enumerate(lists, 1):
-                result = self.brought_up_to_date(number, records)
+                result = self.updated(number, records)
                 self.assertEqual({r.instance_id: r for r in result}, newest)
                 self.assertEqual(len(result), len(newest))
 
-    def test_a_process_without_a_list_or_with_one_of_another_leader_gets_all(self):
+    def test_a_process_without_a_retained_list_gets_the_whole_list(self):
         records = tuple(backend(f"i-{n}") for n in range(5))
-        self.updates.note_list(100, records)
+        self.updates.record_list(100, records)
         for number in (0, 7, 1_000):
             self.assertEqual(self.updates.since(number), 0)
-        self.assertEqual(self.brought_up_to_date(0, ()), records)
+        self.assertEqual(self.updated(0, ()), records)
 
     def test_one_change_among_thousands_takes_few_bytes(self):
         records = tuple(backend(f"i-{n}") for n in range(3_000))
-        self.updates.note_list(1, records)
-        self.updates.note_list(2, records[1:])
+        self.updates.record_list(1, records)
+        self.updates.record_list(2, records[1:])
         self.assertLess(len(self.updates.update_since(1)), 100)
 
 
--- a/tests/fleet/state/test_machine.py
+++ b/tests/fleet/state/test_machine.py
@@ -1,8 +1,8 @@
-"""The replicated configuration of a fleet, and the founding of its store group."""
+"""The replicated state of a fleet, and the formation of its store group."""
 
 import unittest
 
-from passlane.fleet.state.directory import FORGET_AFTER_S, FOUNDING_PAUSE_S, FleetDirectory
+from passlane.fleet.state.directory import EXPIRE_AFTER_S, FORMATION_QUIET_S, FleetDirectory
 from passlane.fleet.state.machine import FleetStateMachine
 from passlane.messages.common import Address
 from passlane.messages.fleet import Announce, FleetRole, FoundStoreGroup, NamedAddress
@@ -36,18 +36,18 @@
             ReplaceConfiguration(configuration(route(**changes), version=version))
         )
 
-    def test_the_highest_version_prevails_whatever_the_order(self):
+    def test_the_highest_version_wins_in_any_order(self):
         self.assertEqual(self.replace(3), ConfigurationReplaced(3, True))
         self.assertEqual(self.replace(7), ConfigurationReplaced(7, True))
         self.assertEqual(self.replace(5), ConfigurationReplaced(7, False))
         self.assertEqual(self.machine.state.configuration.version, 7)
 
-    def test_other_content_under_the_version_held_has_no_effect(self):
+    def test_other_content_with_the_current_version_is_ignored(self):
         self.replace(3, timeout_s=1.0)
         self.assertEqual(self.replace(3, timeout_s=2.0), ConfigurationReplaced(3, False))
         self.assertEqual(self.machine.state.configuration.routes[0].timeout_s, 1.0)
 
-    def test_only_the_first_founding_counts(self):
+    def test_only_the_first_formation_of_the_store_group_counts(self):
         self.machine.execute(FoundStoreGroup((member(1), member(2))))
         self.machine.execute(FoundStoreGroup((member(3),)))
         self.assertEqual(self.machine.state.store_founders, (member(1), member(2)))
@@ -65,51 +65,51 @@
     def setUp(self):
         self.directory = FleetDirectory(0)
 
-    def test_founders_are_those_that_came_before_a_pause(self):
+    def test_initial_members_are_chosen_after_a_quiet_period(self):
         self.directory.note(announce(1), 0.0)
         self.directory.note(announce(2), 1.0)
-        self.assertEqual(self.directory.founders_due(1.0 + FOUNDING_PAUSE_S - 0.1, 3), ())
+        self.assertEqual(self.directory.founders_due(1.0 + FORMATION_QUIET_S - 0.1, 3), ())
         self.directory.note(announce(1), 2.0)
-        founders = self.directory.founders_due(1.0 + FOUNDING_PAUSE_S, 3)
-        self.assertEqual(founders, (member(1), member(2)))
+        initial_members = self.directory.founders_due(1.0 + FORMATION_QUIET_S, 3)
+        self.assertEqual(initial_members, (member(1), member(2)))
 
-    def test_founders_are_as_many_as_there_are_places_and_spread_over_zones(self):
+    def test_initial_members_are_limited_and_spread_over_zones(self):
         for number, zone in [(1, "a"), (2, "a"), (3, "a"), (4, "b"), (5, "b"), (6, "c")]:
             self.directory.note(announce(number, zone=zone), 0.0)
-        founders = self.directory.founders_due(FOUNDING_PAUSE_S, 5)
-        self.assertEqual(founders, tuple(member(n) for n in (1, 2, 4, 5, 6)))
+        initial_members = self.directory.founders_due(FORMATION_QUIET_S, 5)
+        self.assertEqual(initial_members, tuple(member(n) for n in (1, 2, 4, 5, 6)))
         self.assertEqual(
-            self.directory.founders_due(FOUNDING_PAUSE_S, 3), (member(1), member(4), member(6))
+            self.directory.founders_due(FORMATION_QUIET_S, 3), (member(1), member(4), member(6))
         )
 
-    def test_an_emptied_machine_founds_nothing(self):
+    def test_a_machine_that_may_not_found_is_no_initial_member(self):
         self.directory.note(announce(1, may_found=False), 0.0)
         self.assertEqual(self.directory.founders_due(10.0, 3), ())
 
-    def test_silent_replicas_are_forgotten_and_the_view_is_new(self):
+    def test_silent_replicas_expire_and_change_the_view(self):
         self.directory.note(announce(1), 0.0)
         self.directory.note(announce(2), 0.0)
         number = self.directory.number
-        self.directory.note(announce(2), FORGET_AFTER_S + 1.0)
+        self.directory.note(announce(2), EXPIRE_AFTER_S + 1.0)
         self.assertEqual(self.directory.store_names(), [announce(2).name])
         self.assertGreater(self.directory.number, number)
 
-    def test_nodes_are_counted_but_are_no_news_to_others(self):
+    def test_nodes_are_counted_and_do_not_change_the_view(self):
         self.assertFalse(self.directory.note(announce(1, FleetRole.NODE), 0.0))
         self.directory.note(announce(2, FleetRole.NODE), 0.0)
         self.assertEqual(self.directory.node_count(), 2)
-        self.directory.note(announce(2, FleetRole.NODE), FORGET_AFTER_S + 1.0)
+        self.directory.note(announce(2, FleetRole.NODE), EXPIRE_AFTER_S + 1.0)
         self.assertEqual(self.directory.node_count(), 1)
         self.assertEqual(self.directory.number, 0)
 
-    def test_only_members_told_by_the_groups_leader_are_told_on(self):
+    def test_only_members_reported_by_the_groups_leader_are_returned(self):
         self.directory.note(announce(3), 0.0)
         self.assertEqual(self.directory.stores(), ())
         self.directory.note(announce(1, group_members=(member(1), member(2))), 0.0)
         self.assertEqual(self.directory.stores(), (member(1), member(2)))
         self.assertEqual(len(self.directory.store_names()), 2)
 
-    def test_nothing_new_keeps_the_views_number(self):
+    def test_an_unchanged_heartbeat_keeps_the_views_number(self):
         self.assertTrue(self.directory.note(announce(1), 0.0))
         number = self.directory.number
         self.assertFalse(self.directory.note(announce(1), 1.0))
--- a/tests/fleet/state/test_packed_configuration.py
+++ b/tests/fleet/state/test_packed_configuration.py
@@ -1,4 +1,4 @@
-"""A configuration on its way to nodes: small, and encoded once."""
+"""The packed form of a configuration is small, and encoded once for each version."""
 
 import unittest
 
@@ -9,11 +9,11 @@
 
 
 class PackedConfigurationTest(unittest.TestCase):
-    def test_everything_but_the_source_arrives(self):
+    def test_all_fields_but_the_source_are_restored(self):
         sent = configuration(route(timeout_s=1.5), version=7)
         self.assertEqual(unpack(pack(sent)), msgspec.structs.replace(sent, source=b""))
 
-    def test_many_routes_take_a_fifth_of_their_plain_size(self):
+    def test_many_routes_are_packed_to_a_fifth_of_their_encoded_size(self):
         routes = [route(name=f"r-{n}", path_prefix=f"/{n}/") for n in range(100)]
         sent = configuration(*routes, version=7)
         self.assertLess(len(pack(sent)), len(msgspec.msgpack.encode(sent)) / 5)
