--- a/src/passlane/fleet/__init__.py
+++ b/src/passlane/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Processes that know only seeds: discovery, forming of groups, the configuration in force."""
+"""Discovery from seed addresses, formation of the store group, and configuration updates."""
--- a/src/passlane/fleet/held_backends.py
+++ b/src/passlane/fleet/cached_backends.py
@@ -1,9 +1,9 @@
-"""The list of back ends that this process holds.
+"""This process's copy of the list of backends.
 
-For: nodes and stores choose among the back ends that the platform lists, which one node reads
-for all and the control leader passes on.
-Owns: the list, brought up to date by the updates that come with views.
-Relies on: nothing; the follower hands over each view.
+For: nodes and stores choose among the backends that the platform lists; one node reads the list
+for all, and the control leader distributes it.
+Owns: the list, to which the updates in views are applied.
+Relies on: nothing; the follower passes each view.
 """
 
 from collections.abc import Callable, Sequence
@@ -16,18 +16,18 @@
 from passlane.observability.logging import get_logger
 
 BackendsListener = Callable[[Sequence[BackendRecord], float], None]
-"""Takes a list of back ends and the local time in seconds at which it was last right."""
+"""Receives a list of backends and the local time in seconds at which it was last valid."""
 
 _log = get_logger(__name__)
 
 
-class HeldBackends:
-    """The list of back ends under its number.
+class CachedBackends:
+    """The cached list of backends and its number.
 
     Attributes
     ----------
     number
-        Number of the list; 0 for none.
+        Number of the list; 0 before the first.
     """
 
     def __init__(self) -> None:
@@ -36,29 +36,29 @@
         self._listener: BackendsListener | None = None
 
     def on_confirmation(self, listener: BackendsListener) -> None:
-        """Call ``listener`` with the list whenever it is confirmed; there is one listener."""
+        """Set the listener, which is called with the list whenever a view confirms it."""
         self._listener = listener
 
-    def take_over(self, view: FleetView) -> None:
-        """Take over the list of a view, or note that the one held is still right.
+    def apply(self, view: FleetView) -> None:
+        """Apply the update of a view, or confirm that the cached list is still valid.
 
         Raises
         ------
         zlib.error, msgspec.DecodeError
-            When the update's bytes hold none.
+            When the update cannot be decoded.
         """
         if view.backends_update is not None:
             self._update(view, view.backends_update)
-        is_held = view.backends_number == self.number and self.number > 0
-        if self._listener is None or view.backends_age_s is None or not is_held:
+        is_current = view.backends_number == self.number and self.number > 0
+        if self._listener is None or view.backends_age_s is None or not is_current:
             return
         self._listener(self._records, anyio.current_time() - view.backends_age_s)
 
     def _update(self, view: FleetView, update: bytes) -> None:
-        """Bring the list up to date; an update of a list that is not held has no effect."""
+        """Apply an update; one that is based on another list than the cached one is ignored."""
         if view.backends_since not in (0, self.number):
             _log.info("backends_update_ignored", since=view.backends_since)
             return
-        held = self._records if view.backends_since else ()
-        self._records = apply_changes(held, unpack(update))
+        base_records = self._records if view.backends_since else ()
+        self._records = apply_changes(base_records, unpack(update))
         self.number = view.backends_number
--- a/src/passlane/fleet/held_configuration.py
+++ b/src/passlane/fleet/cached_configuration.py
@@ -1,8 +1,9 @@
-"""The configuration that is in force at this process.
+"""The configuration that is applied in this process.
 
-For: a node relays by it; it never goes back to an older version within one life.
-Owns: the newest configuration that a view brought.
-Relies on: nothing; the follower hands over each packed configuration.
+For: a node relays requests according to it, and never returns to an older version until it is
+restarted.
+Owns: the newest configuration received in a view.
+Relies on: nothing; the follower passes each packed configuration.
 """
 
 from collections.abc import Callable
@@ -18,13 +19,13 @@
 _log = get_logger(__name__)
 
 
-class HeldConfiguration:
-    """The configuration in force, and who is told of newer ones.
+class CachedConfiguration:
+    """The newest configuration and the listeners for changes.
 
     Attributes
     ----------
     newest
-        The configuration; ``None`` before the first.
+        The newest configuration; ``None`` before the first.
     """
 
     def __init__(self) -> None:
@@ -34,31 +35,31 @@
 
     @property
     def version(self) -> int:
-        """Version in force; 0 for none."""
+        """Version of the newest configuration; 0 before the first."""
         return self.newest.version if self.newest is not None else 0
 
     def on_change(self, listener: ConfigurationListener) -> None:
-        """Call ``listener`` with each newer configuration."""
+        """Register a listener, which is called with each newer configuration."""
         self._listeners.append(listener)
 
     async def wait_until_known(self) -> None:
-        """Return once there is a configuration."""
+        """Wait until there is a configuration."""
         await self._is_known.wait()
 
-    def take_over(self, packed: bytes) -> None:
-        """Put a packed configuration in force; one that isn't newer has no effect.
+    def apply(self, packed: bytes) -> None:
+        """Apply a packed configuration; one that isn't newer is ignored.
 
         Raises
         ------
         zlib.error, msgspec.DecodeError
-            When the bytes hold none.
+            When the bytes cannot be decoded.
         """
         configuration = unpack(packed)
-        held = self.version
-        if configuration.version <= held:
+        previous_version = self.version
+        if configuration.version <= previous_version:
             return
         self.newest = configuration
         self._is_known.set()
-        _log.info("configuration_in_force", version=configuration.version, before=held)
+        _log.info("configuration_in_force", version=configuration.version, before=previous_version)
         for listener in self._listeners:
             listener(configuration)
--- a/tests/fleet/test_follower.py
+++ b/tests/fleet/test_follower.py
@@ -1,4 +1,4 @@
-"""What a process knows of its fleet after a row of views."""
+"""The cached state of the fleet in a process after a sequence of views."""
 
 import random
 import unittest
@@ -21,7 +21,7 @@
 
 
 class ScriptedControl:
-    """Answers heartbeats with the given views in order, the last one again and again."""
+    """Answers heartbeats with the given views in order, then repeats the last one."""
 
     def __init__(self, *views):
         self.views = list(views)
@@ -38,7 +38,7 @@
 
 
 def follow(*views):
-    """Return a follower that has taken over these views, and the control that gave them."""
+    """Return a follower that has applied these views, and the control replica that sent them."""
     control = ScriptedControl(*views)
     follower = FleetFollower(heartbeat, [SEED], control, random.Random(0))
 
@@ -51,12 +51,12 @@
 
 
 def view(number, **addresses):
-    told = FleetAddresses(**addresses) if addresses else None
-    return FleetView(number=number, addresses=told, node_count=1, configuration_version=0)
+    included = FleetAddresses(**addresses) if addresses else None
+    return FleetView(number=number, addresses=included, node_count=1, configuration_version=0)
 
 
 class FollowerTest(unittest.TestCase):
-    def test_addresses_stay_as_they_were_while_a_view_has_none(self):
+    def test_a_view_without_addresses_keeps_the_previous_ones(self):
         first = view(7, stores=(member(1),), controls=(member(9),), retired_replicas=("x",))
         follower, control = follow(first, view(7))
         self.assertEqual(follower.view.stores, (member(1),))
@@ -64,7 +64,7 @@
         self.assertIn(member(9).address, follower.leader.controls)
         self.assertEqual([request.view_number for request in control.requests[:2]], [0, 7])
 
-    def test_stores_stay_known_while_a_new_control_leader_has_heard_of_none(self):
+    def test_stores_are_kept_while_a_new_control_leader_knows_none(self):
         first = view(7, stores=(member(1),), controls=(member(8),))
         second = view(9, controls=(member(9),))
         follower, _ = follow(first, second)
@@ -78,7 +78,7 @@
 
 
 class ScriptedReports:
-    """Holds a list as the leader of the control group does; forgets it when told to."""
+    """Records reports like the leader of the control group; a new ``listing`` is a new leader."""
 
     def __init__(self):
         self.listing = BackendListing(100)
@@ -92,7 +92,7 @@
 
 
 class ReportTest(unittest.TestCase):
-    def test_an_unchanged_list_is_sent_once_and_again_to_a_new_leader(self):
+    def test_an_unchanged_list_is_sent_once_to_each_leader(self):
         control = ScriptedReports()
         follower = FleetFollower(heartbeat, [SEED], control, random.Random(0))
         records = (backend("i-2"), backend("i-1"))
@@ -111,7 +111,7 @@
 
 class BackendsTest(unittest.TestCase):
     def lists_after(self, *views):
-        """Return the lists that a follower passes on as it takes over these views."""
+        """Return the lists that a follower confirms while it applies these views."""
         lists = []
         control = ScriptedControl(*views)
         follower = FleetFollower(heartbeat, [SEED], control, random.Random(0))
@@ -124,7 +124,7 @@
         anyio.run(main)
         return lists, control
 
-    def test_updates_follow_one_another_and_one_of_another_list_has_no_effect(self):
+    def test_consecutive_updates_are_applied_and_others_are_ignored(self):
         listing = BackendListing(100)
 
         def view_of(records, since):
