--- a/src/passlane/fleet/configuration_service.py
+++ b/src/passlane/fleet/configuration_service.py
@@ -1,8 +1,8 @@
-"""Puts configurations in force and tells operators the newest one.
+"""Applies new configurations and returns the newest one.
 
-For: the answer to operators' requests, which any control replica passes on to the leader.
-Owns: nothing; a configuration is part of the replicated state.
-Relies on: ``LeaderState`` to propose and to wake the nodes, ``routes.checks`` for what is valid.
+For: operators' requests, which any control replica forwards to the leader.
+Owns: nothing; the configuration is part of the replicated state.
+Relies on: ``LeaderState`` to propose and to notify the nodes, ``routes.checks`` for validation.
 """
 
 from passlane.fleet.leader_state import LeaderState
@@ -19,26 +19,27 @@
 
 
 class ConfigurationService:
-    """Replaces and reads the configuration; only the leader does.
+    """Replaces and reads the configuration on the leader.
 
-    Each method raises ``NotLeaderError`` at another replica.
+    Each method raises ``NotLeaderError`` on other replicas.
     """
 
     def __init__(self, leader: LeaderState) -> None:
         self._leader = leader
 
     async def replace_configuration(self, request: ReplaceConfiguration) -> ConfigurationReplaced:
-        """Put a configuration in force; the reply means that it lasts.
+        """Replace the configuration; the reply confirms that it is durable.
 
         Raises
         ------
         PasslaneError
-            ``INVALID_DOCUMENT`` for an invalid one; else as ``LeaderState.propose`` raises it.
+            ``INVALID_DOCUMENT`` for an invalid configuration; otherwise as raised by
+            ``LeaderState.propose``.
         """
         self._leader.require_leadership()
         check_configuration(request.configuration)
         reply = await self._leader.propose(request, ConfigurationReplaced)
-        self._leader.wake_waiting()
+        self._leader.notify_changed()
         _log.info(
             "configuration_replaced",
             sent_version=request.configuration.version,
@@ -48,7 +49,7 @@
         return reply
 
     async def read_configuration(self, request: ReadConfiguration) -> CurrentConfiguration:
-        """Return the newest configuration, which includes all acknowledged before the call."""
+        """Return the newest configuration, including all replacements acknowledged before."""
         self._leader.require_leadership()
         await self._leader.read_barrier()
         return CurrentConfiguration(configuration=self._leader.replicated.configuration)
--- a/src/passlane/fleet/leader_duties.py
+++ b/src/passlane/fleet/leader_duties.py
@@ -1,9 +1,9 @@
-"""What the leader of the control group does unasked, again and again.
+"""Periodic tasks of the control group's leader.
 
-For: the store group is formed, retired replicas leave it, and some node reads the list of back
-ends, whoever leads and whenever leadership moves. Each duty is safe to repeat.
+For: forming the store group, removing retired replicas from it, and choosing the node that reads
+the list of backends. Each task is idempotent, so that any new leader can repeat it.
 Owns: nothing.
-Relies on: ``LeaderState`` for what there is to do, ``StoreRetirements`` to remove replicas.
+Relies on: ``LeaderState`` for the state to act on, ``StoreRetirements`` to remove replicas.
 """
 
 import anyio
@@ -14,22 +14,20 @@
 from passlane.messages.fleet import FoundStoreGroup, StoreGroupFounded
 from passlane.observability.logging import get_logger
 
-DUTIES_PERIOD_S = 0.25
-"""Seconds between two rounds of duties.
-
-Not measured; chosen: well below the pauses that the duties wait for (1.5 s and 1.6 s).
-"""
+ROUND_INTERVAL_S = 0.25
+"""Interval between two rounds; well below the timeouts that the tasks check
+(``directory.FORMATION_QUIET_S`` and ``backend_listing.REPORT_OVERDUE_S``)."""
 
 _log = get_logger(__name__)
 
 
 class LeaderDuties:
-    """Carries out the duties while this replica leads.
+    """Runs the periodic tasks while this replica leads.
 
     Parameters
     ----------
     store_voters
-        How many members the store group is formed with.
+        Number of members with which the store group is formed.
     """
 
     def __init__(
@@ -40,24 +38,24 @@
         self._store_voters = store_voters
 
     async def run(self) -> None:
-        """Carry out the duties until cancelled."""
+        """Run the tasks until cancelled."""
         while True:
-            await anyio.sleep(DUTIES_PERIOD_S)
+            await anyio.sleep(ROUND_INTERVAL_S)
             if not self._leader.is_leader:
                 continue
             try:
-                await self._do_round()
+                await self._run_round()
             except PasslaneError as error:
-                # The next round tries again.
+                # The next round retries.
                 _log.info("fleet_duty_failed", code=error.code.value, message=error.message)
 
-    async def _do_round(self) -> None:
+    async def _run_round(self) -> None:
         self._leader.choose_reader()
         await self._form_store_group()
         await self._retirements.remove_retired()
 
     async def _form_store_group(self) -> None:
-        """Settle the initial members of the store group, unless that is done already."""
+        """Replicate the initial members of the store group unless they exist already."""
         if self._leader.replicated.store_founders:
             return
         now = anyio.current_time()
@@ -66,4 +64,4 @@
             return
         await self._leader.propose(FoundStoreGroup(initial), StoreGroupFounded)
         _log.info("store_group_founded", members=[member.name for member in initial])
-        self._leader.note_store_group_changed()
+        self._leader.publish_store_group_change()
--- a/src/passlane/fleet/leader_state.py
+++ b/src/passlane/fleet/leader_state.py
@@ -1,9 +1,8 @@
-"""What the leader of the control group holds for the services that answer in its name.
+"""State of the control group's leader that its services share.
 
-For: the one place at which those services learn whether this replica leads, propose commands,
-and wake processes whose heartbeats wait for news.
-Owns: the directory of processes and the list of back ends of the current term. Both are soft
-state: a new leader starts with empty ones and gathers them from heartbeats and reports.
+For: the services check leadership, propose commands, and notify waiting heartbeats here.
+Owns: the directory of processes and the list of backends of the current term. Both are soft
+state: a new leader starts with empty ones and rebuilds them from heartbeats and reports.
 Relies on: the replicated group and the state machine that this replica applies.
 """
 
@@ -21,11 +20,9 @@
 from passlane.observability.logging import get_logger
 from passlane.replication.interfaces import ReplicatedGroup
 
-NUMBERS_BITS_PER_TERM = 24
-"""Bits of a number that count within one term; the term stands above them.
-
-Not measured; chosen: 16 million changes in one term are never reached.
-"""
+COUNTER_BITS_PER_TERM = 24
+"""Low bits of a number, which count changes within one term; the term is in the bits above them.
+16 million changes in one term are never reached."""
 
 ResultType = TypeVar("ResultType", bound=Message)
 _result_decoder = message_decoder(ConfigurationReplaced | StoreGroupFounded | ReplicaForbidden)
@@ -55,33 +52,33 @@
 
     @property
     def directory(self) -> FleetDirectory:
-        """The directory of this term."""
-        self._follow_term()
+        """The directory of the current term."""
+        self._reset_in_new_term()
         return self._directory
 
     @property
     def listing(self) -> BackendListing:
-        """The list of back ends of this term."""
-        self._follow_term()
+        """The list of backends of the current term."""
+        self._reset_in_new_term()
         return self._listing
 
-    def _follow_term(self) -> None:
-        """Start with empty soft state in a new term."""
+    def _reset_in_new_term(self) -> None:
+        """Reset the soft state in a new term."""
         if self._term != self._group.term:
             self._term = self._group.term
-            # Views of a later leader must not look older to those that hold one.
-            first_number = self._term << NUMBERS_BITS_PER_TERM
+            # Numbers of a later leader's views must be higher than those of earlier leaders.
+            first_number = self._term << COUNTER_BITS_PER_TERM
             self._directory = FleetDirectory(first_number)
             self._listing = BackendListing(first_number)
 
     def require_leadership(self) -> None:
-        """Raise ``NotLeaderError``, with the leader if it is known, unless this replica leads."""
+        """Raise ``NotLeaderError``, with the known leader's address, unless this replica leads."""
         if not self._group.is_leader:
             leader = self._group.leader_address
             raise NotLeaderError("not the leader of the control group", leader)
 
     async def read_barrier(self) -> None:
-        """Return once ``replicated`` holds all that was committed before the call.
+        """Wait until ``replicated`` includes all commands that were committed before the call.
 
         Raises
         ------
@@ -91,12 +88,12 @@
         await self._group.read_barrier()
 
     async def propose(self, command: Message, result: type[ResultType]) -> ResultType:
-        """Replicate a command and return its result, which the machine gives in this type.
+        """Replicate a command and return its result, which must be of type ``result``.
 
         Raises
         ------
         PasslaneError
-            As ``ReplicatedGroup.propose`` raises it.
+            As raised by ``ReplicatedGroup.propose``.
         """
         data = await self._group.propose(encode_message(command))
         answer = _result_decoder.decode(data)
@@ -104,22 +101,22 @@
         return answer
 
     def choose_reader(self) -> None:
-        """Replace the node that reads the list of back ends if its reports stay out."""
+        """Replace the node that reads the list of backends if its reports are overdue."""
         nodes = self.directory.node_names()
         if self.listing.choose_reader(nodes, anyio.current_time()):
             _log.info("backends_reader_chosen", name=self.listing.reader)
-            self.wake_waiting()
+            self.notify_changed()
 
-    def note_store_group_changed(self) -> None:
-        """Make the store group's new state news to all processes."""
+    def publish_store_group_change(self) -> None:
+        """Increment the view's number, so that all processes receive the store group's state."""
         self.directory.number += 1
-        self.wake_waiting()
+        self.notify_changed()
 
-    def wake_waiting(self) -> None:
-        """Let the heartbeats that wait look again whether there is news for them."""
+    def notify_changed(self) -> None:
+        """Notify the waiting heartbeats, which check again for updates."""
         self._changed.set()
         self._changed = anyio.Event()
 
     async def wait_for_change(self) -> None:
-        """Return at the next ``wake_waiting``."""
+        """Wait for the next ``notify_changed``."""
         await self._changed.wait()
--- a/src/passlane/fleet/operator.py
+++ b/src/passlane/fleet/operator.py
@@ -1,6 +1,6 @@
-"""What operators may ask of any control replica; the leader answers.
+"""Operators' requests to any control replica, which are forwarded to the leader.
 
-For: the platform's interface for operators (``platform.operator_api``) on each control replica.
+For: the platform's operator API (``platform.operator_api``) on each control replica.
 Owns: nothing.
 Relies on: a caller that reaches control replicas, and ``GroupClient`` to find the leader.
 """
@@ -23,19 +23,19 @@
 from passlane.routes.checks import check_configuration
 from passlane.transport.interfaces import Caller
 
-ANSWER_LIMIT_S = 0.85
-"""Seconds for the leader's answer: callers turn to another replica after one without any."""
+LEADER_TIMEOUT_S = 0.85
+"""Timeout of the leader's answer; callers try another replica when one is slow to answer."""
 NO_CONFIGURATION_RETRY_AFTER_S = 1.0
-"""Seconds that an operator is told to wait for a first configuration. Not measured; chosen."""
+"""Retry delay returned to an operator while there is no configuration."""
 
 
 class FleetOperator:
-    """Passes operators' requests to the leader of the control group.
+    """Forwards operators' requests to the leader of the control group.
 
     Parameters
     ----------
     controls
-        Returns the control replicas' internal addresses as now known.
+        Returns the control replicas' internal addresses as currently known.
     """
 
     def __init__(
@@ -49,20 +49,27 @@
         self._random = random
 
     async def replace_configuration(self, configuration: RouteConfiguration) -> int:
-        """Put a configuration in force; return the version held then.
+        """Replace the configuration; return the version that is then in effect.
 
         Raises
         ------
         PasslaneError
-            ``INVALID_DOCUMENT`` for an invalid one; else it may have been put in force.
+            ``INVALID_DOCUMENT`` for an invalid configuration; after any other error it may have
+            been replaced.
         """
         check_configuration(configuration)
         request = ReplaceConfiguration(configuration)
-        return (await self._execute(request, ConfigurationReplaced)).version
+        return (await self._forward(request, ConfigurationReplaced)).version
 
     async def read_configuration(self) -> RouteConfiguration:
-        """Return the newest acknowledged configuration, or raise ``PasslaneError``."""
-        reply = await self._execute(ReadConfiguration(), CurrentConfiguration)
+        """Return the newest acknowledged configuration.
+
+        Raises
+        ------
+        PasslaneError
+            ``UNAVAILABLE`` while there is no configuration, or when no leader answered.
+        """
+        reply = await self._forward(ReadConfiguration(), CurrentConfiguration)
         if reply.configuration is None:
             raise PasslaneError(
                 ErrorCode.UNAVAILABLE,
@@ -77,18 +84,21 @@
         Raises
         ------
         PasslaneError
-            ``NOT_FOUND`` for an unknown machine, ``VERSION_CONFLICT`` if too few would be left;
-            else the order may have been recorded. The same order may be sent again.
+            ``NOT_FOUND`` for an unknown machine, ``VERSION_CONFLICT`` if too few machines would
+            be left; after any other error the retirement may have begun. Safe to retry.
         """
-        return await self._execute(RetireStore(name), StoreRetirement)
+        return await self._forward(RetireStore(name), StoreRetirement)
 
     async def read_retirement(self, name: str) -> StoreRetirement:
-        """Return how far the retirement of a store machine is, or raise ``PasslaneError``.
+        """Return the state of a store machine's retirement.
 
-        ``NOT_FOUND`` means that its retirement was never ordered.
+        Raises
+        ------
+        PasslaneError
+            ``NOT_FOUND`` if its retirement was never requested.
         """
-        return await self._execute(ReadRetirement(name), StoreRetirement)
+        return await self._forward(ReadRetirement(name), StoreRetirement)
 
-    async def _execute(self, request: Message, reply: type[ReplyType]) -> ReplyType:
+    async def _forward(self, request: Message, reply: type[ReplyType]) -> ReplyType:
         client = GroupClient(self._caller, self._controls(), self._random)
-        return await client.execute(request, reply, timeout_s=ANSWER_LIMIT_S)
+        return await client.execute(request, reply, timeout_s=LEADER_TIMEOUT_S)
--- a/src/passlane/fleet/service.py
+++ b/src/passlane/fleet/service.py
@@ -1,8 +1,8 @@
-"""The fleet's service on one replica of the control group.
+"""The fleet service on one replica of the control group.
 
-For: the one part that a control replica runs on top of its replicated group. It takes
-heartbeats, reports of back ends and operators' requests, and carries out the leader's duties.
-Owns: the services for these jobs and what they share, ``LeaderState``.
+For: a control replica runs it on top of its replicated group. It answers heartbeats, reports of
+backends and operators' requests, and runs the leader's periodic tasks.
+Owns: the services for these requests and their shared ``LeaderState``.
 Relies on: the replicated group, its state machine, the router of this process, and a caller
 that reaches the store group.
 """
@@ -21,16 +21,16 @@
 
 
 class FleetService:
-    """Builds the services of a control replica and registers what they answer.
+    """Creates the services of a control replica and registers their request handlers.
 
-    Only the leader answers; other replicas raise ``NotLeaderError`` with the leader they know.
+    Only the leader answers; other replicas raise ``NotLeaderError`` with the known leader.
 
     Parameters
     ----------
     caller
         Reaches the store group to remove retired replicas.
     store_voters
-        How many voters the store group is to have, for the failures that it is to tolerate.
+        Number of voters of the store group, which determines how many failures it tolerates.
     """
 
     def __init__(
@@ -47,12 +47,12 @@
         retirements = StoreRetirements(leader, caller, store_voters)
         self._duties = LeaderDuties(leader, retirements, store_voters)
         router.add_unary(Announce, heartbeats.answer_heartbeat)
-        router.add_unary(ReportBackends, heartbeats.take_report)
+        router.add_unary(ReportBackends, heartbeats.receive_report)
         router.add_unary(ReplaceConfiguration, configurations.replace_configuration)
         router.add_unary(ReadConfiguration, configurations.read_configuration)
         router.add_unary(RetireStore, retirements.retire_store)
         router.add_unary(ReadRetirement, retirements.read_retirement)
 
     async def run(self) -> None:
-        """Carry out the leader's duties until cancelled."""
+        """Run the leader's periodic tasks until cancelled."""
         await self._duties.run()
--- a/src/passlane/fleet/store_retirements.py
+++ b/src/passlane/fleet/store_retirements.py
@@ -1,9 +1,9 @@
-"""Retires store machines: operators order it, the leader has the store group drop them.
+"""Retires store machines on operators' requests.
 
-For: a machine can be given back without loss. Its replica is forbidden for good (a replicated
-fact), the store group's leader replaces it and removes it, and only then it is completed.
-Owns: nothing; which machines are retired is part of the replicated state, and whether a
-replica is still a member follows from the heartbeats of the store group's leader.
+For: returning a machine without loss of data. Its replica is permanently forbidden (replicated
+state); the store group's leader replaces and removes it; then the retirement is completed.
+Owns: nothing; the retired machines are part of the replicated state, and the members of the store
+group come from the heartbeats of its leader.
 Relies on: ``LeaderState``, and the store group to carry out ``RemoveReplica``.
 """
 
@@ -25,24 +25,22 @@
 from passlane.transport.interfaces import Caller
 
 REMOVE_TIMEOUT_S = 1.0
-"""Seconds for one member of the store group to answer ``RemoveReplica``.
-
-Not measured; chosen: the request only begins the removal, and it is repeated with the duties.
-"""
+"""Timeout of ``RemoveReplica`` at one member; the request only begins the removal, and the leader
+repeats it periodically."""
 
 _log = get_logger(__name__)
 
 
 class StoreRetirements:
-    """Orders, carries out and tells of retirements; only the leader does.
+    """Begins, carries out and reports retirements on the leader.
 
     Parameters
     ----------
     caller
         Reaches the store group to remove retired replicas.
     store_voters
-        How many voters the store group is to have, for the failures that it is to tolerate.
-        A store machine is retired only if as many machines are left.
+        Number of voters of the store group, which determines how many failures it tolerates.
+        A store machine is retired only if at least as many machines are left.
     """
 
     def __init__(self, leader: LeaderState, caller: Caller, store_voters: int) -> None:
@@ -51,32 +49,32 @@
         self._store_voters = store_voters
 
     async def retire_store(self, request: RetireStore) -> StoreRetirement:
-        """Begin to retire a store machine; the same order again is answered the same way.
+        """Begin to retire a store machine; idempotent.
 
         Raises
         ------
         PasslaneError
             ``NOT_FOUND`` if no such machine sends heartbeats, ``VERSION_CONFLICT`` if too few
-            would be left, ``NOT_LEADER`` at another replica.
+            machines would be left, ``NOT_LEADER`` on other replicas.
         """
         self._leader.require_leadership()
         if request.name in self._leader.replicated.retired:
             return self._retirement_of(request.name)
         heartbeat = self._heartbeat_of_store(request.name)
-        self._require_enough_left_without(request.name)
+        self._require_enough_machines_without(request.name)
         command = ForbidReplica(request.name, heartbeat.replica_name)
         await self._leader.propose(command, ReplicaForbidden)
-        self._leader.note_store_group_changed()
+        self._leader.publish_store_group_change()
         _log.info("store_retirement_began", name=request.name)
         return self._retirement_of(request.name)
 
     async def read_retirement(self, request: ReadRetirement) -> StoreRetirement:
-        """Return how far the retirement of a store machine is.
+        """Return the state of a store machine's retirement.
 
         Raises
         ------
         PasslaneError
-            ``NOT_FOUND`` if its retirement was never ordered, ``NOT_LEADER`` at another replica.
+            ``NOT_FOUND`` if its retirement was never requested, ``NOT_LEADER`` on other replicas.
         """
         self._leader.require_leadership()
         await self._leader.read_barrier()
@@ -85,7 +83,7 @@
         return self._retirement_of(request.name)
 
     async def remove_retired(self) -> None:
-        """Ask the store group to drop the replicas of retired machines that are still members."""
+        """Request the removal of retired machines' replicas that are still members."""
         retired = self._leader.replicated.retired
         for name, replica_name in retired.items():
             if self._retirement_of(name).state is RetirementState.RUNNING:
@@ -97,14 +95,14 @@
             raise PasslaneError(ErrorCode.NOT_FOUND, f"no store machine {name}")
         return heartbeat
 
-    def _require_enough_left_without(self, name: str) -> None:
+    def _require_enough_machines_without(self, name: str) -> None:
         retired = self._leader.replicated.retired
         left = set(self._leader.directory.store_names()) - {*retired, name}
         if len(left) < self._store_voters:
             raise PasslaneError(ErrorCode.VERSION_CONFLICT, "too few store machines would be left")
 
     async def _remove_replica(self, replica_name: str) -> None:
-        """Ask one member after the other until one, the leader, takes the request."""
+        """Send the request to each member in turn until the leader accepts it."""
         request = RemoveReplica(replica_name)
         for member in self._leader.directory.stores():
             try:
@@ -119,8 +117,8 @@
     def _retirement_of(self, name: str) -> StoreRetirement:
         replica_name = self._leader.replicated.retired[name]
         members = self._leader.directory.stores()
-        # A new leader of the control group doesn't know the members before the store group's
-        # leader has told them.
+        # A new leader of the control group doesn't know the members before the first heartbeat
+        # of the store group's leader.
         is_known = bool(members)
         is_member = replica_name in {member.name for member in members}
         is_done = is_known and not is_member
--- a/tests/fleet/leading_group.py
+++ b/tests/fleet/leading_group.py
@@ -1,4 +1,4 @@
-"""A control group of one replica, on which the leader's services run."""
+"""A control group of one replica, for tests of the leader's services."""
 
 import anyio.lowlevel
 
@@ -9,7 +9,7 @@
 
 
 class LeadingGroup:
-    """Applies each command at once while it leads."""
+    """A leading replica that applies each command at once."""
 
     def __init__(self, machine):
         self.machine = machine
@@ -28,7 +28,7 @@
 
 
 def leader_state():
-    """Return the state of a leader and the group that it leads."""
+    """Return a ``LeaderState`` and its group."""
     machine = FleetStateMachine()
     group = LeadingGroup(machine)
     return LeaderState(group, machine), group
@@ -53,13 +53,13 @@
     )
 
 
-def node_heartbeat(**held):
-    """Return the heartbeat of a node that holds this of the fleet."""
+def node_heartbeat(**cached):
+    """Return the heartbeat of a node with these versions of the cached state."""
     return Announce(
         name="node-1",
         role=FleetRole.NODE,
         replica_name="10.1.0.1",
         address=Address("10.1.0.1", 7000),
         zone="a",
-        **held,
+        **cached,
     )
--- a/tests/fleet/test_heartbeat_service.py
+++ b/tests/fleet/test_heartbeat_service.py
@@ -1,4 +1,4 @@
-"""A heartbeat is answered at once if there is news for its sender, and held otherwise."""
+"""A heartbeat is answered at once if there is an update for its sender, and delayed otherwise."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 from fleet.leading_group import leader_state, node_heartbeat, store_heartbeat
 from passlane.fleet.heartbeat_service import MAX_WAIT_S, HeartbeatService
-from passlane.fleet.leader_state import NUMBERS_BITS_PER_TERM
+from passlane.fleet.leader_state import COUNTER_BITS_PER_TERM
 from passlane.messages.common import NotLeaderError
 from passlane.messages.listing import ReportBackends
 from relay.fakes import backend
@@ -25,32 +25,32 @@
         clock = trio.testing.MockClock(autojump_threshold=0)
         anyio.run(main, backend="trio", backend_options={"clock": clock})
 
-    async def answer_within(self, heartbeat):
-        """Return the answer and after how many seconds it came."""
+    async def timed_answer(self, heartbeat):
+        """Return the answer and the seconds until it arrived."""
         started = anyio.current_time()
         view = await self.service.answer_heartbeat(heartbeat)
         return view, anyio.current_time() - started
 
-    async def held_node(self):
-        """Return the heartbeat of a node that holds all there is."""
+    async def up_to_date_heartbeat(self):
+        """Return the heartbeat of a node that is up to date."""
         view = await self.service.answer_heartbeat(node_heartbeat())
         return node_heartbeat(
             view_number=view.number, reads_backends=view.reads_backends, wait_s=WAIT_S
         )
 
-    def test_a_process_that_holds_nothing_is_answered_at_once(self):
+    def test_a_new_process_is_answered_at_once(self):
         async def body():
-            view, after_s = await self.answer_within(node_heartbeat(wait_s=MAX_WAIT_S))
+            view, after_s = await self.timed_answer(node_heartbeat(wait_s=MAX_WAIT_S))
             self.assertEqual(after_s, 0.0)
-            self.assertEqual(view.number >> NUMBERS_BITS_PER_TERM, self.group.term)
+            self.assertEqual(view.number >> COUNTER_BITS_PER_TERM, self.group.term)
             self.assertTrue(view.reads_backends)
             self.assertIsNotNone(view.addresses)
 
         self.run_at_leader(body)
 
-    def test_without_news_it_is_held_and_told_no_addresses(self):
+    def test_without_an_update_the_answer_is_delayed_and_has_no_addresses(self):
         async def body():
-            view, after_s = await self.answer_within(await self.held_node())
+            view, after_s = await self.timed_answer(await self.up_to_date_heartbeat())
             self.assertAlmostEqual(after_s, WAIT_S)
             self.assertIsNone(view.addresses)
 
@@ -58,7 +58,7 @@
 
     def test_a_report_ends_the_wait(self):
         async def body():
-            heartbeat = await self.held_node()
+            heartbeat = await self.up_to_date_heartbeat()
             views = []
 
             async def wait():
@@ -68,15 +68,15 @@
                 tasks.start_soon(wait)
                 await anyio.wait_all_tasks_blocked()
                 report = ReportBackends(name="node-1", number=0, records=(backend("i-1"),))
-                reported = await self.service.take_report(report)
+                reported = await self.service.receive_report(report)
             self.assertEqual(views[0].backends_number, reported.number)
             self.assertIsNotNone(views[0].backends_update)
 
         self.run_at_leader(body)
 
-    def test_leadership_that_is_lost_meanwhile_is_not_answered_for(self):
+    def test_a_waiting_heartbeat_fails_when_leadership_is_lost(self):
         async def body():
-            heartbeat = await self.held_node()
+            heartbeat = await self.up_to_date_heartbeat()
 
             async def wait():
                 with self.assertRaises(NotLeaderError):
@@ -89,7 +89,7 @@
 
         self.run_at_leader(body)
 
-    def test_a_new_term_forgets_the_processes_and_counts_on_above(self):
+    def test_a_new_term_clears_the_directory_and_increases_its_number(self):
         async def body():
             self.leader.directory.note(store_heartbeat(1), 0.0)
             before = self.leader.directory.number
