--- a/src/passlane/fleet/cached_view.py
+++ b/src/passlane/fleet/cached_view.py
@@ -101,8 +101,8 @@
         if view.addresses is not None:
             self._addresses = view.addresses
             self._stores = view.addresses.stores or self._stores
-        # A new leader of the control group may not know the store group's leader yet.
         self._confirmed_at = anyio.current_time()
+        # A new leader of the control group may not know the store group's leader yet.
         self.has_seen_store_leader = self.has_seen_store_leader or view.has_store_leader
         return has_changed
 
--- a/src/passlane/fleet/leader_duties.py
+++ b/src/passlane/fleet/leader_tasks.py
@@ -21,7 +21,7 @@
 _log = get_logger(__name__)
 
 
-class LeaderDuties:
+class LeaderTasks:
     """Runs the periodic tasks while this replica leads.
 
     Parameters
--- a/src/passlane/fleet/service.py
+++ b/src/passlane/fleet/service.py
@@ -9,8 +9,8 @@
 
 from passlane.fleet.configuration_service import ConfigurationService
 from passlane.fleet.heartbeat_service import HeartbeatService
-from passlane.fleet.leader_duties import LeaderDuties
 from passlane.fleet.leader_state import LeaderState
+from passlane.fleet.leader_tasks import LeaderTasks
 from passlane.fleet.state.machine import FleetStateMachine
 from passlane.fleet.store_retirements import StoreRetirements
 from passlane.messages.fleet import Announce, ReadRetirement, RetireStore
@@ -45,7 +45,7 @@
         heartbeats = HeartbeatService(leader)
         configurations = ConfigurationService(leader)
         retirements = StoreRetirements(leader, caller, store_voters)
-        self._duties = LeaderDuties(leader, retirements, store_voters)
+        self._tasks = LeaderTasks(leader, retirements, store_voters)
         router.add_unary(Announce, heartbeats.answer_heartbeat)
         router.add_unary(ReportBackends, heartbeats.receive_report)
         router.add_unary(ReplaceConfiguration, configurations.replace_configuration)
@@ -55,4 +55,4 @@
 
     async def run(self) -> None:
         """Run the leader's periodic tasks until cancelled."""
-        await self._duties.run()
+        await self._tasks.run()
