--- a/src/passlane/decisions/backends/__init__.py
+++ b/src/passlane/decisions/backends/__init__.py
@@ -1,1 +1,1 @@
-"""What is known of back ends: health, load, speed, slots, caches."""
+"""Per-back-end state: health, load, speed, slots and caches."""
--- a/src/passlane/decisions/backends/answer_times.py
+++ b/src/passlane/decisions/backends/answer_times.py
@@ -1,7 +1,7 @@
-"""How long the answers of a service take, learnt from this node's own calls.
+"""Response time estimates of a service, learned from this node's own calls.
 
-Load that this answers: calls of 13 to 52 ms side by side at one service, at back ends with
-spells of half a second in which one is 2.5 times slower.
+Owns the typical response time of each route and the recent speed of a back end relative to it.
+The estimates follow slow periods of a back end that last about half a second.
 """
 
 import math
@@ -9,24 +9,24 @@
 import msgspec
 
 SAMPLE_WEIGHT = 0.1
-"""Weight of a new sample in a typical time: some ten calls, a second of one node."""
+"""Weight of a new sample in the moving average of response times."""
 UNKNOWN_ANSWER_S = 0.03
-"""Taken for the typical time before the first answer."""
-MOST_ROUTES = 1_000
-"""Routes whose times are kept; more are forgotten all at once, some 100 KB."""
+"""Typical response time in seconds that is assumed before the first answer."""
+MAX_ROUTES = 1_000
+"""Maximum number of routes with a recorded time; all are cleared when it is exceeded."""
 SPEED_WEIGHT = 0.3
-SPEED_MEMORY_S = 0.5
-"""A back end counts as usual again after about this long without a call: slow spells last
-no longer, and an older sample says nothing of the present one."""
+"""Weight of a new sample in the moving average of a back end's speed."""
+SPEED_DECAY_S = 0.5
+"""Time constant, in seconds, with which a back end's slowness decays to 1 without calls."""
 
 
 class AnswerTimes:
-    """Typical times of whole answers of one service, by route and over all.
+    """Typical response times of one service, per route and over all routes.
 
     Attributes
     ----------
     typical_s
-        Over all routes.
+        Typical response time over all routes, in seconds.
     """
 
     def __init__(self) -> None:
@@ -35,36 +35,36 @@
         self._routes: dict[str, float] = {}
 
     def of_route(self, route: str) -> float:
-        """Return the typical time of a route's answers, or else of the service's."""
+        """Return the typical response time of a route, or of the service if it is unknown."""
         return self._routes.get(route, self.typical_s)
 
     def note(self, route: str, seconds: float) -> float:
-        """Take in the time of a whole answer; return its multiple of what was usual."""
-        usual_s = self.of_route(route)
-        ratio = seconds / usual_s if usual_s > 0 else 1.0
-        if len(self._routes) >= MOST_ROUTES and route not in self._routes:
+        """Record the time of a complete answer; return its ratio to the previous typical time."""
+        baseline_s = self.of_route(route)
+        ratio = seconds / baseline_s if baseline_s > 0 else 1.0
+        if len(self._routes) >= MAX_ROUTES and route not in self._routes:
             self._routes.clear()
-        before_s = self._routes.get(route, seconds)
-        self._routes[route] = before_s + SAMPLE_WEIGHT * (seconds - before_s)
+        previous_s = self._routes.get(route, seconds)
+        self._routes[route] = previous_s + SAMPLE_WEIGHT * (seconds - previous_s)
         service_s = self.typical_s if self._is_known else seconds
         self.typical_s = service_s + SAMPLE_WEIGHT * (seconds - service_s)
         self._is_known = True
         return ratio
 
 
-class PresentSpeed(msgspec.Struct):
-    """How a back end's answers compare with the usual at this moment; 1 is usual."""
+class RecentSpeed(msgspec.Struct):
+    """Recent response times of a back end relative to the typical ones; 1 is typical."""
 
     _slowness: float = 1.0
     _measured_at: float = -math.inf
 
     def note(self, ratio: float, now: float) -> None:
-        """Take in a time as a multiple of what is usual for its route."""
-        present = self.slowness(now)
-        self._slowness = present + SPEED_WEIGHT * (ratio - present)
+        """Record a response time as a ratio to the typical time of its route."""
+        current = self.slowness(now)
+        self._slowness = current + SPEED_WEIGHT * (ratio - current)
         self._measured_at = now
 
     def slowness(self, now: float) -> float:
-        """Return the multiple of the usual time that is expected now."""
-        faded = math.exp(-(now - self._measured_at) / SPEED_MEMORY_S)
-        return 1.0 + (self._slowness - 1.0) * faded
+        """Return the expected ratio of a response time to the typical one."""
+        decay = math.exp(-(now - self._measured_at) / SPEED_DECAY_S)
+        return 1.0 + (self._slowness - 1.0) * decay
--- a/src/passlane/decisions/backends/circuit_breaker.py
+++ b/src/passlane/decisions/backends/circuit_breaker.py
@@ -1,4 +1,4 @@
-"""Circuit breaker with half-open probes: leaves a failing back end alone for a while."""
+"""Circuit breaker with half-open probes, which stops requests to a failing back end."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class BreakerState(enum.StrEnum):
-    """Whether requests may be sent."""
+    """State of a circuit breaker."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -14,14 +14,14 @@
 
 
 class CircuitBreaker:
-    """Counts failures in a row; opens after some, then lets one probe through at a time.
+    """Opens after several consecutive failures, then allows one probe at a time.
 
-    Each time the probe fails, the breaker stays open twice as long, up to a limit.
+    Each failed probe doubles the time for which the breaker stays open, up to a maximum.
 
     Parameters
     ----------
     config
-        Failures that open it and how long it stays open.
+        Number of failures that open the breaker, and how long it stays open.
     """
 
     def __init__(self, config: BreakerConfig) -> None:
@@ -49,29 +49,29 @@
     def opens_next_at(self, now: float) -> float | None:
         """Return when a probe is next allowed.
 
-        ``None`` if requests are allowed now, or if a probe is under way, whose end
+        ``None`` if requests are allowed now, or if a probe is in flight, whose result
         decides.
         """
         return self._open_until if self.state(now) is BreakerState.OPEN else None
 
     def record_start(self, now: float) -> None:
-        """Note that a request was sent; in the half-open state it is the probe."""
+        """Record that a request was sent; in the half-open state it is the probe."""
         if self.state(now) is BreakerState.HALF_OPEN:
             self._probe_in_flight = True
 
     def record_success(self) -> None:
-        """Note a success: the breaker closes."""
+        """Record a success and close the breaker."""
         self._failures = 0
         self._open_until = None
         self._open_s = self._config.open_s
         self._probe_in_flight = False
 
     def record_abandoned(self) -> None:
-        """Note a request that ended without telling anything, such as a withdrawn one."""
+        """Record a request that ended without a result, such as a withdrawn one."""
         self._probe_in_flight = False
 
     def record_failure(self, now: float) -> None:
-        """Note a failure; the breaker opens after enough of them, or if the probe failed."""
+        """Record a failure; open the breaker after enough of them or after a failed probe."""
         self._failures += 1
         if self._open_until is not None:
             if self.state(now) is BreakerState.HALF_OPEN:
--- a/src/passlane/decisions/backends/engine_view.py
+++ b/src/passlane/decisions/backends/engine_view.py
@@ -90,7 +90,7 @@
     def see_load(self, load: EngineLoad, now: float) -> bool:
         """Take in a load report; return whether the engine has restarted since the last."""
         as_of = now - load.age_s
-        restarted = self.cache.see_incarnation(load.incarnation)
+        restarted = self.cache.observe_incarnation(load.incarnation)
         if as_of < self._load_as_of and not restarted:
             return False
         self._load = load
--- a/src/passlane/decisions/placement/plain_placement.py
+++ b/src/passlane/decisions/placement/plain_placement.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from passlane.decisions.backends.answer_times import AnswerTimes, PresentSpeed
+from passlane.decisions.backends.answer_times import AnswerTimes, RecentSpeed
 from passlane.decisions.backends.health import stall_limit_s
 from passlane.decisions.backends.registry import BackendLoad
 from passlane.decisions.placement.backend_subset import SUBSET_SIZE, subset_order
@@ -133,7 +133,7 @@
 class PlainBackendState(msgspec.Struct):
     """What this node's calls have shown of one plain back end lately; times are local."""
 
-    speed: PresentSpeed = msgspec.field(default_factory=PresentSpeed)
+    speed: RecentSpeed = msgspec.field(default_factory=RecentSpeed)
     refused_at: float = -math.inf
     refusals_in_row: int = 0
     broken_at: float = -math.inf
--- a/tests/decisions/backends/test_circuit_breaker.py
+++ b/tests/decisions/backends/test_circuit_breaker.py
@@ -1,4 +1,4 @@
-"""When a failing back end is left alone, and when it is tried again."""
+"""When the circuit breaker opens, and when it allows a probe."""
 
 import unittest
 
@@ -28,8 +28,8 @@
         breaker.record_success()
         self.assertIs(BreakerState.CLOSED, breaker.state(now))
 
-    def test_no_time_is_named_while_a_probe_is_under_way(self):
-        """Its end decides; whoever waits must not look again and again until then."""
+    def test_no_opening_time_while_a_probe_is_in_flight(self):
+        """Guards against busy polling by a caller that waits for the result of the probe."""
         breaker = CircuitBreaker(BreakerConfig(failures_to_open=1, open_s=1.0))
         breaker.record_failure(0.0)
         breaker.record_start(1.0)
--- a/tests/decisions/placement/test_plain_placement.py
+++ b/tests/decisions/placement/test_plain_placement.py
@@ -3,7 +3,7 @@
 import unittest
 from collections import Counter
 
-from passlane.decisions.backends.answer_times import AnswerTimes, PresentSpeed
+from passlane.decisions.backends.answer_times import AnswerTimes, RecentSpeed
 from passlane.decisions.backends.registry import BackendLoad
 from passlane.decisions.placement.backend_subset import SUBSET_SIZE, subset_order
 from passlane.decisions.placement.plain_placement import (
@@ -104,7 +104,7 @@
         self.assertEqual(self.choose(now=0.01), first)
 
     def test_slowness_fades_to_the_usual(self):
-        speed = PresentSpeed()
+        speed = RecentSpeed()
         for _ in range(20):
             speed.note(2.5, 0.0)
         self.assertAlmostEqual(speed.slowness(0.0), 2.5, places=1)
