--- a/src/passlane/decisions/backends/engine_table.py
+++ b/src/passlane/decisions/backends/engine_table.py
@@ -1,9 +1,9 @@
-"""The engines of all services, and at which of them each turn has its slot.
+"""Engines of all services, and the engine at which each turn has its slot.
 
-It is for the scheduler of turns on the store group's leader, and answers whether an engine takes
-turns at all. It owns the engines' slots (``engine_slots``); since one scheduler alone gives them,
-they are exact but for turns whose end was lost with a node, whose slots are given back by time.
-It relies on the list of back ends and on ``health`` for which engines fail.
+Used by the turn scheduler on the store group's leader, which is the only one to assign slots. Owns
+the engines' slots (``engine_slots``) and decides which engines are usable. Slots of turns whose
+end is never reported, such as those of a lost node, expire. Relies on the list of back ends and
+on ``health`` for failing engines.
 
 Times are local monotonic seconds.
 """
@@ -15,31 +15,31 @@
 
 from passlane.decisions.backends.engine_slots import EngineSlots, PlacedTurn
 from passlane.decisions.backends.health import find_outliers
-from passlane.decisions.backends.incarnations import newest_starts
+from passlane.decisions.backends.incarnations import newest_incarnations
 from passlane.decisions.backends.speed import FleetSpeed
 from passlane.messages.listing import BackendRecord, BackendState
 
-LATE_END_S = 30.0
-"""The end of a turn teaches for so many seconds after its slot was given back by time; bounds
-what is kept of turns whose nodes were lost. Not measured; chosen."""
+EXPIRED_SLOT_RETENTION_S = 30.0
+"""Seconds for which an expired slot is retained so that a late end of its turn is still used."""
 
 
 class HeldSlot(msgspec.Struct, frozen=True):
-    """A slot: the engine, and the turn that has it or had it."""
+    """A slot at an engine, with the turn that has or had it."""
 
     engine: EngineSlots
     turn: PlacedTurn
 
 
 class EngineSlotState(msgspec.Struct, frozen=True):
-    """What an engine's slots are taken by, and whether turns are placed there.
+    """Slot usage and availability of an engine.
 
     Attributes
     ----------
     is_usable, is_failing
-        Whether it takes turns, and whether it fails more than the others.
+        Whether it gets new turns, and whether too many of its turns failed recently.
     oldest_attempt, oldest_s
-        The turn that has had its slot for longest, and for how long; empty and 0 without one.
+        Attempt that has had its slot for the longest time, and that time in seconds; empty and 0
+        without one.
     """
 
     engine: str
@@ -52,7 +52,7 @@
 
 
 class EngineTable:
-    """The engines of all services, and where each turn has its slot."""
+    """Engines of all services, with the slots that turns have there."""
 
     def __init__(self) -> None:
         self._engines: dict[str, EngineSlots] = {}
@@ -66,7 +66,7 @@
         return iter(self._engines.values())
 
     def begin_anew(self) -> None:
-        """Forget the turns and what was learnt; the engines stay listed."""
+        """Drop all turns and learned state; the engines stay listed."""
         records = [engine.record for engine in self]
         self._engines = {}
         self._speeds = {}
@@ -75,12 +75,12 @@
         self.replace_records(records)
 
     def replace_records(self, records: Iterable[BackendRecord]) -> None:
-        """Take over the list of back ends; turns at earlier starts have no slot."""
+        """Apply a list of back ends; turns at earlier incarnations lose their slots."""
         known = self._engines
         self._usable = {}
         self._engines = {}
         self._by_service = {}
-        listed = newest_starts(records, [engine.record for engine in known.values()])
+        listed = newest_incarnations(records, [engine.record for engine in known.values()])
         for record in listed:
             engine = self._engine_for(record, known.get(record.incarnation))
             self._engines[record.incarnation] = engine
@@ -96,18 +96,18 @@
         return known
 
     def get(self, incarnation: str) -> EngineSlots | None:
-        """Return an engine, ``None`` if that start of it is not listed."""
+        """Return an engine by incarnation, ``None`` if it is not listed."""
         return self._engines.get(incarnation)
 
     def of_service(self, service: str) -> list[EngineSlots]:
-        """Return the engines of a service, those that are leaving included."""
+        """Return the engines of a service, including draining ones."""
         return self._by_service.get(service, [])
 
     def usable(self, service: str, now: float) -> list[EngineSlots]:
-        """Return the engines of a service that take turns, as of the last ``look_again``.
+        """Return the engines of a service that accept turns, as of the last ``look_again``.
 
-        Left out are those that leave, that lately refused a turn as full, and that fail more
-        than the others (``health.find_outliers``).
+        Excludes engines that are draining, that recently refused a turn as full, or that are
+        outliers by failures (``health.find_outliers``).
         """
         usable = self._usable.get(service)
         if usable is None:
@@ -120,28 +120,27 @@
         return usable
 
     def on_trial(self, service: str, now: float) -> list[EngineSlots]:
-        """Return engines that fail more than the others and may show that they serve again.
+        """Return the excluded engines that a turn may probe.
 
-        They are for turns that find no slot at any other engine, one at a time.
+        Only for turns that find no slot at any other engine; one turn per engine at a time.
         """
         usable = self.usable(service, now)
         if len(usable) == len(self.of_service(service)):
             return []
-        left_out = (engine for engine in self.of_service(service) if engine not in usable)
-        return [engine for engine in left_out if engine.may_try(now)]
+        excluded = (engine for engine in self.of_service(service) if engine not in usable)
+        return [engine for engine in excluded if engine.may_probe(now)]
 
     def note_served(self, engine: EngineSlots) -> None:
-        """Judge all engines anew if one that was left out has served a turn.
+        """Reevaluate the engines if an excluded one has served a turn.
 
-        Only then: a judgement of 24 engines takes 64 us of the leader's processor (measured on an
-        idle table), and some hundred turns end a second.
+        Does nothing for usable engines, since a reevaluation after each turn is too expensive.
         """
         usable = self._usable.get(engine.record.service)
         if usable is not None and engine not in usable:
             self.look_again()
 
     def look_again(self) -> None:
-        """Judge all engines anew: time has passed, or one of them has failed."""
+        """Discard the cached usable engines, so that the next lookup evaluates them again."""
         self._usable = {}
 
     def engine_of(self, attempt_id: str) -> EngineSlots | None:
@@ -149,22 +148,22 @@
         return self._engine_of.get(attempt_id)
 
     def take(self, engine: EngineSlots, turn: PlacedTurn) -> None:
-        """Give a turn a slot at an engine; a turn has one slot at most."""
+        """Assign a slot at an engine to a turn and release the slot that the turn had before."""
         self.give_back(turn.attempt_id)
         engine.take(turn)
         self._engine_of[turn.attempt_id] = engine
 
     def give_back(self, attempt_id: str) -> HeldSlot | None:
-        """Take a turn's slot back; ``None`` if it has none."""
+        """Release a turn's slot and return it; ``None`` if it has none."""
         engine = self._engine_of.pop(attempt_id, None)
         turn = engine.give_back(attempt_id) if engine is not None else None
         return HeldSlot(engine, turn) if engine is not None and turn is not None else None
 
     def expire(self, now: float) -> list[EngineSlots]:
-        """Give back the slots whose time is over; return engines that seem to hang.
+        """Release overdue slots; return the engines that seem to hang, once for each such slot.
 
-        Such an engine has ended no turn since that one was placed; it stands there once for each
-        slot. One that ends others goes on: that turn is long, or its node is lost.
+        An engine seems to hang if it has completed no turn since the overdue one was placed.
+        Otherwise the turn is long, or its node is lost.
         """
         overdue = [
             HeldSlot(engine, turn)
@@ -172,25 +171,25 @@
             for turn in engine.turns.values()
             if turn.until <= now
         ]
-        for held in overdue:
-            self.give_back(held.turn.attempt_id)
-            self._expired[held.turn.attempt_id] = held
-        self._forget_expired(now)
-        return [held.engine for held in overdue if held.engine.ended_at < held.turn.placed_at]
+        for slot in overdue:
+            self.give_back(slot.turn.attempt_id)
+            self._expired[slot.turn.attempt_id] = slot
+        self._drop_expired(now)
+        return [slot.engine for slot in overdue if slot.engine.ended_at < slot.turn.placed_at]
 
     def take_expired(self, attempt_id: str) -> HeldSlot | None:
-        """Return a slot that was given back by time, once; ``None`` if the turn had none."""
+        """Remove and return a turn's expired slot; ``None`` if there is none."""
         return self._expired.pop(attempt_id, None)
 
-    def _forget_expired(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         while self._expired:
-            attempt_id, held = next(iter(self._expired.items()))
-            if now - held.turn.until < LATE_END_S:
+            attempt_id, slot = next(iter(self._expired.items()))
+            if now - slot.turn.until < EXPIRED_SLOT_RETENTION_S:
                 return
             del self._expired[attempt_id]
 
     def slot_states(self, service: str, now: float) -> list[EngineSlotState]:
-        """Return how each engine of a service stands at this moment."""
+        """Return the slot usage and availability of each engine of a service."""
         usable = {engine.incarnation for engine in self.usable(service, now)}
         states = []
         for engine in self.of_service(service):
@@ -208,18 +207,18 @@
         return states
 
     def all_slots(self, service: str) -> int:
-        """Return the slots of a service, those of engines that are leaving included."""
+        """Return the number of slots of a service, including those of draining engines."""
         return sum(engine.slots for engine in self.of_service(service))
 
     def busy_share(self, service: str) -> float:
-        """Return the taken share of the slots of a service; 1 without engines."""
+        """Return the share of a service's slots in use; 1 without engines."""
         engines = [e for e in self.of_service(service) if e.record.state is BackendState.READY]
         slots = sum(engine.slots for engine in engines)
         running = sum(len(engine.turns) for engine in engines)
         return running / slots if slots else 1.0
 
     def has_free_slot(self, service: str, now: float) -> bool:
-        """Whether an engine that takes turns, or is on trial, has a slot that no turn has."""
+        """Whether a usable engine has a free slot, or an excluded one may be probed."""
         if any(len(engine.turns) < engine.slots for engine in self.usable(service, now)):
             return True
         return bool(self.on_trial(service, now))
--- a/src/passlane/decisions/backends/incarnations.py
+++ b/src/passlane/decisions/backends/incarnations.py
@@ -1,7 +1,7 @@
-"""Decides which start of a back end counts when lists differ about it.
+"""Selects the newest incarnation of each back end when lists differ.
 
-Lists come late and by several ways, so one may tell of a start that is over. Of all that is told of
-one back end the newest start counts.
+Lists arrive late and from several sources, so one may contain an incarnation that has ended.
+The record with the newest incarnation is used.
 """
 
 from collections.abc import Iterable
@@ -9,14 +9,14 @@
 from passlane.messages.listing import BackendRecord
 
 
-def newest_starts(
+def newest_incarnations(
     listed: Iterable[BackendRecord], known: Iterable[BackendRecord]
 ) -> list[BackendRecord]:
-    """Return one record for each listed back end: that of its newest start, listed or known."""
+    """Return one record for each listed back end: its newest incarnation, listed or known."""
     newest = {record.instance_id: record for record in known}
     chosen: dict[str, BackendRecord] = {}
     for record in listed:
-        before = chosen.get(record.instance_id) or newest.get(record.instance_id)
-        is_older = before is not None and record.is_older_than(before)
-        chosen[record.instance_id] = before if before is not None and is_older else record
+        previous = chosen.get(record.instance_id) or newest.get(record.instance_id)
+        is_older = previous is not None and record.is_older_than(previous)
+        chosen[record.instance_id] = previous if previous is not None and is_older else record
     return list(chosen.values())
--- a/src/passlane/decisions/backends/registry.py
+++ b/src/passlane/decisions/backends/registry.py
@@ -1,8 +1,8 @@
-"""Knows which back ends there are, and how much this node has under way at each.
+"""Registry of the listed back ends with this node's load and health state for each.
 
-Owns the newest list, what was seen of each start of a back end, and the outliers by the last
-judgement of each service, so that a change of them is seen (log line ``outliers_changed``).
-``decisions.backends.health`` judges.
+Owns the newest list, the state of each incarnation of a back end, and the outliers of each service
+as of the last evaluation, in order to detect changes (log line ``outliers_changed``). The rules for
+outliers are in ``decisions.backends.health``.
 """
 
 from collections.abc import Iterable
@@ -10,23 +10,23 @@
 import msgspec
 
 from passlane.decisions.backends.health import BackendHealth, find_outliers, typical_latency_s
-from passlane.decisions.backends.incarnations import newest_starts
+from passlane.decisions.backends.incarnations import newest_incarnations
 from passlane.messages.listing import BackendRecord, BackendState, IncarnationId
 
 
 class BackendLoad(msgspec.Struct):
-    """A back end and what this node knows of it.
+    """A back end with this node's load and health state for it.
 
     Attributes
     ----------
     in_flight
-        Requests of this node under way there.
+        Number of requests of this node in flight there.
     avoid_until
-        Local time before which it is only used if there is no other.
+        Local time until which it is used only if there is no other.
     failures
-        Failures in a row.
+        Number of consecutive failures.
     health
-        What this node's requests have shown of it.
+        Health as seen by this node's requests.
     """
 
     record: BackendRecord
@@ -37,21 +37,21 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether it takes new requests."""
+        """Whether it accepts new requests."""
         return self.record.state is BackendState.READY
 
 
 class ServiceJudgement(msgspec.Struct, frozen=True):
-    """How the back ends of a service do at one moment.
+    """Result of evaluating the health of a service's back ends.
 
     Attributes
     ----------
     loads
-        Those that take new requests.
+        Back ends that accept new requests.
     typical_s
-        Their typical time to the first part of an answer; 0 if unknown.
+        Typical time to the first part of an answer, in seconds; 0 if unknown.
     outliers, outliers_before
-        Incarnations that do worse than most, now and by the judgement before.
+        Incarnations that are outliers, by this evaluation and by the previous one.
     """
 
     loads: list[BackendLoad]
@@ -61,19 +61,19 @@
 
     @property
     def has_changed(self) -> bool:
-        """Whether there are other outliers than before."""
+        """Whether the outliers differ from those of the previous evaluation."""
         return self.outliers != self.outliers_before
 
 
 class BackendRegistry:
-    """Back ends by incarnation, as the newest list tells.
+    """Back ends of the newest list, by incarnation.
 
     Attributes
     ----------
     updated_at
-        Local time at which the list was last known to be right; ``None`` without a list.
+        Local time at which the list was last confirmed to be current; ``None`` without a list.
     is_as_listed
-        Whether none was forgotten since the list was taken over.
+        Whether no back end was removed since the list was applied.
     """
 
     def __init__(self) -> None:
@@ -83,9 +83,9 @@
         self.is_as_listed = True
 
     def update(self, records: Iterable[BackendRecord], now: float) -> list[BackendRecord]:
-        """Take over a whole list; return the back ends that no longer take requests."""
+        """Apply a complete list; return the back ends that no longer accept requests."""
         loads: dict[IncarnationId, BackendLoad] = {}
-        for record in newest_starts(records, self._records()):
+        for record in newest_incarnations(records, self._records()):
             load = self._loads.get(record.incarnation) or BackendLoad(record)
             load.record = record
             loads[record.incarnation] = load
@@ -100,11 +100,11 @@
         return [load.record for load in self._loads.values()]
 
     def confirm(self, now: float) -> None:
-        """Note that the list held is still right."""
+        """Record that the current list is up to date."""
         self.updated_at = now
 
     def of_service(self, service: str) -> list[BackendLoad]:
-        """Return the back ends of a service that take new requests."""
+        """Return the back ends of a service that accept new requests."""
         return [
             load
             for load in self._loads.values()
@@ -112,7 +112,7 @@
         ]
 
     def judge(self, service: str, now: float) -> ServiceJudgement:
-        """Judge the back ends of a service anew."""
+        """Evaluate the health of a service's back ends and record its outliers."""
         loads = self.of_service(service)
         health = [load.health for load in loads]
         typical_s = typical_latency_s(health, now)
@@ -123,7 +123,7 @@
         return ServiceJudgement(loads, typical_s, outliers, before)
 
     def remove(self, incarnation: IncarnationId) -> None:
-        """Forget a back end that is known to be gone, until a list names it again."""
+        """Remove a back end that is known to be gone, until a list contains it again."""
         self._loads.pop(incarnation, None)
         self.is_as_listed = False
 
--- a/src/passlane/decisions/placement/turn_placement.py
+++ b/src/passlane/decisions/placement/turn_placement.py
@@ -168,7 +168,7 @@
     if running >= engine.slots + RETURN_SLOTS:
         return False
     has_large_part = demand.shared_tokens >= SMALLEST_LARGE_TOKENS
-    return returns or (has_large_part and engine.holds_part(demand))
+    return returns or (has_large_part and engine.has_shared_part(demand))
 
 
 def _run_s(engine: EngineSlots, running: int, mean_s: float) -> float:
@@ -185,6 +185,6 @@
 
 def _read_s(engine: EngineSlots, running: int, demand: TurnDemand) -> float:
     """Return how long an engine without a turn's history reads, with what that delays there."""
-    held = demand.shared_tokens if engine.holds_part(demand) else 0
+    held = demand.shared_tokens if engine.has_shared_part(demand) else 0
     to_read = max(0, demand.prompt_tokens - held)
     return engine.slowdown * to_read * (1.0 + NEIGHBOUR_SHARE * running) / READ_TOKENS_PER_S
--- a/tests/decisions/backends/test_incarnations.py
+++ b/tests/decisions/backends/test_incarnations.py
@@ -1,13 +1,7 @@
-"""An engine that starts again under the id that it had.
+"""Restart of an engine under the same id.
 
-What happens: it holds nothing and knows nothing of before, but nodes and the leader go on as if it
-were the same: its slots stay taken by turns that have ended with it, its failures, its pace and the
-parts that it had read stay noted.
-
-Why: all of that was kept by the engine's id alone, which was taken to change with each start.
-
-What showed it: the engine of the tests below has one slot; a turn that waits for it gets it only
-when the lost turn's time is over.
+Guards against state of the previous incarnation that outlives it: slots, failures, speed and
+cached shared prefixes.
 """
 
 import unittest
@@ -23,10 +17,10 @@
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.placement import TurnDemand, TurnOutcome
 
-UNTOLD = BackendRecord("e1", "llm", Address("10.0.0.1", 80), "a", 1, BackendState.READY)
-FIRST = msgspec.structs.replace(UNTOLD, born_ms=1_000)
-SECOND = msgspec.structs.replace(UNTOLD, born_ms=2_000)
-THIRD = msgspec.structs.replace(UNTOLD, born_ms=3_000)
+UNREPORTED = BackendRecord("e1", "llm", Address("10.0.0.1", 80), "a", 1, BackendState.READY)
+FIRST = msgspec.structs.replace(UNREPORTED, born_ms=1_000)
+SECOND = msgspec.structs.replace(UNREPORTED, born_ms=2_000)
+THIRD = msgspec.structs.replace(UNREPORTED, born_ms=3_000)
 LEAVING = msgspec.structs.replace(SECOND, state=BackendState.DRAINING)
 
 
@@ -38,7 +32,7 @@
         (load,) = self.registry.of_service("llm")
         return load
 
-    def test_one_that_starts_again_is_another_back_end(self):
+    def test_a_new_incarnation_is_a_new_back_end(self):
         self.registry.update([FIRST], 0.0)
         before = self.load()
         before.failures, before.in_flight, before.avoid_until = 3, 2, 9.0
@@ -48,7 +42,7 @@
         self.assertEqual((after.failures, after.in_flight, after.avoid_until), (0, 0, 0.0))
         self.assertEqual(after.record, SECOND)
 
-    def test_what_ends_late_at_the_earlier_one_changes_nothing(self):
+    def test_a_late_end_at_the_previous_incarnation_changes_nothing(self):
         self.registry.update([FIRST], 0.0)
         before = self.load()
         before.in_flight += 1
@@ -58,24 +52,24 @@
         self.registry.remove(before.record.incarnation)
         self.assertEqual((self.load().in_flight, self.load().failures), (0, 0))
 
-    def test_an_older_word_of_it_changes_nothing(self):
+    def test_an_outdated_list_changes_nothing(self):
         self.registry.update([SECOND], 0.0)
         after = self.load()
         self.assertEqual(self.registry.update([FIRST], 1.0), [])
         self.assertIs(self.load(), after)
         self.assertEqual(self.load().record, SECOND)
 
-    def test_of_two_entries_the_newer_start_counts(self):
+    def test_the_newer_of_two_listed_incarnations_is_used(self):
         for records in ([FIRST, THIRD], [THIRD, FIRST]):
             self.registry.update(records, 0.0)
             self.assertEqual(self.load().record, THIRD)
 
-    def test_two_starts_between_two_lists(self):
+    def test_two_restarts_between_two_lists(self):
         self.registry.update([FIRST], 0.0)
         self.registry.update([THIRD], 1.0)
         self.assertEqual(self.load().record, THIRD)
 
-    def test_the_same_start_stays_the_same_back_end(self):
+    def test_the_same_incarnation_stays_the_same_back_end(self):
         self.registry.update([SECOND], 0.0)
         before = self.load()
         self.registry.update([LEAVING], 1.0)
@@ -83,15 +77,15 @@
         self.registry.update([SECOND], 2.0)
         self.assertIs(self.load(), before)
 
-    def test_without_a_start_the_id_alone_counts(self):
-        self.registry.update([UNTOLD], 0.0)
+    def test_without_an_incarnation_the_id_alone_counts(self):
+        self.registry.update([UNREPORTED], 0.0)
         before = self.load()
-        self.registry.update([UNTOLD], 1.0)
+        self.registry.update([UNREPORTED], 1.0)
         self.assertIs(self.load(), before)
 
 
 class ListingTest(unittest.TestCase):
-    def test_a_start_is_a_change_of_the_list(self):
+    def test_a_new_incarnation_is_a_change_of_the_list(self):
         changes = changes_between([FIRST], [SECOND])
         self.assertEqual(changes.changed, (SECOND,))
         self.assertEqual(apply_changes([FIRST], changes), (SECOND,))
@@ -116,7 +110,7 @@
     def running(self):
         return self.scheduler.figures("llm").running
 
-    def test_slots_of_the_earlier_start_come_back_at_once(self):
+    def test_slots_of_the_previous_incarnation_are_released_at_once(self):
         (placed,) = self.ask("a", 0.0)
         self.assertIsInstance(placed, TurnPlaced)
         self.assertEqual(self.ask("b", 0.1), [])
@@ -124,7 +118,7 @@
         self.assertEqual(next_placed.attempt_id, "b")
         self.assertNotEqual(next_placed.engine, placed.engine)
 
-    def test_a_late_end_of_a_turn_there_changes_nothing(self):
+    def test_a_late_end_of_a_turn_at_the_previous_incarnation_changes_nothing(self):
         (placed,) = self.ask("a", 0.0)
         self.scheduler.replace_backends([SECOND], 0.1)
         (after,) = self.ask("b", 0.2)
@@ -136,13 +130,13 @@
         (placed_again,) = self.ask("c", 0.5)
         self.assertEqual(placed_again.engine, after.engine)
 
-    def test_an_older_word_of_it_gives_nothing_back(self):
+    def test_an_outdated_list_releases_nothing(self):
         self.scheduler.replace_backends([SECOND], 0.1)
         self.ask("a", 0.2)
         self.scheduler.replace_backends([FIRST], 0.3)
         self.assertEqual(self.ask("b", 0.4), [])
 
-    def test_what_it_had_learnt_and_read_is_forgotten(self):
+    def test_learned_state_and_cached_prefixes_are_dropped(self):
         table = EngineTable()
         table.replace_records([FIRST])
         (before,) = table.of_service("llm")
@@ -151,7 +145,7 @@
         before.pause_as_full(0.0)
         table.replace_records([SECOND])
         (after,) = table.of_service("llm")
-        self.assertFalse(after.holds_part(demand))
+        self.assertFalse(after.has_shared_part(demand))
         self.assertTrue(after.is_usable(0.0))
 
 
