--- a/src/passlane/decisions/backends/engine_slots.py
+++ b/src/passlane/decisions/backends/engine_slots.py
@@ -151,6 +151,6 @@
         self.ended_at = now
         self.health.note_success(now)
         if turn.placed_at - self.health.last_failed_at >= PROBE_AFTER_S:
-            self.health.forgive()
+            self.health.clear_failures()
         self.speed.learn(outcome.engine_s, turn.expected_s, turn.expected_slowdown, now)
         self.slowdown = self.speed.slowdown(now)
--- a/src/passlane/decisions/backends/fleet_view.py
+++ b/src/passlane/decisions/backends/fleet_view.py
@@ -1,4 +1,4 @@
-"""The engines as one node sees them: which it watches, and what it knows of each."""
+"""A node's views of the engines that it watches."""
 
 from collections.abc import Iterator, Mapping
 from types import MappingProxyType
@@ -14,13 +14,13 @@
 class FleetView:
     """Views of the engines that the node watches.
 
-    Besides the subset that new calls go to, an engine is watched while it is leaving or
-    still runs calls of this node, so that these end well and cached prefixes can move.
+    Includes the subset that gets new calls. An engine that is already watched stays so while
+    it is leaving or runs calls of this node, so that these can end and cached prefixes can move.
 
     Parameters
     ----------
     node_key, own_zone
-        Decide which subset of a large fleet is watched.
+        Determine which subset of a large fleet is watched.
     config
         Constants of the scheduler.
     """
@@ -36,7 +36,7 @@
         self._speed = FleetSpeed()
 
     def __iter__(self) -> Iterator[EngineView]:
-        """Iterate over the views, always in the same order."""
+        """Iterate over the views in insertion order."""
         return iter(self._views.values())
 
     def get(self, engine_id: EngineId) -> EngineView | None:
@@ -50,33 +50,33 @@
 
     @property
     def watched(self) -> frozenset[EngineId]:
-        """Engines that are watched now."""
+        """Ids of the watched engines."""
         return frozenset(self._views)
 
     def serves(self, model: str) -> bool:
-        """Return whether any engine of the configuration serves the model."""
+        """Return whether any configured engine serves the model."""
         return model in self._models
 
     def has_free_slot(self, model: str, now: float) -> bool:
-        """Return whether any watched engine of the model could take a call now."""
+        """Return whether any watched engine of the model has a free slot."""
         return any(
             engine.occupancy(now) < engine.slots() and engine.has_model(model)
             for engine in self._views.values()
         )
 
     def batch_fill(self, model: str, now: float) -> float:
-        """Return the filled share of the batches of a model's engines, 0 if there are none."""
-        engines = self._staying(model)
-        places = sum(engine.body.max_batch for engine in engines)
-        return sum(engine.occupancy(now) for engine in engines) / max(places, 1)
+        """Return the share of batch slots of a model's engines in use, 0 if there are none."""
+        engines = self._not_leaving(model)
+        batch_slots = sum(engine.body.max_batch for engine in engines)
+        return sum(engine.occupancy(now) for engine in engines) / max(batch_slots, 1)
 
     def cache_pressure(self, model: str) -> float:
-        """Return the filled share of the caches of a model's engines, 0 if there are none."""
-        engines = self._staying(model)
+        """Return the share of the caches of a model's engines in use, 0 if there are none."""
+        engines = self._not_leaving(model)
         capacity = sum(engine.body.cache_tokens for engine in engines)
         return sum(engine.cached_tokens() for engine in engines) / max(capacity, 1)
 
-    def _staying(self, model: str) -> list[EngineView]:
+    def _not_leaving(self, model: str) -> list[EngineView]:
         return [
             engine
             for engine in self._views.values()
@@ -84,27 +84,27 @@
         ]
 
     def holders_of(self, program_id: ProgramId) -> list[EngineView]:
-        """Return the engines thought to hold cache for a program."""
+        """Return the engines that are estimated to have cached tokens of a program."""
         return [view for view in self._views.values() if view.cache.tokens_of(program_id) > 0]
 
     def change_engines(self, engines: Mapping[EngineId, EngineBody]) -> None:
-        """Take in the engines of the configuration in force; those missing are gone."""
+        """Apply the configured engines; views of engines that are missing are removed."""
         self._bodies = dict(engines)
         self._models = frozenset(model for body in engines.values() for model in body.models)
         self._update_views()
 
     def change_leaving(self, leaving: frozenset[EngineId]) -> list[EngineView]:
-        """Take in which engines are leaving; return the views of those that newly are."""
+        """Apply the set of leaving engines; return the views of those that are newly leaving."""
         newly_leaving = sorted(leaving - self._leaving)
         self._leaving = leaving
         self._update_views()
         return [self._views[engine_id] for engine_id in newly_leaving if engine_id in self._views]
 
     def _update_views(self) -> None:
-        wanted = self._wanted()
-        for engine_id in [known for known in self._views if known not in wanted]:
+        to_watch = self._engines_to_watch()
+        for engine_id in [tracked for tracked in self._views if tracked not in to_watch]:
             del self._views[engine_id]
-        for engine_id in sorted(wanted):
+        for engine_id in sorted(to_watch):
             body = self._bodies[engine_id]
             view = self._views.get(engine_id)
             if view is None or view.body.address != body.address:
@@ -113,7 +113,7 @@
             view.body = body
             view.leaving = engine_id in self._leaving
 
-    def _wanted(self) -> frozenset[EngineId]:
+    def _engines_to_watch(self) -> frozenset[EngineId]:
         subset = watched_engines(
             self._node_key,
             self._own_zone,
--- a/src/passlane/decisions/backends/health.py
+++ b/src/passlane/decisions/backends/health.py
@@ -1,14 +1,10 @@
-"""Judges back ends by what requests show of them: failures, silence, slowness.
+"""Passive health checks: detects back ends that fail, stall or are slow, from their requests.
 
-Answers "why was this back end avoided?": fields ``is_outlier``, ``long_queue`` and
-``short_queue`` of ``backend_chosen``, and the line ``outliers_changed``. Owns what was seen of each
-back end; times are local. Source: ``docs/design/relay-placement.md``, "What is known of a back
-end". Measured in ``docs/measurements/platform-rounds.md``: "outliers by failures, silence,
-slowness".
-
-Health answers are not asked for: they may be false, and each costs the back end a slot.
-A back end that is judged badly is used after all others, never not at all, and only
-while most of its service does better: what all of them show is no fault of one.
+Owns the health state of each back end; times are local. The result is logged in the fields
+``is_outlier``, ``long_queue`` and ``short_queue`` of ``backend_chosen`` and in the line
+``outliers_changed``. There are no active checks, since they can be wrong and take a slot. An
+outlier is used only after all other back ends. If most back ends of a service qualify as outliers,
+none is one.
 """
 
 import math
@@ -18,38 +14,33 @@
 import msgspec
 
 HALF_LIFE_S = 4.0
-"""Seconds. Failures and successes count half after this long. Measured as part of the rule only
-(see the module)."""
-FEWEST_FAILURES = 1.0
-LARGEST_FAILURE_SHARE = 0.2
-"""A back end is an outlier with so many failures, if they are so large a share of all that
-ended. Measured as part of the rule only (see the module)."""
+"""Half-life in seconds of the counts of failures and successes."""
+MIN_FAILURES = 1.0
+"""Minimum decayed number of failures for a back end to count as failing."""
+MAX_FAILURE_SHARE = 0.2
+"""Share of failures among ended requests above which a back end counts as failing."""
 STALL_WEIGHT = 2.0
-"""A request that got no answer at all counts as this many failures. Measured as part of the rule
-only (see the module)."""
+"""Number of failures that a stalled request counts as."""
 LATENCY_WEIGHT = 0.2
-"""Weight of a new sample in a back end's typical latency. Measured as part of the rule only (see
-the module)."""
-LATENCY_MEMORY_S = 3.0
-"""Seconds. Without a sample for this long, a back end's latency counts as unknown. Measured as
-part of the rule only (see the module)."""
+"""Weight of a new sample in the moving average of a back end's latency."""
+LATENCY_EXPIRY_S = 3.0
+"""Seconds without a sample after which a back end's latency is unknown."""
 SLOW_FACTOR = 3.0
+"""Multiple of the typical latency that a slow back end exceeds."""
 SLOW_MARGIN_S = 0.1
-"""A back end is slow beyond this multiple of the others' latency, and this many seconds above
-it. Measured as part of the rule only (see the module)."""
+"""Seconds by which a slow back end exceeds the typical latency, in addition to the multiple."""
 STALL_FACTOR = 5.0
-SHORTEST_STALL_S = 0.4
-"""A request without progress for this multiple of the typical latency, and for so many seconds,
-is stalled. Measured as part of the rule only (see the module)."""
-LARGEST_OUTLIER_SHARE = 0.5
-"""Share of a service; if more of it looks bad, none is an outlier. Measured as part of the rule
-only (see the module)."""
-HIGHEST_CONGESTION = 3
-"""Multiples of the tolerated wait that are told apart. Not measured; chosen."""
+"""Multiple of the typical latency without progress after which a request is stalled."""
+MIN_STALL_S = 0.4
+"""Minimum time in seconds without progress after which a request is stalled."""
+MAX_OUTLIER_SHARE = 0.5
+"""Maximum share of a service's back ends that can be outliers; above it none is one."""
+MAX_CONGESTION_LEVEL = 3
+"""Maximum congestion level, as a multiple of the tolerated wait."""
 
 
 class AttemptWatch:
-    """Progress of one request at a back end; times are local."""
+    """Tracks the progress of one request at a back end; times are local."""
 
     def __init__(self, health: "BackendHealth", now: float) -> None:
         self._health = health
@@ -60,30 +51,30 @@
         health.watches.add(self)
 
     def progressed(self, now: float) -> None:
-        """Note that a part of the answer arrived."""
+        """Record that a part of the answer arrived."""
         self.last_progress_at = now
         if not self.has_answered:
             self.has_answered = True
-            self._health.note_latency(now - self.started_at, now)
+            self._health.record_latency(now - self.started_at, now)
 
     def succeeded(self, now: float) -> None:
-        """Note that the answer is whole; later notes have no effect."""
+        """Record that the answer is complete; later results are ignored."""
         if self._end():
             self._health.note_success(now)
 
     def failed(self, now: float) -> None:
-        """Note that the answer broke off or was a fault of the back end."""
+        """Record that the answer was incomplete or an error of the back end."""
         if self._end():
             self._health.note_failure(now, 1.0)
 
     def dropped(self, now: float, stall_limit_s: float) -> None:
-        """Note that nobody waits any longer; a stalled request counts against the back end."""
+        """Record that the request was abandoned; counts as a failure if it had stalled."""
         is_stalled = now - self.last_progress_at > stall_limit_s
         if self._end() and is_stalled:
             self._health.note_failure(now, STALL_WEIGHT)
 
     def _end(self) -> bool:
-        """Stop watching; return whether that had not been done before."""
+        """Stop tracking; return whether the request was still tracked."""
         was_over = self._is_over
         self._is_over = True
         self._health.watches.discard(self)
@@ -91,14 +82,14 @@
 
 
 class BackendHealth(msgspec.Struct):
-    """What a node's requests have shown of one back end.
+    """Health of one back end as seen by this node's requests.
 
     Attributes
     ----------
     watches
-        Requests under way.
+        Requests in flight.
     last_failed_at
-        When the last failure was noted.
+        Time of the last recorded failure.
     """
 
     watches: set[AttemptWatch] = msgspec.field(default_factory=set)
@@ -110,53 +101,53 @@
     last_failed_at: float = -math.inf
 
     def watch(self, now: float) -> AttemptWatch:
-        """Begin to watch a request."""
+        """Start to track a request."""
         return AttemptWatch(self, now)
 
     def note_success(self, now: float) -> None:
-        """Count a whole answer."""
+        """Count a complete answer."""
         self._decay(now)
         self._succeeded += 1.0
 
     def note_failure(self, now: float, weight: float) -> None:
-        """Count a failure."""
+        """Count a failure with a weight."""
         self._decay(now)
         self._failed += weight
         self.last_failed_at = now
 
-    def forgive(self) -> None:
-        """Forget all failures: the back end has shown that it serves again."""
+    def clear_failures(self) -> None:
+        """Clear the failure count after the back end has served a request again."""
         self._failed = 0.0
 
-    def note_latency(self, latency_s: float, now: float) -> None:
-        """Take a time to the first part of an answer into the typical latency."""
+    def record_latency(self, latency_s: float, now: float) -> None:
+        """Add a time to the first part of an answer to the moving average."""
         if self.latency_s(now) is None:
             self._latency_s = latency_s
         self._latency_s += LATENCY_WEIGHT * (latency_s - self._latency_s)
         self._measured_at = now
 
     def latency_s(self, now: float) -> float | None:
-        """Return the typical time to the first part of an answer, if it is known."""
-        is_recent = now - self._measured_at <= LATENCY_MEMORY_S
+        """Return the average time to the first part of an answer; ``None`` if unknown."""
+        is_recent = now - self._measured_at <= LATENCY_EXPIRY_S
         return self._latency_s if is_recent else None
 
     def is_failing(self, now: float) -> bool:
-        """Whether too many of its requests failed lately."""
+        """Whether too many of its requests failed recently."""
         self._decay(now)
         all_ended = self._failed + self._succeeded
-        return self._failed >= FEWEST_FAILURES and self._failed > LARGEST_FAILURE_SHARE * all_ended
+        return self._failed >= MIN_FAILURES and self._failed > MAX_FAILURE_SHARE * all_ended
 
     def is_stalled(self, now: float, stall_limit_s: float) -> bool:
         """Whether a request there has made no progress for too long."""
         return any(now - watch.last_progress_at > stall_limit_s for watch in self.watches)
 
     def longest_wait_s(self, now: float) -> float:
-        """Return for how long a request there has waited for the first part of its answer."""
+        """Return the maximum time that a request has waited for the first part of its answer."""
         waiting = [now - watch.started_at for watch in self.watches if not watch.has_answered]
         return max(waiting, default=0.0)
 
     def is_slow(self, now: float, typical_s: float) -> bool:
-        """Whether it answers much later than others do."""
+        """Whether its latency is far above the typical one."""
         latency_s = self.latency_s(now)
         if latency_s is None:
             return False
@@ -170,23 +161,26 @@
 
 
 def typical_latency_s(backends: Sequence[BackendHealth], now: float) -> float:
-    """Return the latency that half of the back ends stay below; 0 if none is known."""
+    """Return the median latency of the back ends, in seconds; 0 if none is known."""
     known = [latency for health in backends if (latency := health.latency_s(now)) is not None]
     return median(known) if known else 0.0
 
 
 def stall_limit_s(typical_s: float) -> float:
-    """Return how long a request may rest before it counts as stalled."""
-    return max(SHORTEST_STALL_S, STALL_FACTOR * typical_s)
+    """Return the time without progress, in seconds, after which a request is stalled."""
+    return max(MIN_STALL_S, STALL_FACTOR * typical_s)
 
 
 def congestion_level(health: BackendHealth, tolerated_s: float, now: float) -> int:
-    """Return how much longer than is tolerated requests wait there; 0 for no longer."""
-    return min(HIGHEST_CONGESTION, int(health.longest_wait_s(now) / tolerated_s))
+    """Return the wait there in multiples of the tolerated one, from 0 to the maximum level."""
+    return min(MAX_CONGESTION_LEVEL, int(health.longest_wait_s(now) / tolerated_s))
 
 
 def find_outliers(backends: Sequence[BackendHealth], typical_s: float, now: float) -> set[int]:
-    """Return the indexes of back ends that do worse than most of their service."""
+    """Return the indexes of the outliers: back ends that fail, stall or are slow.
+
+    Returns an empty set if more than ``MAX_OUTLIER_SHARE`` of the back ends qualify.
+    """
     limit_s = stall_limit_s(typical_s)
     outliers = {
         index
@@ -195,4 +189,4 @@
         or health.is_stalled(now, limit_s)
         or health.is_slow(now, typical_s)
     }
-    return outliers if len(outliers) <= LARGEST_OUTLIER_SHARE * len(backends) else set()
+    return outliers if len(outliers) <= MAX_OUTLIER_SHARE * len(backends) else set()
--- a/src/passlane/decisions/backends/watched_engines.py
+++ b/src/passlane/decisions/backends/watched_engines.py
@@ -1,8 +1,8 @@
-"""Which engines a node watches: a bounded subset, by rendezvous hashing.
+"""Selects the engines that a node watches: a bounded subset, by rendezvous hashing.
 
-Watching all engines would cost a node more than its allowance for control at the size
-that is designed for. Each (node, model, engine) has a hash; the highest win. A change of
-one engine so changes the subsets only where that engine was or will be among them.
+The bound limits the control overhead of a node in a large fleet. For each model, a node watches
+the engines with the maximum hash of (node, model, engine), so that adding or removing an engine
+only changes the subsets that contain it.
 """
 
 from collections import defaultdict
@@ -14,6 +14,7 @@
 from passlane.identifiers import EngineId
 
 OWN_ZONE_SHARE = 0.5
+"""Share of a model's watched engines that are taken from the node's own zone first."""
 
 
 def watched_engines(
@@ -23,18 +24,17 @@
     per_model: int,
     leaving: frozenset[EngineId] = frozenset(),
 ) -> frozenset[EngineId]:
-    """Return the engines that a node watches in order to place calls on them.
+    """Return the engines that a node watches for placing calls.
 
     Parameters
     ----------
     node_key
-        Distinguishes this node from others, such as its name.
+        Unique key of this node, such as its name.
     per_model
-        Most engines watched for each model. Up to half of them are taken from the
-        node's own zone first, the rest from all zones, so that the loss of a zone
-        leaves some.
+        Maximum number of engines for each model. Up to half of them are taken from the
+        node's own zone first, the rest from all zones, so that some remain if a zone fails.
     leaving
-        Engines that get no new work; others take their places.
+        Engines that get no new calls; others replace them in the subset.
     """
     serving: dict[str, list[EngineId]] = defaultdict(list)
     for engine_id, body in engines.items():
@@ -45,18 +45,18 @@
     for model, candidates in serving.items():
         if len(candidates) > per_model:
             candidates.sort(key=lambda one: _score(node_key, model, one), reverse=True)
-            candidates = _nearby_first(own_zone, engines, candidates, per_model)
+            candidates = _own_zone_first(own_zone, engines, candidates, per_model)
         watched.update(candidates)
     return frozenset(watched)
 
 
-def _nearby_first(
+def _own_zone_first(
     own_zone: str,
     engines: Mapping[EngineId, EngineBody],
     ranked: list[EngineId],
     per_model: int,
 ) -> list[EngineId]:
-    """Return the best of the own zone up to their share, then the best of all zones."""
+    """Return the top engines of the own zone up to their share, then those of all zones."""
     nearby = [engine_id for engine_id in ranked if engines[engine_id].zone == own_zone]
     chosen = nearby[: int(per_model * OWN_ZONE_SHARE)]
     others = [engine_id for engine_id in ranked if engine_id not in chosen]
--- a/tests/decisions/backends/test_watched_engines.py
+++ b/tests/decisions/backends/test_watched_engines.py
@@ -1,4 +1,4 @@
-"""Which engines a node watches."""
+"""Selection of the engines that a node watches."""
 
 import unittest
 
@@ -34,7 +34,7 @@
         self.assertEqual(1, len(after - before))
 
     def test_leaving_engines_are_replaced_in_the_subset(self):
-        """Else a node whose whole subset leaves could place nothing, though others serve."""
+        """Guards against a node that cannot place calls because its whole subset is leaving."""
         engines = self.engines(300)
         leaving = watched_engines("n1", "z1", engines, 8)
         after = watched_engines("n1", "z1", engines, 8, leaving)
