--- a/src/passlane/decisions/placement/__init__.py
+++ b/src/passlane/decisions/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Which back end a turn, a request or a call goes to."""
+"""Placement: selects the back end for a turn, a request or a call."""
--- a/src/passlane/decisions/placement/call_placement.py
+++ b/src/passlane/decisions/placement/call_placement.py
@@ -1,4 +1,4 @@
-"""Where a call goes: estimated time at each engine, from prefix hit, load and zone."""
+"""Estimates the cost of a call at each engine, from cached prefix, load and zone."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -11,16 +11,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """What running a call at an engine is estimated to cost, in seconds.
+    """Estimated cost of a call at an engine, in seconds.
 
     Attributes
     ----------
     cost_s
-        The figure that is compared: own time and what others lose by it.
+        Cost by which engines are compared: time of the call plus the delay of other calls.
     service_s
-        Time from sending until the whole answer, at the engine.
+        Time from sending the call until its answer is complete.
     cached_tokens
-        Tokens of the prompt thought to be in the engine's cache.
+        Prompt tokens that are estimated to be in the engine's cache.
     can_start
         Whether the engine has a free slot now.
     """
@@ -33,7 +33,7 @@
 
 
 def is_eligible(engine: EngineView, call: CallArrived, now: float) -> bool:
-    """Return whether the call may be sent to the engine at all."""
+    """Return whether the call may be sent to the engine."""
     return (
         not engine.leaving
         and engine.engine_id not in call.excluded
@@ -52,7 +52,7 @@
     random
         Seeded source for breaking ties.
     config
-        Weights and assumptions.
+        Weights of the costs and assumed engine parameters.
     """
 
     def __init__(self, own_zone: str, random: Random, config: SchedulerConfig) -> None:
@@ -63,21 +63,21 @@
 
     @property
     def mean_generated_tokens(self) -> float:
-        """Length of answers as learned so far, in tokens."""
+        """Learned mean length of answers, in tokens."""
         return self._mean_generated
 
     def learn_generated(self, tokens: int) -> None:
-        """Learn the usual length of an answer."""
+        """Update the mean length of answers from one answer."""
         self._mean_generated += 0.05 * (tokens - self._mean_generated)
 
     def expected_generated(self, call: CallArrived) -> float:
-        """Return how long the call's answer is expected to be, in tokens."""
+        """Return the expected length of the call's answer, in tokens."""
         return max(1.0, min(self._mean_generated, call.max_tokens))
 
     def estimates(
         self, call: CallArrived, engines: Iterable[EngineView], now: float
     ) -> list[Estimate]:
-        """Return the estimates for the eligible engines, the cheapest first."""
+        """Return the estimates for the eligible engines, lowest cost first."""
         found = [
             self.estimate(call, engine, now) for engine in engines if is_eligible(engine, call, now)
         ]
@@ -85,7 +85,7 @@
         return found
 
     def estimate(self, call: CallArrived, engine: EngineView, now: float) -> Estimate:
-        """Return what the call would cost at this engine."""
+        """Return the estimated cost of the call at an engine."""
         weights = self._config.placement
         occupancy = engine.occupancy(now)
         cached = min(engine.cache.tokens_of(call.program_id), call.prompt_tokens)
@@ -110,12 +110,12 @@
         )
 
     def new_tokens(self, call: CallArrived, estimate: Estimate) -> float:
-        """Return what the call would add to the engine's cache, in tokens."""
+        """Return the number of tokens that the call would add to the engine's cache."""
         missing = call.prompt_tokens - estimate.cached_tokens
         return missing + self.expected_generated(call)
 
     def _wait_s(self, engine: EngineView, occupancy: int, step_s: float) -> float:
-        """Return the time until a batch slot is free, from the mean length of answers."""
+        """Return the estimated time until a batch slot is free, from the mean answer length."""
         ahead = occupancy + 1 - engine.body.max_batch
         if ahead <= 0:
             return 0.0
@@ -123,7 +123,7 @@
         return ahead * slot_s
 
     def _eviction_s(self, call: CallArrived, engine: EngineView, missing: int, now: float) -> float:
-        """Return the time to compute again what this call would push out of the cache."""
+        """Return the weighted time to recompute the tokens that this call would evict."""
         added = missing + self.expected_generated(call)
         evicted = max(0.0, added - engine.free_cache_tokens())
         return self._config.placement.eviction_weight * engine.prefill_s(int(evicted), now)
--- a/src/passlane/decisions/placement/rendezvous.py
+++ b/src/passlane/decisions/placement/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every node orders the back ends for a key in the same way."""
+"""Rendezvous hashing: all nodes compute the same order of back ends for a key."""
 
 import xxhash
 
@@ -6,5 +6,5 @@
 
 
 def rendezvous_digest(key: str, record: BackendRecord) -> int:
-    """Return the 64-bit score of a back end for a key; the highest one is preferred."""
+    """Return the 64-bit score of a back end for a key; the maximum is preferred."""
     return xxhash.xxh3_64_intdigest(f"{key}/{record.instance_id}".encode())
--- a/src/passlane/decisions/placement/turn_placement.py
+++ b/src/passlane/decisions/placement/turn_placement.py
@@ -15,7 +15,7 @@
 
 from passlane.decisions.backends.engine_slots import EngineSlots
 from passlane.decisions.inputs.turn_events import TurnAsked
-from passlane.decisions.placement.shared_parts import SMALLEST_LARGE_TOKENS
+from passlane.decisions.placement.shared_parts import MIN_LARGE_PART_TOKENS
 from passlane.messages.placement import TurnDemand, TurnOutcome
 
 READ_TOKENS_PER_S = 70_000.0
@@ -167,7 +167,7 @@
     """Whether a turn may wait in an engine whose slots are taken, since it holds its prompt."""
     if running >= engine.slots + RETURN_SLOTS:
         return False
-    has_large_part = demand.shared_tokens >= SMALLEST_LARGE_TOKENS
+    has_large_part = demand.shared_tokens >= MIN_LARGE_PART_TOKENS
     return returns or (has_large_part and engine.has_shared_part(demand))
 
 
--- a/src/passlane/decisions/placement/zone_weights.py
+++ b/src/passlane/decisions/placement/zone_weights.py
@@ -1,4 +1,4 @@
-"""How strongly a node prefers back ends of its own zone, without overloading them."""
+"""Weights by which a node prefers back ends of its own zone without overloading them."""
 
 import math
 from collections.abc import Iterable
@@ -8,16 +8,16 @@
 from passlane.decisions.placement.rendezvous import rendezvous_digest
 from passlane.messages.listing import BackendRecord
 
-SMALLEST_WEIGHT = 1e-6
-"""Back ends that no share falls to are still used when there is no other."""
+MIN_WEIGHT = 1e-6
+"""Minimum weight, so that back ends without a share are used if there is no other."""
 _HASH_RANGE = float(1 << 64)
 
 
 class ZoneWeights(msgspec.Struct, frozen=True):
-    """Weights of back ends in the own zone and in others.
+    """Weights of a back end in the own zone and in another zone.
 
-    Each zone sends about the same; a zone's own back ends take what their part of all
-    back ends can carry of that, and the rest is spread over the other zones.
+    Assumes that all zones send the same load. The back ends of the own zone get as much of its
+    load as their share of all back ends can serve; the rest is spread over the other zones.
     """
 
     own_zone: str
@@ -39,11 +39,10 @@
         )
 
     def score(self, key: str, record: BackendRecord) -> float:
-        """Return the weighted rendezvous score of a back end; the highest one is preferred.
+        """Return the weighted rendezvous score of a back end; the maximum is preferred.
 
-        For a key that is drawn at random, the chance to score highest is in proportion to
-        the weight.
+        For a random key, the probability of the maximum score is proportional to the weight.
         """
         weight = self.own if record.zone == self.own_zone else self.other
         uniform = (rendezvous_digest(key, record) + 0.5) / _HASH_RANGE
-        return -max(weight, SMALLEST_WEIGHT) / math.log(uniform)
+        return -max(weight, MIN_WEIGHT) / math.log(uniform)
--- a/tests/decisions/placement/test_request_placement.py
+++ b/tests/decisions/placement/test_request_placement.py
@@ -12,7 +12,7 @@
     note_success,
 )
 from passlane.decisions.placement.shared_parts import (
-    SMALLEST_LARGE_TOKENS,
+    MIN_LARGE_PART_TOKENS,
     engines_of_part,
     large_shared_part,
 )
@@ -74,7 +74,7 @@
             self.assertIs(choose(candidates, key, (), 0.0), load)
 
     def test_small_parts_and_parts_of_one_request_alone_are_held_nowhere(self):
-        large, small = PromptPart("a", SMALLEST_LARGE_TOKENS), PromptPart("b", 512)
+        large, small = PromptPart("a", MIN_LARGE_PART_TOKENS), PromptPart("b", 512)
         self.assertEqual(large_shared_part([large, small]), "a")
         for parts in ([small, large], [large], []):
             self.assertEqual(large_shared_part(parts), "")
--- a/tests/decisions/placement/test_turn_placement.py
+++ b/tests/decisions/placement/test_turn_placement.py
@@ -5,7 +5,7 @@
 from passlane.decisions.backends.engine_slots import EngineSlots, PlacedTurn
 from passlane.decisions.backends.speed import FleetSpeed
 from passlane.decisions.inputs.turn_events import TurnAsked
-from passlane.decisions.placement.shared_parts import SMALLEST_LARGE_TOKENS
+from passlane.decisions.placement.shared_parts import MIN_LARGE_PART_TOKENS
 from passlane.decisions.placement.turn_placement import (
     DURATION_AT_FIRST_S,
     OTHER_ZONE_S,
@@ -89,11 +89,11 @@
         full = engine("e1", running=SLOTS)
         self.assertEqual(self.choice(asked(), full), "")
         self.assertEqual(self.choice(asked(used_last="e1"), full), "e1")
-        part = asked(shared_part="part", shared_tokens=SMALLEST_LARGE_TOKENS)
+        part = asked(shared_part="part", shared_tokens=MIN_LARGE_PART_TOKENS)
         self.assertEqual(self.choice(part, full), "")
         full.note_part(part.demand)
         self.assertEqual(self.choice(part, full), "e1")
-        small = asked(shared_part="part", shared_tokens=SMALLEST_LARGE_TOKENS - 1)
+        small = asked(shared_part="part", shared_tokens=MIN_LARGE_PART_TOKENS - 1)
         self.assertEqual(self.choice(small, full), "")
 
     def test_beyond_the_slots_so_many_and_no_more(self):
--- a/tests/decisions/placement/test_zone_weights.py
+++ b/tests/decisions/placement/test_zone_weights.py
@@ -1,4 +1,4 @@
-"""Preference for back ends of the own zone, in proportion to what they can carry."""
+"""Preference for back ends of the own zone, in proportion to their capacity."""
 
 import unittest
 from collections import Counter
@@ -30,7 +30,7 @@
         self.assertEqual(set(zones), {"a"})
         self.assertLess(max(instances.values()), 1.2 * min(instances.values()))
 
-    def test_a_zone_with_few_back_ends_keeps_what_they_can_carry(self):
+    def test_a_zone_with_few_back_ends_keeps_what_they_can_serve(self):
         zones, _ = chosen_zones(records(a=2, b=2, c=1, d=1), "c")
         self.assertAlmostEqual(zones["c"] / 4_000, 4 / 6, delta=0.05)
 
@@ -39,7 +39,7 @@
         self.assertEqual(len(instances), 4)
         self.assertLess(max(instances.values()), 1.3 * min(instances.values()))
 
-    def test_equal_zones_load_all_back_ends_alike(self):
+    def test_equal_zones_load_all_back_ends_equally(self):
         everyone = records(a=3, b=2, c=1)
         total = Counter()
         for zone in "abc":
@@ -47,7 +47,7 @@
         mean = sum(total.values()) / len(everyone)
         self.assertLess(max(total.values()), 1.35 * mean)
 
-    def test_with_nothing_left_in_the_own_zone_another_is_found(self):
+    def test_a_back_end_without_a_share_can_still_be_chosen(self):
         far = records(b=1)
         weights = ZoneWeights.of(records(a=2, b=1), "a")
         self.assertGreater(weights.score("program", far[0]), 0.0)
