--- a/src/passlane/decisions/placement/plain_placement.py
+++ b/src/passlane/decisions/placement/plain_placement.py
@@ -1,13 +1,9 @@
-"""Chooses the plain back end for a call: sound, with room, soonest expected end.
+"""Selects the back end of a call to a service without a model, or lets the call wait.
 
-Answers "why did this call go there, or wait?" for services without a model, by the order of
-preference of ``PlainRank``; the log line ``plain_backend_chosen`` shows what decided. Owns what
-this node's calls have shown of each back end. Relies on ``decisions.backends.answer_times`` and on
-the judgement of ``decisions.backends.health``. Source: ``docs/design/plain-back-ends.md``.
-
-Load that this answers: 30 places of which a node sees its own one or two; a back end that
-refused a moment ago is most likely full still, and one with 6 places and calls of 30 ms has
-a place free again 5 ms later.
+Back ends are compared by ``PlainRank``: health, recent refusals, speed, subset, and expected time.
+The log line ``plain_backend_chosen`` shows the decisive values. Owns the recent refusals, breaks
+and speed of each back end as seen by this node's calls. Relies on
+``decisions.backends.answer_times`` and ``decisions.backends.health``.
 """
 
 import math
@@ -22,46 +18,43 @@
 from passlane.decisions.placement.backend_subset import SUBSET_SIZE, subset_order
 from passlane.decisions.placement.request_placement import NodePlace
 
-LIKELY_FULL = 0.5
-"""A call is not sent to a back end that refuses it with a higher chance. Not measured; chosen."""
-SMALLEST_CHANCE = 0.01
-"""A smaller chance of a refusal must not decide between two back ends. Not measured; chosen."""
-SLOW = 2.0
-"""From this multiple of the usual time on, any other back end goes first; a smaller one is the
-scatter of single calls. Measured: "Speed in small steps" of the design page."""
-CONNECT_S = 0.004
-"""Seconds. To open a connection takes a way to another zone and back, and a moment at the back
-end. Not measured; chosen."""
-REFUSAL_S = 0.004
-"""Seconds. A refusal takes a way to another zone and back. Not measured; chosen."""
-UNSOUND_S = 4.0
-"""Seconds. For so long after it broke off, a back end gets no call that may run only once: a call
-that is lost there is lost for good, and a program with it. Measured: "A longer memory of
-break-offs" of the design page."""
-LAST_CHANCE_CALL_TIMES = 4.0
-"""A call that has less than so many typical times left goes to an unsound back end rather
-than to none. Not measured; chosen."""
+MAX_REFUSAL_CHANCE = 0.5
+"""Estimated refusal probability above which a back end is likely full, so that calls wait."""
+MIN_REFUSAL_CHANCE = 0.01
+"""Smaller refusal probabilities count as 0, so that they do not affect the choice."""
+MIN_SLOW_RATIO = 2.0
+"""Ratio to the typical response time from which a back end is slow; smaller ones are noise."""
+CONNECT_COST_S = 0.004
+"""Seconds to open a connection, including a round trip to another zone."""
+REFUSAL_COST_S = 0.004
+"""Seconds that a refusal takes: a round trip to another zone."""
+AVOID_AFTER_BREAK_S = 4.0
+"""Seconds after a break during which a back end gets no call that may run only once, since such a
+call cannot be retried."""
+URGENT_CALL_TIMES = 4.0
+"""Remaining time, in multiples of the typical response time, up to which a call that may run only
+once is sent to an unhealthy back end instead of waiting for a healthy one."""
 
 
 class PlainRank(NamedTuple):
-    """Order of preference; the first difference decides, and lower is better.
+    """Rank of a back end; fields are compared in order, and lower values are preferred.
 
     Attributes
     ----------
     is_unsound
-        A call may well be lost there: it broke off, fails or is silent.
+        The back end is unhealthy: it recently broke off, fails or is stalled.
     is_likely_full
-        It refused a moment ago.
+        It recently refused a call.
     is_slow
-        It takes twice the usual time, or is an outlier.
+        It takes at least twice the typical time, or is an outlier.
     is_beyond_subset
-        It is not among those that this node prefers.
+        It is not in the preferred subset of this node.
     expected_s
-        Seconds until the answer is expected.
+        Expected time until the answer, in seconds.
     in_flight
-        Requests of this node under way there.
-    place
-        Its place in this node's own order.
+        Number of requests of this node in flight there.
+    position
+        Its position in this node's order of preference.
     """
 
     is_unsound: bool
@@ -70,18 +63,18 @@
     is_beyond_subset: bool
     expected_s: float
     in_flight: int
-    place: int
+    position: int
 
 
 class PlainCall(msgspec.Struct, frozen=True):
-    """What matters of a call for the choice of its back end.
+    """Properties of a call that determine the choice of its back end.
 
     Attributes
     ----------
     runs_once
-        Whether it is lost for good if a back end breaks off after the send.
+        Whether it must not be retried if a back end breaks off after it was sent.
     left_s
-        Time until it is given up.
+        Seconds until it times out.
     """
 
     route: str
@@ -90,18 +83,18 @@
 
 
 class PlainView(msgspec.Struct, frozen=True):
-    """The back ends of a service at one moment.
+    """Snapshot of the back ends of a service.
 
     Attributes
     ----------
     loads
-        Those that take new requests; one that is leaving is none of them.
+        Back ends that accept new requests, without draining ones.
     now
         Local time.
     connected
-        Instances to which a connection rests unused.
+        Incarnations to which this node has an idle connection.
     outliers
-        Instances that do worse than most.
+        Incarnations that are outliers.
     """
 
     loads: Sequence[BackendLoad]
@@ -111,14 +104,15 @@
 
 
 class PlainChoice(msgspec.Struct, frozen=True):
-    """A back end that was chosen, and what decided it.
+    """A back end with its rank and the values that determined it.
 
     Attributes
     ----------
     refusal_age_s, refusal_chance
-        Seconds since its last refusal (``None`` without one) and what follows from it.
+        Seconds since its last refusal (``None`` without one), and the estimated probability that
+        it refuses a call now.
     slowness
-        Its present time as a multiple of the usual.
+        Ratio of its recent response times to the typical ones.
     """
 
     load: BackendLoad
@@ -131,7 +125,7 @@
 
 
 class PlainBackendState(msgspec.Struct):
-    """What this node's calls have shown of one plain back end lately; times are local."""
+    """Recent results of this node's calls at one plain back end; times are local."""
 
     speed: RecentSpeed = msgspec.field(default_factory=RecentSpeed)
     refused_at: float = -math.inf
@@ -139,20 +133,20 @@
     broken_at: float = -math.inf
 
     def refusal_chance(self, free_every_s: float, slots: int, now: float) -> float:
-        """Return the chance that it is still full.
+        """Return the probability that the back end is still full.
 
-        The memory of a refusal fades within the time in which a place gets free; after
-        several refusals in a row, within the time in which all places do.
+        It decays exponentially with the time in which one slot becomes free, multiplied by the
+        number of consecutive refusals, up to the number of slots.
         """
         if not self.refusals_in_row:
             return 0.0
-        fading_s = free_every_s * min(self.refusals_in_row, slots)
-        chance = math.exp(-(now - self.refused_at) / fading_s)
-        return chance if chance >= SMALLEST_CHANCE else 0.0
+        decay_s = free_every_s * min(self.refusals_in_row, slots)
+        chance = math.exp(-(now - self.refused_at) / decay_s)
+        return chance if chance >= MIN_REFUSAL_CHANCE else 0.0
 
 
 class PlainBackends:
-    """What a node knows of the plain back ends of one service, and its choice among them."""
+    """State of the plain back ends of one service, and the selection among them."""
 
     def __init__(self, node: NodePlace, times: AnswerTimes, subset_size: int = SUBSET_SIZE) -> None:
         self.times = times
@@ -171,56 +165,56 @@
         offered: str = "",
         must_try: bool = False,
     ) -> PlainChoice | None:
-        """Choose the back end for the next try; ``None`` if the call should wait for room.
+        """Choose the back end for the next attempt; ``None`` if the call should wait for capacity.
 
         Parameters
         ----------
         tried
-            Instances that refused or failed the call in this round.
+            Incarnations that refused or failed the call in this round.
         offered
-            The instance where a place of this node's own got free just now.
+            Incarnation at which a call of this node has just ended; chosen unless unhealthy.
         must_try
-            Whether the call has waited and has leave to try, so that it goes to the
-            likeliest back end even if that is likely full.
+            Whether the call has waited and is permitted to try, so that it is sent to the best
+            back end even if that is likely full.
         """
-        self._take_over(view.loads)
-        choices = [self._judge(load, call, view) for load in view.loads]
-        fresh = [each for each in choices if each.load.record.incarnation not in tried]
-        if self._must_be_sound(call) and not all(each.rank.is_unsound for each in choices):
-            fresh = [each for each in fresh if not each.rank.is_unsound]
-        at_offered = _sound_choice_at(offered, fresh)
-        if at_offered is not None:
-            return at_offered
-        best = min(fresh, key=_rank_of, default=None)
+        self._update_order(view.loads)
+        choices = [self._evaluate(load, call, view) for load in view.loads]
+        untried = [each for each in choices if each.load.record.incarnation not in tried]
+        if self._requires_healthy(call) and not all(each.rank.is_unsound for each in choices):
+            untried = [each for each in untried if not each.rank.is_unsound]
+        offered_choice = _healthy_choice_at(offered, untried)
+        if offered_choice is not None:
+            return offered_choice
+        best = min(untried, key=_rank_of, default=None)
         if best is None or must_try or not best.rank.is_likely_full:
             return best
         return None
 
     def note_refused(self, instance_id: str, now: float) -> None:
-        """Note that a back end had no room."""
+        """Record that a back end refused a call because it was full."""
         state = self._state(instance_id)
         state.refused_at = now
         state.refusals_in_row += 1
 
     def note_answered(self, instance_id: str, ratio: float, now: float) -> None:
-        """Note a whole answer that took this multiple of the usual time."""
+        """Record a complete answer and the ratio of its time to the typical one."""
         state = self._state(instance_id)
         state.refusals_in_row = 0
         state.speed.note(ratio, now)
 
     def note_broken(self, instance_id: str, now: float) -> None:
-        """Note that a back end broke off, went silent or could not be reached."""
+        """Record that a back end broke off, stalled or could not be reached."""
         self._state(instance_id).broken_at = now
 
-    def _must_be_sound(self, call: PlainCall) -> bool:
-        """Whether a call may wait for a sound back end rather than risk to be lost."""
-        return call.runs_once and call.left_s > LAST_CHANCE_CALL_TIMES * self.times.typical_s
+    def _requires_healthy(self, call: PlainCall) -> bool:
+        """Whether a call has to wait for a healthy back end, since it may run only once."""
+        return call.runs_once and call.left_s > URGENT_CALL_TIMES * self.times.typical_s
 
     def _state(self, instance_id: str) -> PlainBackendState:
         return self._states.setdefault(instance_id, PlainBackendState())
 
-    def _take_over(self, loads: Sequence[BackendLoad]) -> None:
-        """Order the back ends anew and forget those that are gone, if the list has changed."""
+    def _update_order(self, loads: Sequence[BackendLoad]) -> None:
+        """Update the order and drop the state of removed back ends if the list has changed."""
         listed = frozenset(load.record.incarnation for load in loads)
         if listed == self._listed:
             return
@@ -228,8 +222,8 @@
         self._order = subset_order([load.record for load in loads], self._node)
         self._states = {key: state for key, state in self._states.items() if key in listed}
 
-    def _judge(self, load: BackendLoad, call: PlainCall, view: PlainView) -> PlainChoice:
-        """Return what choosing this back end would go by."""
+    def _evaluate(self, load: BackendLoad, call: PlainCall, view: PlainView) -> PlainChoice:
+        """Return a back end as a choice, with its rank."""
         state = self._state(load.record.incarnation)
         slots = max(1, load.record.slots)
         chance = state.refusal_chance(self.times.typical_s / slots, slots, view.now)
@@ -254,32 +248,32 @@
         slowness: float,
     ) -> PlainRank:
         instance_id = load.record.incarnation
-        is_slow = slowness >= SLOW
+        is_slow = slowness >= MIN_SLOW_RATIO
         answer_s = self.times.of_route(call.route) * (slowness if is_slow else 1.0)
-        connect_s = 0.0 if instance_id in view.connected else CONNECT_S
-        place = self._order.index(instance_id)
+        connect_s = 0.0 if instance_id in view.connected else CONNECT_COST_S
+        position = self._order.index(instance_id)
         return PlainRank(
-            is_unsound=self._is_unsound(load, call, view.now),
-            is_likely_full=refusal_chance > LIKELY_FULL,
+            is_unsound=self._is_unhealthy(load, call, view.now),
+            is_likely_full=refusal_chance > MAX_REFUSAL_CHANCE,
             is_slow=is_slow or instance_id in view.outliers,
-            is_beyond_subset=place >= self._subset_size,
-            expected_s=answer_s + connect_s + refusal_chance * REFUSAL_S,
+            is_beyond_subset=position >= self._subset_size,
+            expected_s=answer_s + connect_s + refusal_chance * REFUSAL_COST_S,
             in_flight=load.in_flight,
-            place=place,
+            position=position,
         )
 
-    def _is_unsound(self, load: BackendLoad, call: PlainCall, now: float) -> bool:
-        """Whether a call may well be lost there; a longer memory for what may run only once."""
+    def _is_unhealthy(self, load: BackendLoad, call: PlainCall, now: float) -> bool:
+        """Whether a call there is likely to fail; stricter for calls that may run only once."""
         if load.avoid_until > now or load.health.is_failing(now):
             return True
         if load.health.is_stalled(now, stall_limit_s(self.times.typical_s)):
             return True
         broken_at = self._state(load.record.incarnation).broken_at
-        return call.runs_once and now - broken_at < UNSOUND_S
+        return call.runs_once and now - broken_at < AVOID_AFTER_BREAK_S
 
 
-def _sound_choice_at(instance_id: str, choices: Sequence[PlainChoice]) -> PlainChoice | None:
-    """Return the choice of the instance whose place was offered, unless it is unsound."""
+def _healthy_choice_at(instance_id: str, choices: Sequence[PlainChoice]) -> PlainChoice | None:
+    """Return the choice with this incarnation, unless it is unhealthy or missing."""
     for choice in choices:
         if choice.load.record.incarnation == instance_id and not choice.rank.is_unsound:
             return choice
--- a/tests/decisions/placement/test_plain_placement.py
+++ b/tests/decisions/placement/test_plain_placement.py
@@ -1,4 +1,4 @@
-"""Which plain back end a call goes to."""
+"""Selection of the plain back end for a call."""
 
 import unittest
 from collections import Counter
@@ -7,7 +7,7 @@
 from passlane.decisions.backends.registry import BackendLoad
 from passlane.decisions.placement.backend_subset import SUBSET_SIZE, subset_order
 from passlane.decisions.placement.plain_placement import (
-    UNSOUND_S,
+    AVOID_AFTER_BREAK_S,
     PlainBackends,
     PlainCall,
     PlainView,
@@ -37,80 +37,80 @@
         return choice.load.record.instance_id if choice is not None else None
 
 
-class RoomTest(PlainCase):
-    def test_a_back_end_that_refused_just_now_is_passed_over_and_soon_asked_again(self):
+class RefusalTest(PlainCase):
+    def test_a_back_end_that_just_refused_is_skipped_for_a_short_time(self):
         first = self.choose()
         self.plain.note_refused(first, 0.0)
         self.assertNotEqual(self.choose(now=0.001), first)
         self.assertEqual(self.choose(now=0.1), first)
 
-    def test_after_several_refusals_in_a_row_it_takes_longer(self):
+    def test_it_is_skipped_longer_after_several_consecutive_refusals(self):
         first = self.choose()
         for _ in range(4):
             self.plain.note_refused(first, 0.0)
         self.assertNotEqual(self.choose(now=0.012), first)
 
-    def test_an_answer_ends_the_memory_of_refusals(self):
+    def test_an_answer_clears_the_refusals(self):
         first = self.choose()
         for _ in range(4):
             self.plain.note_refused(first, 0.0)
         self.plain.note_answered(first, 1.0, 0.001)
         self.assertEqual(self.choose(now=0.002), first)
 
-    def test_when_all_are_likely_full_the_call_waits_unless_its_turn_has_come(self):
+    def test_the_call_waits_if_all_are_likely_full_unless_it_must_try(self):
         for load in self.loads:
             self.plain.note_refused(load.record.instance_id, 0.0)
         self.assertIsNone(self.choose(now=0.001))
         self.assertIsNotNone(self.choose(now=0.001, must_try=True))
 
-    def test_in_its_turn_it_goes_where_the_last_refusal_is_the_oldest(self):
+    def test_a_call_that_must_try_is_sent_to_the_one_with_the_oldest_refusal(self):
         for number, load in enumerate(self.loads):
             self.plain.note_refused(load.record.instance_id, 0.001 * number)
         self.assertEqual(self.choose(now=0.005, must_try=True), "i-0")
 
-    def test_a_place_that_got_free_is_taken_at_once(self):
+    def test_an_offered_back_end_is_chosen_at_once(self):
         self.plain.note_refused("i-3", 0.0)
         self.assertEqual(self.choose(now=0.001, offered="i-3", must_try=True), "i-3")
 
-    def test_a_connection_that_rests_unused_decides_among_those_with_room(self):
+    def test_an_idle_connection_decides_among_those_with_capacity(self):
         others = {load.record.instance_id for load in self.loads} - {self.choose()}
         chosen = min(others)
         self.assertEqual(self.choose(connected={chosen}), chosen)
 
-    def test_one_that_is_leaving_or_gone_is_never_chosen(self):
+    def test_a_draining_or_removed_back_end_is_never_chosen(self):
         first = self.choose()
         self.loads = [load for load in self.loads if load.record.instance_id != first]
         self.assertNotIn(first, {self.choose(now=0.1 * n, offered=first) for n in range(20)})
 
 
 class SpeedTest(PlainCase):
-    def test_a_slow_back_end_comes_after_the_others_until_its_spell_is_over(self):
+    def test_a_slow_back_end_is_avoided_until_its_slowness_has_decayed(self):
         first = self.choose()
         for _ in range(5):
             self.plain.note_answered(first, 2.5, 0.0)
         self.assertNotEqual(self.choose(now=0.01), first)
         self.assertEqual(self.choose(now=2.0), first)
 
-    def test_one_that_does_worse_than_most_comes_after_the_others(self):
+    def test_an_outlier_is_used_only_after_the_others(self):
         first = self.choose()
         self.assertNotEqual(self.choose(outliers={first}), first)
         others = [load.record.instance_id for load in self.loads]
         others.remove(first)
         self.assertEqual(self.choose(outliers={first}, tried=others), first)
 
-    def test_the_scatter_of_single_answers_changes_nothing(self):
+    def test_a_single_slow_answer_changes_nothing(self):
         first = self.choose()
         self.plain.note_answered(first, 3.0, 0.0)
         self.assertEqual(self.choose(now=0.01), first)
 
-    def test_slowness_fades_to_the_usual(self):
+    def test_slowness_decays_to_1(self):
         speed = RecentSpeed()
         for _ in range(20):
             speed.note(2.5, 0.0)
         self.assertAlmostEqual(speed.slowness(0.0), 2.5, places=1)
         self.assertLess(speed.slowness(2.0), 1.1)
 
-    def test_speed_is_judged_by_what_is_usual_for_the_route(self):
+    def test_speed_is_relative_to_the_typical_time_of_the_route(self):
         times = AnswerTimes()
         for _ in range(100):
             times.note("quick", 0.01)
@@ -125,14 +125,14 @@
         self.assertLessEqual(len(times._routes), 1_000)
 
 
-class SoundnessTest(PlainCase):
-    def test_what_may_run_once_does_not_go_where_something_broke_lately(self):
+class HealthTest(PlainCase):
+    def test_a_call_that_runs_once_avoids_a_back_end_that_recently_broke_off(self):
         first = self.choose(ONCE)
         self.plain.note_broken(first, 0.0)
-        self.assertNotEqual(self.choose(ONCE, now=UNSOUND_S - 0.1), first)
-        self.assertEqual(self.choose(ONCE, now=UNSOUND_S + 0.1), first)
+        self.assertNotEqual(self.choose(ONCE, now=AVOID_AFTER_BREAK_S - 0.1), first)
+        self.assertEqual(self.choose(ONCE, now=AVOID_AFTER_BREAK_S + 0.1), first)
 
-    def test_it_waits_for_a_sound_one_rather_than_go_to_one_that_broke_off(self):
+    def test_it_waits_for_a_healthy_back_end(self):
         self.plain.note_broken("i-0", 0.0)
         for number in range(1, 5):
             self.plain.note_refused(f"i-{number}", 0.5)
@@ -140,26 +140,26 @@
         self.assertNotEqual(self.choose(ONCE, now=0.501, must_try=True), "i-0")
         self.assertNotEqual(self.choose(ONCE, now=0.501, must_try=True, offered="i-0"), "i-0")
 
-    def test_with_little_time_left_an_unsound_one_is_better_than_none(self):
+    def test_an_urgent_call_is_sent_to_an_unhealthy_back_end(self):
         self.plain.note_broken("i-0", 0.0)
         for number in range(1, 5):
             self.plain.note_refused(f"i-{number}", 0.5)
-        hasty = PlainCall("charge", runs_once=True, left_s=0.05)
+        urgent = PlainCall("charge", runs_once=True, left_s=0.05)
         tried = [f"i-{number}" for number in range(1, 5)]
-        self.assertEqual(self.choose(hasty, now=0.501, tried=tried), "i-0")
+        self.assertEqual(self.choose(urgent, now=0.501, tried=tried), "i-0")
 
-    def test_when_none_is_sound_it_still_goes_somewhere(self):
+    def test_a_back_end_is_chosen_even_if_all_are_unhealthy(self):
         for load in self.loads:
             self.plain.note_broken(load.record.instance_id, 0.0)
         self.assertIsNotNone(self.choose(ONCE, now=0.1))
 
-    def test_a_silent_back_end_gets_nothing_that_may_run_once(self):
+    def test_a_stalled_back_end_gets_no_call_that_runs_once(self):
         first = self.choose(ONCE)
         load = next(load for load in self.loads if load.record.instance_id == first)
         load.health.watch(0.0)
         self.assertNotEqual(self.choose(ONCE, now=1.0), first)
 
-    def test_a_failure_is_avoided_by_all_calls_for_a_moment(self):
+    def test_all_calls_avoid_a_back_end_for_a_short_time_after_a_failure(self):
         first = self.choose()
         load = next(load for load in self.loads if load.record.instance_id == first)
         note_failure(load, 0.0)
@@ -181,14 +181,14 @@
             self.assertEqual(len(first), count)
             self.assertLess(max(first.values()), 1.6 * 600 / count)
 
-    def test_when_one_leaves_only_those_that_preferred_it_change(self):
+    def test_a_removal_keeps_the_order_of_the_rest(self):
         records = [load.record for load in loads(30)]
         before, after = self.orders(records), self.orders(records[1:])
         for old, new in zip(before, after, strict=True):
             gone = records[0].instance_id
             self.assertEqual(tuple(each for each in old if each != gone), new)
 
-    def test_those_that_lose_one_spread_over_the_rest(self):
+    def test_nodes_that_lose_a_back_end_spread_over_the_rest(self):
         records = [load.record for load in loads(30)]
         before, after = self.orders(records, 600), self.orders(records[1:], 600)
         gained = Counter()
@@ -197,7 +197,7 @@
         self.assertGreater(len(gained), 25)
         self.assertLess(max(gained.values()), 3 * gained.total() / 29)
 
-    def test_beyond_the_subset_goes_last_but_is_not_given_up(self):
+    def test_back_ends_beyond_the_subset_are_used_last(self):
         plain = PlainBackends(HERE, AnswerTimes(), subset_size=2)
         candidates = loads(5)
         order = subset_order([load.record for load in candidates], HERE)
