--- a/src/passlane/decisions/placement/request_placement.py
+++ b/src/passlane/decisions/placement/request_placement.py
@@ -1,10 +1,9 @@
-"""Chooses the back end for a request: memory of its program first, then load.
+"""Selects the back end of a request: health first, then cached prefix, load and zone.
 
-Answers "why did this request go there?" for model engines, by the order of preference of
-``PlacementRank``; the log line ``backend_chosen`` shows the rank that won. Owns no state: what is
-known of a back end is in ``decisions.backends.registry`` and ``decisions.backends.health``, the
-preference for the own zone in ``decisions.placement.zone_weights``. No node knows what others have
-under way. Source: ``docs/design/relay-placement.md``.
+Back ends are compared by ``PlacementRank``; the log line ``backend_chosen`` shows the rank of the
+selected one. Owns no state: load and health are in ``decisions.backends.registry`` and
+``decisions.backends.health``, the preference for the own zone is in
+``decisions.placement.zone_weights``. A node only sees its own requests, not those of others.
 """
 
 import math
@@ -19,63 +18,56 @@
 from passlane.decisions.placement.zone_weights import ZoneWeights
 from passlane.messages.listing import BackendRecord
 
-FULL_SHARE = 0.5
-"""Share of its slots. A node gives an engine at most this much before it turns to the next.
-Not measured; chosen."""
-PLAIN_FULL_SHARE = 0.33
-"""The same for requests without a program. Measured as part of the preference for the own zone
-only (see the module)."""
+NODE_SLOT_SHARE = 0.5
+"""Share of an engine's slots that one node fills before it prefers the next engine."""
+PLAIN_NODE_SLOT_SHARE = 0.33
+"""Share of a back end's slots that one node fills, for requests without a program."""
 QUEUE_FACTOR = 2.0
-"""Multiple of the usual time to a first part. Measured as part of the rule for queues only (see
-the module)."""
-SHORTEST_QUEUE_S = 0.1
-"""Seconds. A request that waits longer than this, and than the multiple above, shows a queue.
-Measured as part of the rule for queues only (see the module)."""
+"""Multiple of the typical time to the first part of an answer above which a wait is a queue."""
+MIN_QUEUE_S = 0.1
+"""Minimum wait in seconds that counts as a queue."""
 LONG_QUEUE_FACTOR = 4.0
-"""Multiple of the usual time to a first part. Measured as part of the rule for queues only (see
-the module)."""
-SHORTEST_LONG_QUEUE_S = 0.25
-"""Seconds. A queue beyond this, and beyond the multiple above, is worth reading a program's
-history again at another engine. Measured as part of the rule for queues only (see the module)."""
+"""Multiple of the typical time to the first part above which a wait is a long queue."""
+MIN_LONG_QUEUE_S = 0.25
+"""Minimum wait in seconds that counts as a long queue. Beyond it, computing a program's history
+at another engine is faster than waiting."""
 AVOID_S = 0.5
-"""Seconds for which a back end is avoided after a failure; doubles with each failure in a row.
-Not measured; chosen."""
-LONGEST_AVOID_S = 5.0
-"""Seconds; the most that this grows to. Not measured; chosen."""
+"""Seconds for which a back end is avoided after a failure; doubles with each consecutive one."""
+MAX_AVOID_S = 5.0
+"""Maximum time in seconds for which a back end is avoided after failures."""
 
 
 class PlacementRank(NamedTuple):
-    """Order of preference; the first difference decides, and lower is better.
+    """Rank of a back end; fields are compared in order, and lower values are preferred.
 
     Attributes
     ----------
     is_not_assigned
-        It is not the engine at which the request has a place. Whoever gave that sees all nodes.
+        It is not the engine at which the leader, which sees all nodes, assigned a slot.
     is_outlier
-        It does worse than most of its service.
+        It is an outlier of its service.
     is_avoided
-        A connection to it failed lately.
+        A connection to it failed recently.
     long_queue
-        For how many times ``long_queue_s`` a request has waited there.
+        Wait of a request there, in multiples of ``long_queue_s``.
     is_elsewhere
-        It is not the engine that the program used last. That engine holds what the program
-        has read already; to read it again elsewhere takes longer than a short queue.
+        It is not the engine that the program used last. That engine has the program's history
+        cached; computing it elsewhere takes longer than a short queue.
     short_queue
-        For how many times ``short_queue_s`` a request has waited there.
+        Wait of a request there, in multiples of ``short_queue_s``.
     is_without_part
-        It is not to hold the large part that a new program's prompt shares with others.
+        It is not selected to cache the large shared prefix of a new program's prompt.
     fullness
-        Requests of this node there, among engines that hold the part; else how many times
-        over these fill this node's share of it.
+        Number of this node's requests there, among engines selected for the shared prefix;
+        otherwise that number in multiples of this node's share of the slots.
     needs_connection
-        No connection to it rests unused, for requests without a program. To open one takes a
-        way there and back, holds a slot for a moment, and counts against what the back end
-        takes. Not so among engines: nodes that see only their own requests would all fill
-        those that they used last.
+        There is no idle connection to it, for requests without a program. Opening one takes a
+        round trip and uses a slot. Ignored for engines, since each node would fill the engines
+        that it used last.
     negative_score
-        Its weighted rendezvous score, negated: a program gets the same engine at every node
-        of its zone, the own zone is preferred, and for requests without a program each node
-        has an order of its own, so that the nodes of a zone don't all fill the same one first.
+        Negated weighted rendezvous score. A program gets the same engine at every node of a
+        zone, and the own zone is preferred. For requests without a program the order differs
+        between nodes, so that the nodes of a zone do not all fill the same back end first.
     """
 
     is_not_assigned: bool
@@ -91,18 +83,27 @@
 
 
 class NodePlace(msgspec.Struct, frozen=True):
-    """Which node places requests, and where it is."""
+    """Name and zone of the node that places requests."""
 
     name: str
     zone: str
 
 
 class PlacementKey(msgspec.Struct, frozen=True):
-    """What decides where a request goes; ``affinity`` is empty for plain services.
+    """Properties of a request that determine its placement.
 
-    ``used_last`` is the engine that the request's program used last, at whatever node;
-    ``shared_part`` the large part that its prompt shares with others, empty without one;
-    ``assigned`` the engine at which the store group's leader gave it a place, empty without.
+    Attributes
+    ----------
+    affinity
+        Program id, which is the key for the rendezvous order; empty for plain services.
+    node
+        Node that places the request.
+    used_last
+        Engine that the program used last, at any node; empty without one.
+    shared_part
+        Id of the large prefix that the prompt shares with others; empty without one.
+    assigned
+        Engine at which the store group's leader assigned a slot; empty without one.
     """
 
     affinity: str
@@ -113,21 +114,21 @@
 
     @property
     def is_plain(self) -> bool:
-        """Whether the request goes to a plain back end, which holds nothing of a program."""
+        """Whether the request is for a plain back end, which caches nothing of a program."""
         return not self.affinity
 
 
 class PlacementChoice(msgspec.Struct, frozen=True):
-    """A back end that was chosen, and what decided it.
+    """The selected back end and the values that determined it.
 
     Attributes
     ----------
     rank
-        Its rank; all others ranked behind it.
+        Rank of the selected back end, the minimum of all candidates.
     candidates
-        How many back ends there were to choose from.
+        Number of back ends to choose from.
     typical_s
-        Typical time to the first part of an answer of the service; 0 if unknown.
+        Typical time to the first part of an answer, in seconds; 0 if unknown.
     """
 
     load: BackendLoad
@@ -137,13 +138,13 @@
 
 
 def long_queue_s(typical_s: float) -> float:
-    """Return the wait, in seconds, from which a queue sends a program away from its engine."""
-    return max(SHORTEST_LONG_QUEUE_S, LONG_QUEUE_FACTOR * typical_s)
+    """Return the wait, in seconds, above which a program leaves its engine."""
+    return max(MIN_LONG_QUEUE_S, LONG_QUEUE_FACTOR * typical_s)
 
 
 def short_queue_s(typical_s: float) -> float:
-    """Return the wait, in seconds, from which a queue sends a new program elsewhere."""
-    return max(SHORTEST_QUEUE_S, QUEUE_FACTOR * typical_s)
+    """Return the wait, in seconds, above which a new program avoids an engine."""
+    return max(MIN_QUEUE_S, QUEUE_FACTOR * typical_s)
 
 
 def choose_backend(
@@ -155,22 +156,22 @@
     typical_s: float = 0.0,
     connected: Collection[str] = (),
 ) -> PlacementChoice | None:
-    """Choose the back end of the best rank; ``None`` if each was tried.
+    """Choose the back end with the minimum rank; ``None`` if all were tried.
 
     Parameters
     ----------
     tried
-        Instances that this request was already sent to.
+        Incarnations to which this request was already sent.
     outliers
-        Instances that do worse than most of their service.
+        Incarnations that are outliers.
     typical_s
-        Typical time to the first part of an answer of the service; 0 if unknown.
+        Typical time to the first part of an answer, in seconds; 0 if unknown.
     connected
-        Instances to which a connection of this node rests unused; only looked at for requests
-        without a program.
+        Incarnations to which this node has an idle connection; only used for requests without a
+        program.
     """
-    fresh = [load for load in candidates if load.record.incarnation not in tried]
-    if not fresh:
+    untried = [load for load in candidates if load.record.incarnation not in tried]
+    if not untried:
         return None
     records = [load.record for load in candidates]
     ranking = _Ranking(
@@ -182,19 +183,19 @@
         holders=_engines_for_new_program(key, records),
         weights=ZoneWeights.of(records, key.node.zone),
     )
-    ranks = [ranking.rank(load) for load in fresh]
-    best = min(range(len(fresh)), key=ranks.__getitem__)
-    return PlacementChoice(fresh[best], ranks[best], len(fresh), typical_s)
+    ranks = [ranking.rank(load) for load in untried]
+    best = min(range(len(untried)), key=ranks.__getitem__)
+    return PlacementChoice(untried[best], ranks[best], len(untried), typical_s)
 
 
 class _Ranking(msgspec.Struct, frozen=True, kw_only=True):
-    """What back ends are ranked by for one request at one moment.
+    """Inputs for ranking the back ends for one request.
 
     Attributes
     ----------
     holders
-        Engines that are to hold the large part of a new program's prompt; empty if that
-        does not decide.
+        Engines selected to cache the shared prefix of a new program's prompt; empty if that
+        does not apply.
     """
 
     key: PlacementKey
@@ -224,26 +225,26 @@
 def _engines_for_new_program(
     key: PlacementKey, records: Collection[BackendRecord]
 ) -> frozenset[str]:
-    """Return the engines for a new program's shared part; empty if there is none."""
+    """Return the engines for a new program's shared prefix; empty if there is none."""
     if not key.shared_part or key.used_last:
         return frozenset()
     return engines_of_part(key.shared_part, records)
 
 
 def note_failure(load: BackendLoad, now: float) -> None:
-    """Avoid a back end for a while, longer with each failure in a row."""
+    """Avoid a back end for some time, with exponential backoff on consecutive failures."""
     load.failures += 1
-    pause_s = min(LONGEST_AVOID_S, AVOID_S * 2 ** (load.failures - 1))
+    pause_s = min(MAX_AVOID_S, AVOID_S * 2 ** (load.failures - 1))
     load.avoid_until = now + pause_s
 
 
 def note_success(load: BackendLoad) -> None:
-    """Use a back end as before its failures."""
+    """Reset the failures of a back end, so that it is no longer avoided."""
     load.failures = 0
     load.avoid_until = 0.0
 
 
 def _fullness(load: BackendLoad, key: PlacementKey) -> int:
-    """Return how many times over this node's requests fill its part of a back end."""
-    share = PLAIN_FULL_SHARE if key.is_plain else FULL_SHARE
+    """Return this node's requests at a back end in multiples of its share of the slots."""
+    share = PLAIN_NODE_SLOT_SHARE if key.is_plain else NODE_SLOT_SHARE
     return load.in_flight // max(1, math.ceil(load.record.slots * share))
--- a/tests/decisions/placement/test_request_placement.py
+++ b/tests/decisions/placement/test_request_placement.py
@@ -1,4 +1,4 @@
-"""Where requests go: their program's engine first, then load and zone."""
+"""Placement of requests: the engine of their program first, then load and zone."""
 
 import unittest
 from collections import Counter
@@ -30,7 +30,7 @@
     def instances_for(self, key_of, candidates, count=60):
         return {choose(candidates, key_of(n), (), 0.0).record.instance_id for n in range(count)}
 
-    def test_programs_that_share_a_part_use_half_of_the_engines_the_same_at_every_node(self):
+    def test_programs_with_a_shared_prefix_use_the_same_half_of_the_engines_at_every_node(self):
         candidates = loads(6)
         used = [
             self.instances_for(
@@ -41,13 +41,13 @@
         self.assertEqual(len(used[0]), 3)
         self.assertEqual(used[0], used[1])
 
-    def test_different_parts_use_all_engines(self):
+    def test_different_prefixes_use_all_engines(self):
         used = self.instances_for(
             lambda n: PlacementKey(str(n), HERE, shared_part=str(n)), loads(6)
         )
         self.assertEqual(len(used), 6)
 
-    def test_the_least_used_of_the_engines_that_hold_it_is_taken(self):
+    def test_the_least_loaded_engine_of_the_prefix_is_chosen(self):
         candidates = loads(6)
         counts = Counter()
         for n in range(30):
@@ -56,7 +56,7 @@
             counts[load.record.instance_id] += 1
         self.assertEqual(sorted(counts.values()), [10, 10, 10])
 
-    def test_a_queue_at_all_of_them_sends_programs_elsewhere(self):
+    def test_programs_avoid_the_engines_of_the_prefix_if_all_have_a_queue(self):
         candidates = loads(6)
         key = PlacementKey("program", HERE, shared_part="p")
         holders = engines_of_part("p", [load.record for load in candidates])
@@ -66,20 +66,20 @@
         self.assertIn(choose(candidates, key, (), 0.05).record.instance_id, holders)
         self.assertNotIn(choose(candidates, key, (), 0.15).record.instance_id, holders)
 
-    def test_a_program_stays_with_its_engine_whatever_its_part(self):
+    def test_a_program_stays_with_its_engine_regardless_of_its_prefix(self):
         candidates = loads(6)
         for load in candidates:
             instance = load.record.instance_id
             key = PlacementKey("program", HERE, used_last=instance, shared_part="p")
             self.assertIs(choose(candidates, key, (), 0.0), load)
 
-    def test_small_parts_and_parts_of_one_request_alone_are_held_nowhere(self):
+    def test_small_or_unshared_parts_are_no_large_shared_prefix(self):
         large, small = PromptPart("a", MIN_LARGE_PART_TOKENS), PromptPart("b", 512)
         self.assertEqual(large_shared_part([large, small]), "a")
         for parts in ([small, large], [large], []):
             self.assertEqual(large_shared_part(parts), "")
 
-    def test_two_engines_hold_a_part_while_there_are_two_engines(self):
+    def test_at_least_two_engines_cache_a_prefix_if_there_are_two(self):
         for count, holders in ((0, 0), (1, 1), (2, 2), (3, 2), (23, 12)):
             records = [load.record for load in loads(count)]
             self.assertEqual(len(engines_of_part("p", records)), holders)
@@ -92,7 +92,7 @@
         first = choose(candidates, key, (), 0.0)
         self.assertIs(choose(candidates[::-1], key, (), 0.0), first)
 
-    def test_programs_spread(self):
+    def test_programs_spread_over_all_engines(self):
         candidates = loads(6)
         chosen = {
             choose(candidates, PlacementKey(str(n), HERE), (), 0.0).record.instance_id
@@ -100,7 +100,7 @@
         }
         self.assertEqual(len(chosen), 6)
 
-    def test_a_full_or_failing_engine_comes_after_the_others(self):
+    def test_a_full_or_failing_engine_is_used_after_the_others(self):
         candidates = loads(3)
         key = PlacementKey("program", HERE)
         first = choose(candidates, key, (), 0.0)
@@ -114,7 +114,7 @@
         note_success(first)
         self.assertIs(choose(candidates, key, (), 0.1), first)
 
-    def test_plain_requests_fill_a_third_of_the_own_zone_before_they_go_to_another(self):
+    def test_plain_requests_fill_a_third_of_the_own_zone_before_another_zone(self):
         near, far = BackendLoad(backend("n", zone="a")), BackendLoad(backend("f", zone="b"))
         key = PlacementKey("", HERE)
         self.assertIs(choose([far, near], key, (), 0.0), near)
@@ -125,7 +125,7 @@
         far.in_flight = 2
         self.assertIs(choose([far, near], key, (), 0.0), near)
 
-    def test_with_room_at_several_plain_ones_an_idle_connection_decides(self):
+    def test_an_idle_connection_decides_among_plain_back_ends_with_capacity(self):
         candidates = loads(6)
         key = PlacementKey("", HERE)
         first = choose(candidates, key, (), 0.0)
@@ -135,7 +135,7 @@
         others[0].in_flight = 2
         self.assertIs(choose(candidates, key, (), 0.0, connected=connected), first)
 
-    def test_new_programs_spread_over_engines_whichever_have_idle_connections(self):
+    def test_idle_connections_do_not_affect_new_programs(self):
         candidates = loads(6)
         connected = {candidates[0].record.instance_id}
         for number in range(50):
@@ -143,7 +143,7 @@
             before = choose(candidates, key, (), 0.0)
             self.assertIs(choose(candidates, key, (), 0.0, connected=connected), before)
 
-    def test_a_program_stays_with_its_engine_also_where_that_needs_a_connection(self):
+    def test_a_program_stays_with_its_engine_even_without_an_idle_connection(self):
         candidates = loads(3)
         for load in candidates:
             key = PlacementKey("program", HERE, used_last=load.record.instance_id)
@@ -161,14 +161,14 @@
         self.assertEqual(len(chosen), 6)
         self.assertLess(max(chosen.values()), 2 * 120 / 6)
 
-    def test_each_is_tried_once(self):
+    def test_each_back_end_is_tried_once(self):
         candidates = loads(2)
         key = PlacementKey("", HERE)
         self.assertIsNone(choose(candidates, key, ("i-0", "i-1"), 0.0))
 
 
 class RegistryTest(unittest.TestCase):
-    def test_what_is_no_longer_listed_is_gone_and_counts_are_kept(self):
+    def test_unlisted_back_ends_are_removed_and_counts_of_others_kept(self):
         registry = BackendRegistry()
         registry.update([backend("i-1"), backend("i-2")], 0.0)
         registry.of_service("models")[0].in_flight = 3
