--- a/src/passlane/decisions/placement/turn_placement.py
+++ b/src/passlane/decisions/placement/turn_placement.py
@@ -1,10 +1,9 @@
-"""Answers to which engine a turn goes: the one at which it is expected to end first.
+"""Selects the engine of a turn: the one with the earliest expected end.
 
-It is for turns of services whose engines differ by two or three times in speed, told nowhere,
-and have spells of slowness. It owns the expected durations of a service's turns
-(``TurnDurations``) and the estimate for one engine (``EndEstimate``): the wait for a slot there,
-the engine's pace, what it would have to read anew, and the way to its zone. It relies on
-``engine_slots`` for what runs at an engine, its pace, and the shared parts that it holds.
+Owns the expected durations of a service's turns (``TurnDurations``) and the estimate for one engine
+(``EndEstimate``): the wait for a slot, the engine's learned speed, the prefill of tokens that it
+has not cached, and the round trip to its zone. Relies on ``engine_slots`` for the running turns,
+the speed and the cached shared prefixes of an engine.
 
 Times are in seconds, sizes in tokens.
 """
@@ -18,60 +17,46 @@
 from passlane.decisions.placement.shared_parts import MIN_LARGE_PART_TOKENS
 from passlane.messages.placement import TurnDemand, TurnOutcome
 
-READ_TOKENS_PER_S = 70_000.0
-"""Prompt tokens that an engine reads in a second. Engines read 60 to 160 in a millisecond, for
-one of them 12,600 in 77 ms (docs/measurements/further-deployment.md). Near the slowest; chosen."""
-NEIGHBOUR_SHARE = 2.0
-"""Delay by a prompt that is read, for each turn that runs there, as a share of the time that
-reading takes: it holds up the turn, and with it those that wait for its slot.
-
-Measured with two kinds of programs beyond what the engines hold
-(tests/decisions/scheduling/turn_load.py, mean of two seeds): 83.8, 84.2, 84.2 and
-84.6% of the programs were over in time with 0.25, 1, 2 and 4, so it tells only that reading must
-count, not how much."""
+PREFILL_TOKENS_PER_S = 70_000.0
+"""Prompt tokens per second that an engine computes; close to the slowest engines."""
+PREFILL_DELAY_SHARE = 2.0
+"""Delay that a prefill causes for each running turn, as a multiple of the prefill time. It delays
+the turn and those that wait for its slot."""
 OTHER_ZONE_S = 0.004
-"""Seconds of a way to another zone and back, with its share of a turn's pauses between events.
-Not measured; chosen."""
-CROWDING_SHARE = 0.1
-"""Share by which a turn takes longer at an engine whose slots are all taken: a step grows by
-0.2 to 0.6% for each turn in the batch, the rest are prompts that are read between its tokens.
-Not measured; chosen."""
-DURATION_AT_FIRST_S = 0.15
-"""Seconds that a turn is taken to run before any has ended. Not measured; chosen."""
+"""Seconds that a round trip to another zone adds to a turn."""
+FULL_BATCH_SLOWDOWN_SHARE = 0.1
+"""Share by which a turn takes longer at an engine whose slots are all in use, since larger batches
+have longer steps."""
+INITIAL_DURATION_S = 0.15
+"""Expected duration of a turn in seconds before any has ended."""
 SMOOTHING = 0.02
-"""Weight of one turn in a service's mean; with some hundred turns a second it is that of the
-last second. Not measured; chosen."""
-RETURN_SLOTS = 5
-"""Turns beyond its slots that an engine gets if it holds their history or large shared part.
-Reading it anew elsewhere costs the engines more than a short wait costs the turn, and turns that
-wait there follow without a pause for the way (10 ms of 200).
-
-Measured with two kinds of programs beyond what the engines hold
-(tests/decisions/scheduling/turn_load.py, mean of two seeds): 76.9, 82.7 and 84.2% of
-the programs were over in time with 1, 3 and 5, and 1.5, 0.1 and 0.1% never ended."""
+"""Weight of one turn in the moving average of a service's turn durations."""
+MAX_QUEUED_TURNS = 5
+"""Maximum number of turns queued in an engine beyond its slots. Only turns whose history or large
+shared prefix it has cached are queued, since a short wait costs less than a prefill elsewhere."""
 
 
 class TurnDurations:
-    """How long turns of a service take at an engine of usual speed.
+    """Mean duration of a service's turns at an engine of typical speed.
 
     Attributes
     ----------
     mean_s
-        Seconds that a turn runs, over the last turns.
+        Moving average of the duration of a turn, in seconds.
     """
 
     def __init__(self) -> None:
-        self.mean_s = DURATION_AT_FIRST_S
+        self.mean_s = INITIAL_DURATION_S
         self._samples = 0
 
     def learn(self, outcome: TurnOutcome, against_fleet: float) -> None:
-        """Take in a turn that was answered whole.
+        """Update the mean from a completed turn.
 
         Parameters
         ----------
         against_fleet
-            Pace of its engine against all. The pace of all together is learnt from this mean,
-            so the mean must not rest on it: both would move on without bound.
+            Slowdown of the turn's engine relative to the fleet. The fleet's slowdown must not be
+            included: it is learned from this mean, so both would drift without bound.
         """
         self._samples += 1
         weight = max(SMOOTHING, 1.0 / self._samples)
@@ -79,16 +64,16 @@
 
 
 class EngineChoice(msgspec.Struct, frozen=True):
-    """An engine for a turn.
+    """The engine selected for a turn.
 
     Attributes
     ----------
     end_s
-        Until the turn's end there, as expected; ``expected_s`` in the log line ``turn_placed``.
+        Expected time until the turn ends; ``expected_s`` in the log line ``turn_placed``.
     run_s
-        The part of it that the turn runs.
+        Part of ``end_s`` during which the turn runs.
     slowdown
-        The engine's pace that was counted in.
+        Slowdown of the engine that ``run_s`` includes.
     """
 
     engine: EngineSlots
@@ -98,20 +83,20 @@
 
 
 class EndEstimate(msgspec.Struct, frozen=True, gc=False):
-    """When a turn would end at an engine, by what that is made of; seconds.
+    """Expected end of a turn at an engine and its components, in seconds.
 
     Attributes
     ----------
     run_s
-        It runs so long beside the others.
+        Duration of the turn itself, with the current batch.
     with_wait_s
-        The same with its wait for a slot there.
+        ``run_s`` plus the wait for a slot.
     read_s
-        What the engine would read anew takes so long, with the delay to the turns that run.
+        Prefill of uncached tokens, including the delay that it causes for running turns.
     way_s
-        To the engine's zone and back, beyond a way within the zone.
+        Additional round trip to the engine's zone; 0 within the zone.
     end_s
-        All of it.
+        Sum of ``with_wait_s``, ``read_s`` and ``way_s``.
     """
 
     engine: EngineSlots
@@ -125,12 +110,12 @@
 def choose_engine(
     engines: Sequence[EngineSlots], asked: TurnAsked, durations: TurnDurations
 ) -> EngineChoice | None:
-    """Return the engine with room at which a turn ends first; ``None`` if none has room.
+    """Return the engine with the earliest expected end; ``None`` if none has capacity.
 
     Parameters
     ----------
     engines
-        Those that take turns at this moment; of two that are equal the first is taken.
+        Engines that accept turns now; the first of equal ones is chosen.
     """
     best: EndEstimate | None = None
     for engine in engines:
@@ -143,48 +128,48 @@
 
 
 def _estimate(engine: EngineSlots, asked: TurnAsked, mean_s: float) -> EndEstimate | None:
-    """Return when a turn would end at an engine; ``None`` if it has no slot or no memory for it.
+    """Return the expected end of a turn at an engine; ``None`` if it lacks a slot or memory.
 
-    An engine that holds its history, or its large shared part, lets it wait beyond the slots.
+    A turn may be queued beyond the slots if its history or large shared prefix is cached there.
     """
     demand = asked.demand
     running = len(engine.turns)
     returns = engine.incarnation == asked.used_last
-    if running >= engine.slots and not _may_wait_there(engine, demand, running, returns=returns):
+    if running >= engine.slots and not _may_queue(engine, demand, running, returns=returns):
         return None
     if not engine.has_memory_for(demand.prompt_tokens + asked.most_tokens, demand.memory_tokens):
         return None
     run_s = _run_s(engine, running, mean_s)
     with_wait_s = run_s * _wait_factor(engine, running)
-    read_s = 0.0 if returns else _read_s(engine, running, demand)
+    prefill_s = 0.0 if returns else _prefill_s(engine, running, demand)
     way_s = 0.0 if engine.record.zone == demand.zone else OTHER_ZONE_S
-    return EndEstimate(engine, run_s, with_wait_s, read_s, way_s, with_wait_s + read_s + way_s)
+    return EndEstimate(
+        engine, run_s, with_wait_s, prefill_s, way_s, with_wait_s + prefill_s + way_s
+    )
 
 
-def _may_wait_there(
-    engine: EngineSlots, demand: TurnDemand, running: int, *, returns: bool
-) -> bool:
-    """Whether a turn may wait in an engine whose slots are taken, since it holds its prompt."""
-    if running >= engine.slots + RETURN_SLOTS:
+def _may_queue(engine: EngineSlots, demand: TurnDemand, running: int, *, returns: bool) -> bool:
+    """Whether a turn may be queued in a full engine, because its prompt is cached there."""
+    if running >= engine.slots + MAX_QUEUED_TURNS:
         return False
-    has_large_part = demand.shared_tokens >= MIN_LARGE_PART_TOKENS
-    return returns or (has_large_part and engine.has_shared_part(demand))
+    has_large_prefix = demand.shared_tokens >= MIN_LARGE_PART_TOKENS
+    return returns or (has_large_prefix and engine.has_shared_part(demand))
 
 
 def _run_s(engine: EngineSlots, running: int, mean_s: float) -> float:
-    """Return how long a turn runs beside so many others."""
-    crowding = 1.0 + CROWDING_SHARE * min(1.0, running / engine.slots)
-    return mean_s * engine.slowdown * crowding
+    """Return the expected duration of a turn with this many others running."""
+    batch_factor = 1.0 + FULL_BATCH_SLOWDOWN_SHARE * min(1.0, running / engine.slots)
+    return mean_s * engine.slowdown * batch_factor
 
 
 def _wait_factor(engine: EngineSlots, running: int) -> float:
-    """Return how many times its own length a turn takes with its wait for a slot."""
+    """Return the duration with the wait for a slot, as a multiple of the turn's own duration."""
     ahead = max(0, running + 1 - engine.slots)
     return 1.0 + ahead / engine.slots
 
 
-def _read_s(engine: EngineSlots, running: int, demand: TurnDemand) -> float:
-    """Return how long an engine without a turn's history reads, with what that delays there."""
-    held = demand.shared_tokens if engine.has_shared_part(demand) else 0
-    to_read = max(0, demand.prompt_tokens - held)
-    return engine.slowdown * to_read * (1.0 + NEIGHBOUR_SHARE * running) / READ_TOKENS_PER_S
+def _prefill_s(engine: EngineSlots, running: int, demand: TurnDemand) -> float:
+    """Return the prefill time without a cached history, including the delay of running turns."""
+    cached = demand.shared_tokens if engine.has_shared_part(demand) else 0
+    missing = max(0, demand.prompt_tokens - cached)
+    return engine.slowdown * missing * (1.0 + PREFILL_DELAY_SHARE * running) / PREFILL_TOKENS_PER_S
--- a/tests/decisions/placement/test_turn_placement.py
+++ b/tests/decisions/placement/test_turn_placement.py
@@ -1,4 +1,7 @@
-"""To which engine a turn goes: each part of the expected end decides where the others are equal."""
+"""Selection of the engine of a turn by the earliest expected end.
+
+Each component of the estimate decides if the others are equal.
+"""
 
 import unittest
 
@@ -7,9 +10,9 @@
 from passlane.decisions.inputs.turn_events import TurnAsked
 from passlane.decisions.placement.shared_parts import MIN_LARGE_PART_TOKENS
 from passlane.decisions.placement.turn_placement import (
-    DURATION_AT_FIRST_S,
+    INITIAL_DURATION_S,
+    MAX_QUEUED_TURNS,
     OTHER_ZONE_S,
-    RETURN_SLOTS,
     TurnDurations,
     choose_engine,
 )
@@ -21,7 +24,7 @@
 
 
 def engine(name: str, *, running: int = 0, zone: str = "a") -> EngineSlots:
-    """Return an engine of two slots at which so many turns of 100 tokens have one."""
+    """Return an engine of two slots with this many running turns of 100 tokens."""
     address = Address("10.0.0.1", 80)
     record = BackendRecord(name, "llm", address, zone, SLOTS, BackendState.READY)
     slots = EngineSlots(record, FleetSpeed())
@@ -57,35 +60,35 @@
         chosen = choose_engine(engines, turn, TurnDurations())
         return chosen.engine.incarnation if chosen is not None else ""
 
-    def test_the_first_of_equal_engines(self):
+    def test_the_first_of_equal_engines_is_chosen(self):
         self.assertEqual(self.choice(asked(), engine("e1"), engine("e2")), "e1")
 
-    def test_the_engine_of_usual_pace_before_a_slow_one(self):
+    def test_an_engine_of_typical_speed_is_preferred_to_a_slow_one(self):
         slow = engine("e1")
         slow.slowdown = 1.5
         self.assertEqual(self.choice(asked(), slow, engine("e2")), "e2")
 
-    def test_the_emptier_engine(self):
+    def test_an_engine_with_fewer_turns_is_preferred(self):
         self.assertEqual(self.choice(asked(), engine("e1", running=1), engine("e2")), "e2")
 
-    def test_the_engine_of_the_node_s_zone(self):
+    def test_an_engine_of_the_own_zone_is_preferred(self):
         self.assertEqual(self.choice(asked(), engine("e1", zone="b"), engine("e2")), "e2")
 
-    def test_the_engine_that_holds_the_history_of_a_long_prompt(self):
+    def test_an_engine_with_the_cached_history_of_a_long_prompt_is_preferred(self):
         turn = asked(used_last="e2", prompt_tokens=9_000)
         self.assertEqual(self.choice(turn, engine("e1"), engine("e2", running=1)), "e2")
 
-    def test_an_engine_with_room_elsewhere_if_reading_costs_little(self):
+    def test_an_engine_with_a_free_slot_is_preferred_if_the_prompt_is_short(self):
         turn = asked(used_last="e2", prompt_tokens=100)
         self.assertEqual(self.choice(turn, engine("e1"), engine("e2", running=SLOTS)), "e1")
 
-    def test_the_engine_that_lately_read_the_shared_part(self):
-        holder = engine("e2")
+    def test_an_engine_with_the_cached_shared_prefix_is_preferred(self):
+        cached = engine("e2")
         turn = asked(prompt_tokens=9_000, shared_part="part", shared_tokens=8_000)
-        holder.note_part(turn.demand)
-        self.assertEqual(self.choice(turn, engine("e1"), holder), "e2")
+        cached.note_part(turn.demand)
+        self.assertEqual(self.choice(turn, engine("e1"), cached), "e2")
 
-    def test_beyond_the_slots_only_where_the_prompt_is_held(self):
+    def test_turns_are_queued_only_if_the_prompt_is_cached(self):
         full = engine("e1", running=SLOTS)
         self.assertEqual(self.choice(asked(), full), "")
         self.assertEqual(self.choice(asked(used_last="e1"), full), "e1")
@@ -96,23 +99,23 @@
         small = asked(shared_part="part", shared_tokens=MIN_LARGE_PART_TOKENS - 1)
         self.assertEqual(self.choice(small, full), "")
 
-    def test_beyond_the_slots_so_many_and_no_more(self):
-        last = engine("e1", running=SLOTS + RETURN_SLOTS - 1)
+    def test_the_number_of_queued_turns_is_bounded(self):
+        last = engine("e1", running=SLOTS + MAX_QUEUED_TURNS - 1)
         self.assertEqual(self.choice(asked(used_last="e1"), last), "e1")
-        none_left = engine("e1", running=SLOTS + RETURN_SLOTS)
+        none_left = engine("e1", running=SLOTS + MAX_QUEUED_TURNS)
         self.assertEqual(self.choice(asked(used_last="e1"), none_left), "")
 
-    def test_no_engine_without_memory_for_the_turn(self):
+    def test_an_engine_without_memory_for_the_turn_is_not_chosen(self):
         turn = asked(prompt_tokens=91, memory_tokens=200)
         self.assertEqual(self.choice(turn, engine("e1", running=1)), "")
         self.assertEqual(self.choice(turn, engine("e1")), "e1")
 
-    def test_the_expected_end_is_the_run_and_the_way(self):
+    def test_the_expected_end_includes_the_round_trip(self):
         chosen = choose_engine([engine("e1", zone="b")], asked(), TurnDurations())
-        self.assertAlmostEqual(chosen.run_s, DURATION_AT_FIRST_S)
-        self.assertAlmostEqual(chosen.end_s, DURATION_AT_FIRST_S + OTHER_ZONE_S)
+        self.assertAlmostEqual(chosen.run_s, INITIAL_DURATION_S)
+        self.assertAlmostEqual(chosen.end_s, INITIAL_DURATION_S + OTHER_ZONE_S)
 
-    def test_a_turn_beyond_the_slots_waits_for_its_share_of_the_others(self):
+    def test_the_wait_of_a_queued_turn_is_its_share_of_the_others(self):
         full = engine("e1", running=SLOTS)
         chosen = choose_engine([full], asked(used_last="e1"), TurnDurations())
         self.assertAlmostEqual(chosen.end_s, chosen.run_s * (1 + 1 / SLOTS))
