--- a/tests/decisions/placement/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -1,7 +1,7 @@
-"""A seeded loop over virtual time: nodes that each see only their own calls of a plain service.
+"""Seeded discrete-event simulation of a plain service that many nodes share.
 
-Places, nodes and times are those of the load that ``test_plain_load`` names. Each node has
-its own state machines; back ends refuse at once when all of their places are taken.
+Each node has its own decision state and sees only its own calls. A back end refuses a call at once
+if all of its slots are in use. Compares the service's policy with a baseline.
 """
 
 import heapq
@@ -27,17 +27,17 @@
 
 SERVICE = "tools"
 ZONES = ("a", "b", "c")
-IN_ZONE_S = 0.0001
-CROSS_ZONE_S = 0.0014
+IN_ZONE_LATENCY_S = 0.0001
+CROSS_ZONE_LATENCY_S = 0.0014
 HANDSHAKE_S = 0.001
-IDLE_S = 4.0
-SPELL_S = 0.6
-SPELL_SHARE = 0.15
-SPELL_FACTOR = 2.5
+IDLE_TIMEOUT_S = 4.0
+SLOW_PERIOD_S = 0.6
+SLOW_PERIOD_SHARE = 0.15
+SLOW_PERIOD_FACTOR = 2.5
 
 
 class CallKind(msgspec.Struct, frozen=True):
-    """A route of the load, with the share of turns that call it."""
+    """A route with its times in seconds and the share of turns that call it."""
 
     route: str
     work_s: float
@@ -60,7 +60,7 @@
 
 
 class Call(msgspec.Struct, eq=False):
-    """One call and what became of it."""
+    """One call and its result."""
 
     number: int
     kind: CallKind
@@ -84,7 +84,7 @@
 
 
 class BackEnd:
-    """Places of one back end; refuses when all are taken or while it is blocked."""
+    """A back end that refuses calls if all slots are in use or while it is blocked."""
 
     def __init__(self, record, load):
         self.record = record
@@ -92,21 +92,21 @@
         self.busy = 0
         self.is_blocked = False
         self.arrivals = []
-        self.spells = {}
+        self.slow_periods = {}
         self.extra_slowness = 1.0
         self.lost_share = 0.0
 
     def slowness(self, now):
-        spell = int(now / SPELL_S)
-        if spell not in self.spells:
-            draw = random.Random(f"{self.load.seed}/{self.record.instance_id}/{spell}").random()
-            is_slow = draw < SPELL_SHARE
-            self.spells[spell] = SPELL_FACTOR if is_slow else 1.0
-        return self.spells[spell] * self.extra_slowness
+        period = int(now / SLOW_PERIOD_S)
+        if period not in self.slow_periods:
+            draw = random.Random(f"{self.load.seed}/{self.record.instance_id}/{period}").random()
+            is_slow = draw < SLOW_PERIOD_SHARE
+            self.slow_periods[period] = SLOW_PERIOD_FACTOR if is_slow else 1.0
+        return self.slow_periods[period] * self.extra_slowness
 
 
 class Connections:
-    """Idle connections of one node, by instance."""
+    """Idle connections of one node, by instance id."""
 
     def __init__(self):
         self.idle = {}
@@ -114,12 +114,12 @@
 
     def has_idle(self, instance_id, now):
         idle = self.idle.get(instance_id, [])
-        return bool(idle) and now - idle[-1] < IDLE_S
+        return bool(idle) and now - idle[-1] < IDLE_TIMEOUT_S
 
     def take(self, instance_id, now):
-        """Take or open a connection; return whether it was there."""
+        """Take an idle connection or open one; return whether there was an idle one."""
         idle = self.idle.setdefault(instance_id, [])
-        idle[:] = [since for since in idle if now - since < IDLE_S]
+        idle[:] = [since for since in idle if now - since < IDLE_TIMEOUT_S]
         if idle:
             idle.pop()
             return True
@@ -131,7 +131,7 @@
 
 
 class Node:
-    """One node: its registry, its connections and the state of its rule."""
+    """A node with its registry, its connections and the state of its policy."""
 
     def __init__(self, name, zone, records):
         self.place = NodePlace(name, zone)
@@ -142,11 +142,11 @@
         self.wake_at = math.inf
 
 
-class EarlierRule:
-    """Any order of back ends, rounds each 20 ms, and an end after a quarter of the target."""
+class BaselinePolicy:
+    """Baseline: any order of back ends, a round every 20 ms, a timeout at 1/4 of the target."""
 
     pause_s = 0.02
-    wait_share = 0.25
+    max_wait_share = 0.25
 
     def __init__(self, load):
         self.load = load
@@ -173,8 +173,8 @@
         if choice is not None:
             load.send(call, choice.load)
             return
-        give_up_at = call.arrived_at + self.wait_share * call.kind.target_s
-        if now + self.pause_s > give_up_at:
+        times_out_at = call.arrived_at + self.max_wait_share * call.kind.target_s
+        if now + self.pause_s > times_out_at:
             load.end(call, is_served=False)
             return
         call.tried.clear()
@@ -190,8 +190,8 @@
         pass
 
 
-class RoomRule:
-    """The rule of ``passlane.decisions.order.service_room``."""
+class ServicePolicy:
+    """The policy of ``passlane.decisions.order.service_room``."""
 
     def __init__(self, load):
         self.load = load
@@ -243,12 +243,12 @@
         if call.waiting is not None:
             node.room.note_wait_ended(call.waiting, now)
         instance_id = backend_load.record.instance_id
-        next_one = node.room.note_answered(instance_id, call.kind.route, seconds, now)
-        if next_one is not None:
+        next_call = node.room.note_answered(instance_id, call.kind.route, seconds, now)
+        if next_call is not None:
             self.start(
-                self.load.calls[int(next_one.request_id)], offered=instance_id, must_try=True
+                self.load.calls[int(next_call.request_id)], offered=instance_id, must_try=True
             )
-        self._arrange(node)
+        self._schedule_wake(node)
 
     def _wait(self, call):
         node, now = call.node, self.load.now
@@ -265,23 +265,23 @@
             self._refuse(call)
             return
         call.is_waiting = True
-        node.room.join(call.waiting, now, self.load.pause_draws.random(), 6)
-        self.load.at(call.waiting.give_up_at, lambda: self._give_up(call))
-        self._arrange(node)
+        node.room.join(call.waiting, now, self.load.pause_random.random(), 6)
+        self.load.at(call.waiting.give_up_at, lambda: self._time_out(call))
+        self._schedule_wake(node)
 
-    def _give_up(self, call):
+    def _time_out(self, call):
         if call.ended_at is None and call.is_waiting:
             call.node.room.leave(call.waiting)
             self._refuse(call)
-            self._arrange(call.node)
+            self._schedule_wake(call.node)
 
     def _refuse(self, call):
         room, now = call.node.room, self.load.now
         room.note_wait_ended(call.waiting, now)
-        call.retry_after_s = room.come_back_s(now, self.load.pause_draws.random())
+        call.retry_after_s = room.come_back_s(now, self.load.pause_random.random())
         self.load.end(call, is_served=False)
 
-    def _arrange(self, node):
+    def _schedule_wake(self, node):
         first = node.room.first
         if first is None:
             return
@@ -297,18 +297,20 @@
         first = node.room.first
         if first is not None and node.room.take_turn(first, self.load.now) is not None:
             self.start(self.load.calls[int(first.request_id)], must_try=True)
-        self._arrange(node)
+        self._schedule_wake(node)
 
 
-class Figures(msgspec.Struct, frozen=True):
-    """What became of a load; all but ``calls`` out of 100 calls.
+class Results(msgspec.Struct, frozen=True):
+    """Results of a simulation; all but ``calls`` are counts per 100 calls.
 
     Attributes
     ----------
+    refused
+        Calls that were not served.
     missed
         Calls that were refused or served later than their target.
     rejections
-        Sends that a back end refused.
+        Attempts that a back end refused.
     connections
         Connections opened.
     """
@@ -320,16 +322,16 @@
     connections: float
 
 
-class PlainLoad:
-    """Plays calls through a rule; the counts are what callers and back ends got."""
+class PlainServiceSimulation:
+    """Runs calls through a policy and counts the results of callers and back ends."""
 
     def __init__(
-        self, rule, *, seed=1, nodes=61, back_ends=5, slots=6, keeps_refused=True, kinds=KINDS
+        self, policy, *, seed=1, nodes=61, back_ends=5, slots=6, keeps_refused=True, kinds=KINDS
     ):
         self.seed = seed
-        self.draws = random.Random(seed)
-        self.pause_draws = random.Random(seed + 1)
-        self.loss_draws = random.Random(seed + 2)
+        self.load_random = random.Random(seed)
+        self.pause_random = random.Random(seed + 1)
+        self.loss_random = random.Random(seed + 2)
         self.now = 0.0
         self.keeps_refused = keeps_refused
         self.kinds = kinds
@@ -354,32 +356,32 @@
         self.sends = 0
         self._events = []
         self._order = itertools.count()
-        self.rule = rule(self)
+        self.policy = policy(self)
 
     def at(self, when, action):
         heapq.heappush(self._events, (when, next(self._order), action))
 
-    def play(self, until=math.inf):
+    def run(self, until=math.inf):
         while self._events and self._events[0][0] <= until:
             self.now, _, action = heapq.heappop(self._events)
             action()
 
     def offer(self, calls_per_s, seconds, *, swing=0.0, period_s=6.0, start=0.0):
-        """Let turns end at random nodes, each with its calls at once."""
+        """Add calls of turns that end at random nodes; the calls of a turn arrive at once."""
         calls_per_turn = sum(kind.share for kind in self.kinds)
         when = start
         while True:
             wave = 1.0 + swing * math.sin(2 * math.pi * when / period_s)
-            when += self.draws.expovariate(calls_per_s * wave / calls_per_turn)
+            when += self.load_random.expovariate(calls_per_s * wave / calls_per_turn)
             if when >= start + seconds:
                 return
-            node = self.draws.choice(self.nodes)
+            node = self.load_random.choice(self.nodes)
             for kind in self.kinds:
-                if self.draws.random() < kind.share:
+                if self.load_random.random() < kind.share:
                     self.add(kind, node, when)
 
     def block(self, start, seconds):
-        """Let all back ends refuse everything for a while, as when others fill them."""
+        """Let all back ends refuse every call for some time, as if other callers filled them."""
         for is_blocked, when in ((True, start), (False, start + seconds)):
             self.at(when, lambda is_blocked=is_blocked: self._set_blocked(is_blocked))
 
@@ -388,13 +390,13 @@
             back_end.is_blocked = is_blocked
 
     def slow_down(self, instance_id, factor, start, seconds):
-        """Let one back end be slower for a long while."""
+        """Slow down one back end by a factor for some time."""
         back_end = self.back_ends[instance_id]
         for slowness, when in ((factor, start), (1.0, start + seconds)):
             self.at(when, lambda slowness=slowness: setattr(back_end, "extra_slowness", slowness))
 
     def lose_answers(self, instances, share, start, seconds):
-        """Let some back ends break off so large a share of the calls that they have run."""
+        """Let some back ends lose the answers of a share of the calls that they have run."""
         for lost_share, when in ((share, start), (0.0, start + seconds)):
             for instance_id in instances:
                 back_end = self.back_ends[instance_id]
@@ -405,20 +407,20 @@
                     ),
                 )
 
-    def list_at(self, when, records):
-        """Let all nodes take over a list at one moment, the worst case for a herd."""
+    def apply_list_at(self, when, records):
+        """Apply a list at all nodes at the same time, the worst case for a thundering herd."""
 
-        def take_over():
+        def apply():
             for node in self.nodes:
                 node.registry.update(records, self.now)
 
-        self.at(when, take_over)
+        self.at(when, apply)
 
     def add(self, kind, node, when):
-        work_s = self.draws.expovariate(1 / kind.work_s)
+        work_s = self.load_random.expovariate(1 / kind.work_s)
         call = Call(len(self.calls), kind, node, when, work_s)
         self.calls.append(call)
-        self.at(when, lambda: self.rule.start(call))
+        self.at(when, lambda: self.policy.start(call))
         self.at(call.limit_at, lambda: self.end(call, is_served=False))
         return call
 
@@ -427,40 +429,40 @@
             call.ended_at = self.now
             call.is_served = is_served
 
-    def way_s(self, node, record):
-        return IN_ZONE_S if node.place.zone == record.zone else CROSS_ZONE_S
+    def latency_s(self, node, record):
+        return IN_ZONE_LATENCY_S if node.place.zone == record.zone else CROSS_ZONE_LATENCY_S
 
     def send(self, call, load):
         call.sends += 1
         self.sends += 1
         call.tried.add(load.record.instance_id)
         sent_at = self.now
-        way_s = self.way_s(call.node, load.record)
+        latency_s = self.latency_s(call.node, load.record)
         is_kept = call.node.connections.take(load.record.instance_id, self.now)
-        connect_s = 0.0 if is_kept else 2 * way_s + HANDSHAKE_S
+        connect_s = 0.0 if is_kept else 2 * latency_s + HANDSHAKE_S
         load.in_flight += 1
         watch = load.health.watch(self.now)
         self.at(
-            self.now + connect_s + way_s,
-            lambda: self._arrive(call, load, watch, sent_at, way_s),
+            self.now + connect_s + latency_s,
+            lambda: self._arrive(call, load, watch, sent_at, latency_s),
         )
 
-    def _arrive(self, call, load, watch, sent_at, way_s):
+    def _arrive(self, call, load, watch, sent_at, latency_s):
         back_end = self.back_ends[load.record.instance_id]
         back_end.arrivals.append(self.now)
         if back_end.is_blocked or back_end.busy >= back_end.record.slots:
             self.rejections += 1
-            self.at(self.now + way_s, lambda: self._refused(call, load, watch))
+            self.at(self.now + latency_s, lambda: self._refused(call, load, watch))
             return
         back_end.busy += 1
         call.accepted_at = self.now
         work_s = call.work_s * back_end.slowness(self.now)
         self.at(self.now + work_s, lambda: self._free(back_end))
-        is_lost = self.loss_draws.random() < back_end.lost_share
+        is_lost = self.loss_random.random() < back_end.lost_share
         if is_lost:
-            self.at(self.now + work_s + way_s, lambda: self._broken(call, load, watch))
+            self.at(self.now + work_s + latency_s, lambda: self._broken(call, load, watch))
             return
-        self.at(self.now + work_s + way_s, lambda: self._answered(call, load, watch, sent_at))
+        self.at(self.now + work_s + latency_s, lambda: self._answered(call, load, watch, sent_at))
 
     def _free(self, back_end):
         back_end.busy -= 1
@@ -471,7 +473,7 @@
         if self.keeps_refused:
             call.node.connections.give_back(load.record.instance_id, self.now)
         if call.ended_at is None:
-            self.rule.refused(call, load)
+            self.policy.refused(call, load)
 
     def _broken(self, call, load, watch):
         load.in_flight -= 1
@@ -480,7 +482,7 @@
         if call.kind.runs_once:
             call.is_lost = True
             self.end(call, is_served=False)
-        self.rule.broken(call, load)
+        self.policy.broken(call, load)
 
     def _answered(self, call, load, watch, sent_at):
         note_success(load)
@@ -489,21 +491,21 @@
         watch.succeeded(self.now)
         call.node.connections.give_back(load.record.instance_id, self.now)
         self.end(call, is_served=True)
-        self.rule.answered(call, load, self.now - sent_at)
+        self.policy.answered(call, load, self.now - sent_at)
 
-    def figures(self):
+    def results(self):
         count = len(self.calls)
-        late = sum(
+        overdue = sum(
             1
             for call in self.calls
             if call.is_served and call.ended_at - call.arrived_at > call.kind.target_s
         )
         refused = sum(1 for call in self.calls if not call.is_served)
         opened = sum(node.connections.opened for node in self.nodes)
-        return Figures(
+        return Results(
             calls=count,
             refused=round(100 * refused / count, 2),
-            missed=round(100 * (late + refused) / count, 2),
+            missed=round(100 * (overdue + refused) / count, 2),
             rejections=round(100 * self.rejections / count, 1),
             connections=round(100 * opened / count, 1),
         )
