--- a/src/passlane/decisions/placement/turn_placement.py
+++ b/src/passlane/decisions/placement/turn_placement.py
@@ -141,11 +141,9 @@
         return None
     run_s = _run_s(engine, running, mean_s)
     with_wait_s = run_s * _wait_factor(engine, running)
-    prefill_s = 0.0 if returns else _prefill_s(engine, running, demand)
+    read_s = 0.0 if returns else _prefill_s(engine, running, demand)
     way_s = 0.0 if engine.record.zone == demand.zone else OTHER_ZONE_S
-    return EndEstimate(
-        engine, run_s, with_wait_s, prefill_s, way_s, with_wait_s + prefill_s + way_s
-    )
+    return EndEstimate(engine, run_s, with_wait_s, read_s, way_s, with_wait_s + read_s + way_s)
 
 
 def _may_queue(engine: EngineSlots, demand: TurnDemand, running: int, *, returns: bool) -> bool:
