--- a/tests/decisions/placement/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -86,9 +86,9 @@
 class BackEnd:
     """A back end that refuses calls if all slots are in use or while it is blocked."""
 
-    def __init__(self, record, load):
+    def __init__(self, record, simulation):
         self.record = record
-        self.load = load
+        self.simulation = simulation
         self.busy = 0
         self.is_blocked = False
         self.arrivals = []
@@ -99,7 +99,9 @@
     def slowness(self, now):
         period = int(now / SLOW_PERIOD_S)
         if period not in self.slow_periods:
-            draw = random.Random(f"{self.load.seed}/{self.record.instance_id}/{period}").random()
+            draw = random.Random(
+                f"{self.simulation.seed}/{self.record.instance_id}/{period}"
+            ).random()
             is_slow = draw < SLOW_PERIOD_SHARE
             self.slow_periods[period] = SLOW_PERIOD_FACTOR if is_slow else 1.0
         return self.slow_periods[period] * self.extra_slowness
@@ -134,11 +136,11 @@
     """A node with its registry, its connections and the state of its policy."""
 
     def __init__(self, name, zone, records):
-        self.place = NodePlace(name, zone)
+        self.location = NodePlace(name, zone)
         self.registry = BackendRegistry()
         self.registry.update(records, 0.0)
         self.connections = Connections()
-        self.room = ServiceRoom(self.place, is_for_model=False)
+        self.room = ServiceRoom(self.location, is_for_model=False)
         self.wake_at = math.inf
 
 
@@ -148,11 +150,11 @@
     pause_s = 0.02
     max_wait_share = 0.25
 
-    def __init__(self, load):
-        self.load = load
+    def __init__(self, simulation):
+        self.simulation = simulation
 
     def start(self, call):
-        load, node, now = self.load, call.node, self.load.now
+        simulation, node, now = self.simulation, call.node, self.simulation.now
         if call.ended_at is not None:
             return
         judgement = node.registry.judge(SERVICE, now)
@@ -163,7 +165,7 @@
         }
         choice = choose_backend(
             judgement.loads,
-            PlacementKey("", node.place),
+            PlacementKey("", node.location),
             call.tried,
             now,
             judgement.outliers,
@@ -171,14 +173,14 @@
             connected,
         )
         if choice is not None:
-            load.send(call, choice.load)
+            simulation.send(call, choice.load)
             return
         times_out_at = call.arrived_at + self.max_wait_share * call.kind.target_s
         if now + self.pause_s > times_out_at:
-            load.end(call, is_served=False)
+            simulation.end(call, is_served=False)
             return
         call.tried.clear()
-        load.at(now + self.pause_s, lambda: self.start(call))
+        simulation.at(now + self.pause_s, lambda: self.start(call))
 
     def refused(self, call, backend_load):
         self.start(call)
@@ -193,11 +195,11 @@
 class ServicePolicy:
     """The policy of ``passlane.decisions.order.service_room``."""
 
-    def __init__(self, load):
-        self.load = load
+    def __init__(self, simulation):
+        self.simulation = simulation
 
     def start(self, call, *, offered="", must_try=False):
-        load, node, now = self.load, call.node, self.load.now
+        simulation, node, now = self.simulation, call.node, self.simulation.now
         call.is_waiting = False
         if call.ended_at is not None:
             return
@@ -222,10 +224,10 @@
         if choice is None:
             self._wait(call)
         else:
-            load.send(call, choice.load)
+            simulation.send(call, choice.load)
 
     def refused(self, call, backend_load):
-        node, now = call.node, self.load.now
+        node, now = call.node, self.simulation.now
         node.room.plain.note_refused(backend_load.record.instance_id, now)
         if call.waiting is not None:
             call.waiting.refusals += 1
@@ -235,23 +237,23 @@
 
     def broken(self, call, backend_load):
         call.waiting = None
-        call.node.room.plain.note_broken(backend_load.record.instance_id, self.load.now)
+        call.node.room.plain.note_broken(backend_load.record.instance_id, self.simulation.now)
         self.start(call)
 
     def answered(self, call, backend_load, seconds):
-        node, now = call.node, self.load.now
+        node, now = call.node, self.simulation.now
         if call.waiting is not None:
             node.room.note_wait_ended(call.waiting, now)
         instance_id = backend_load.record.instance_id
         next_call = node.room.note_answered(instance_id, call.kind.route, seconds, now)
         if next_call is not None:
             self.start(
-                self.load.calls[int(next_call.request_id)], offered=instance_id, must_try=True
+                self.simulation.calls[int(next_call.request_id)], offered=instance_id, must_try=True
             )
         self._schedule_wake(node)
 
     def _wait(self, call):
-        node, now = call.node, self.load.now
+        node, now = call.node, self.simulation.now
         call.tried.clear()
         if call.waiting is None:
             call.waiting = WaitingCall(
@@ -265,8 +267,8 @@
             self._refuse(call)
             return
         call.is_waiting = True
-        node.room.join(call.waiting, now, self.load.pause_random.random(), 6)
-        self.load.at(call.waiting.give_up_at, lambda: self._time_out(call))
+        node.room.join(call.waiting, now, self.simulation.pause_random.random(), 6)
+        self.simulation.at(call.waiting.give_up_at, lambda: self._time_out(call))
         self._schedule_wake(node)
 
     def _time_out(self, call):
@@ -276,27 +278,27 @@
             self._schedule_wake(call.node)
 
     def _refuse(self, call):
-        room, now = call.node.room, self.load.now
+        room, now = call.node.room, self.simulation.now
         room.note_wait_ended(call.waiting, now)
-        call.retry_after_s = room.come_back_s(now, self.load.pause_random.random())
-        self.load.end(call, is_served=False)
+        call.retry_after_s = room.come_back_s(now, self.simulation.pause_random.random())
+        self.simulation.end(call, is_served=False)
 
     def _schedule_wake(self, node):
         first = node.room.first
         if first is None:
             return
-        wake_at = max(self.load.now, node.room.wakes_at(first))
-        if wake_at < node.wake_at or node.wake_at <= self.load.now:
+        wake_at = max(self.simulation.now, node.room.wakes_at(first))
+        if wake_at < node.wake_at or node.wake_at <= self.simulation.now:
             node.wake_at = wake_at
-            self.load.at(wake_at, lambda: self._wake(node, wake_at))
+            self.simulation.at(wake_at, lambda: self._wake(node, wake_at))
 
     def _wake(self, node, wake_at):
         if node.wake_at != wake_at:
             return
         node.wake_at = math.inf
         first = node.room.first
-        if first is not None and node.room.take_turn(first, self.load.now) is not None:
-            self.start(self.load.calls[int(first.request_id)], must_try=True)
+        if first is not None and node.room.take_turn(first, self.simulation.now) is not None:
+            self.start(self.simulation.calls[int(first.request_id)], must_try=True)
         self._schedule_wake(node)
 
 
@@ -430,7 +432,7 @@
             call.is_served = is_served
 
     def latency_s(self, node, record):
-        return IN_ZONE_LATENCY_S if node.place.zone == record.zone else CROSS_ZONE_LATENCY_S
+        return IN_ZONE_LATENCY_S if node.location.zone == record.zone else CROSS_ZONE_LATENCY_S
 
     def send(self, call, load):
         call.sends += 1
--- a/tests/decisions/placement/test_plain_load.py
+++ b/tests/decisions/placement/test_plain_load.py
@@ -24,10 +24,10 @@
 
 def results(policy, *, keeps_refused=True, **shape):
     """Return the results of a simulated load, per 100 calls."""
-    load = PlainServiceSimulation(policy, seed=SEED, keeps_refused=keeps_refused)
-    load.offer(CALLS_PER_S, SECONDS, **shape)
-    load.run()
-    return load.results()
+    simulation = PlainServiceSimulation(policy, seed=SEED, keeps_refused=keeps_refused)
+    simulation.offer(CALLS_PER_S, SECONDS, **shape)
+    simulation.run()
+    return simulation.results()
 
 
 class LoadTest(unittest.TestCase):
@@ -54,12 +54,12 @@
         """66 nodes, 13 back ends, 900 calls per second; 70% of the slots are in use."""
         found = {}
         for policy in (BaselinePolicy, ServicePolicy):
-            load = PlainServiceSimulation(
+            simulation = PlainServiceSimulation(
                 policy, seed=SEED, nodes=66, back_ends=13, kinds=LONGER_KINDS
             )
-            load.offer(900, 6.0)
-            load.run()
-            found[policy] = load.results()
+            simulation.offer(900, 6.0)
+            simulation.run()
+            found[policy] = simulation.results()
         before, now = found[BaselinePolicy], found[ServicePolicy]
         self.assertEqual(now.refused, 0.0)
         self.assertLessEqual(now.missed, before.missed)
@@ -72,12 +72,12 @@
         """A back end is 7.5 times slower for 5 s, at 400 calls per second."""
         sends, missed = {}, {}
         for policy in (BaselinePolicy, ServicePolicy):
-            load = PlainServiceSimulation(policy, seed=SEED)
-            load.offer(400, 7.0)
-            load.slow_down("i-1", 7.5, 1.0, 5.0)
-            load.run()
-            sends[policy] = len(load.back_ends["i-1"].arrivals)
-            missed[policy] = load.results().missed
+            simulation = PlainServiceSimulation(policy, seed=SEED)
+            simulation.offer(400, 7.0)
+            simulation.slow_down("i-1", 7.5, 1.0, 5.0)
+            simulation.run()
+            sends[policy] = len(simulation.back_ends["i-1"].arrivals)
+            missed[policy] = simulation.results().missed
         self.assertLess(sends[ServicePolicy], 0.95 * sends[BaselinePolicy])
         self.assertLess(missed[ServicePolicy], 1.05 * missed[BaselinePolicy])
 
@@ -88,11 +88,11 @@
     def lost_calls(self, policy):
         lost = 0
         for seed in (1, 2, 3):
-            load = PlainServiceSimulation(policy, seed=seed)
-            load.offer(450, 8.0)
-            load.lose_answers(["i-0"], 0.3, 1.0, 6.0)
-            load.run()
-            lost += sum(call.is_lost for call in load.calls)
+            simulation = PlainServiceSimulation(policy, seed=seed)
+            simulation.offer(450, 8.0)
+            simulation.lose_answers(["i-0"], 0.3, 1.0, 6.0)
+            simulation.run()
+            lost += sum(call.is_lost for call in simulation.calls)
         return lost
 
     def test_fewer_calls_that_may_run_only_once_are_lost(self):
@@ -103,20 +103,20 @@
     """All back ends are full for half a second, at 500 calls per second."""
 
     def setUp(self):
-        self.load = PlainServiceSimulation(ServicePolicy, seed=SEED)
-        self.load.offer(500, 4.0)
-        self.load.block(2.0, 0.5)
-        self.load.run()
-        self.waited = [call for call in self.load.calls if 2.0 <= call.arrived_at < 2.5]
+        self.simulation = PlainServiceSimulation(ServicePolicy, seed=SEED)
+        self.simulation.offer(500, 4.0)
+        self.simulation.block(2.0, 0.5)
+        self.simulation.run()
+        self.waited = [call for call in self.simulation.calls if 2.0 <= call.arrived_at < 2.5]
 
     def test_no_call_is_refused(self):
         self.assertGreater(len(self.waited), 200)
-        self.assertTrue(all(call.is_served for call in self.load.calls))
+        self.assertTrue(all(call.is_served for call in self.simulation.calls))
 
     def test_calls_of_a_node_are_served_in_order_of_arrival(self):
         """A call may overtake another one whose attempt is refused at that time."""
         passed = 0
-        for node in self.load.nodes:
+        for node in self.simulation.nodes:
             own = sorted(
                 (call for call in self.waited if call.node is node),
                 key=lambda call: call.accepted_at,
@@ -128,7 +128,9 @@
 
     def test_the_retries_are_spread_over_time(self):
         """From 2.5 to 2.6 s, when about 17 slots become free every 20 ms."""
-        arrivals = [when for back_end in self.load.back_ends.values() for when in back_end.arrivals]
+        arrivals = [
+            when for back_end in self.simulation.back_ends.values() for when in back_end.arrivals
+        ]
         for number in range(5):
             start = 2.5 + 0.02 * number
             self.assertLess(sum(start <= when < start + 0.02 for when in arrivals), 110)
@@ -136,43 +138,45 @@
 
 class DeadlineTest(unittest.TestCase):
     def test_a_call_that_cannot_meet_its_deadline_is_refused_early_with_a_retry_time(self):
-        load = PlainServiceSimulation(ServicePolicy, seed=SEED)
-        load.offer(500, 1.0)
-        load.block(0.0, 10.0)
-        load.run()
-        for call in load.calls:
+        simulation = PlainServiceSimulation(ServicePolicy, seed=SEED)
+        simulation.offer(500, 1.0)
+        simulation.block(0.0, 10.0)
+        simulation.run()
+        for call in simulation.calls:
             self.assertFalse(call.is_served)
             left_s = call.limit_at - call.ended_at
             self.assertTrue(0.0 < left_s < 0.06, left_s)
             within = call.retry_after_s / LONGEST_ROOM_RETRY_S
             self.assertTrue(1.0 <= within <= 1.0 + ROOM_RETRY_SPREAD)
-        self.assertGreater(len({call.retry_after_s for call in load.calls}), 0.3 * len(load.calls))
+        self.assertGreater(
+            len({call.retry_after_s for call in simulation.calls}), 0.3 * len(simulation.calls)
+        )
 
     def test_waiting_calls_cause_few_refusals_by_back_ends(self):
-        load = PlainServiceSimulation(ServicePolicy, seed=SEED)
-        load.offer(500, 1.0)
-        load.block(0.0, 10.0)
-        load.run()
-        self.assertLess(load.rejections / len(load.calls), 12)
+        simulation = PlainServiceSimulation(ServicePolicy, seed=SEED)
+        simulation.offer(500, 1.0)
+        simulation.block(0.0, 10.0)
+        simulation.run()
+        self.assertLess(simulation.rejections / len(simulation.calls), 12)
 
 
 class ReturnTest(unittest.TestCase):
     """One back end is removed and listed again at all nodes at once, at 500 calls per second."""
 
     def setUp(self):
-        self.load = PlainServiceSimulation(ServicePolicy, seed=SEED)
-        self.load.offer(500, 7.0)
-        self.load.apply_list_at(2.0, self.load.records[1:])
-        self.load.apply_list_at(4.0, self.load.records)
-        self.load.run()
+        self.simulation = PlainServiceSimulation(ServicePolicy, seed=SEED)
+        self.simulation.offer(500, 7.0)
+        self.simulation.apply_list_at(2.0, self.simulation.records[1:])
+        self.simulation.apply_list_at(4.0, self.simulation.records)
+        self.simulation.run()
 
     def sent_to_first(self, start, end):
-        arrivals = self.load.back_ends["i-0"].arrivals
+        arrivals = self.simulation.back_ends["i-0"].arrivals
         return sum(start <= when < end for when in arrivals)
 
     def test_a_removed_back_end_gets_no_calls_and_no_call_is_refused(self):
         self.assertEqual(self.sent_to_first(2.05, 4.0), 0)
-        self.assertTrue(all(call.is_served for call in self.load.calls))
+        self.assertTrue(all(call.is_served for call in self.simulation.calls))
 
     def test_there_is_no_thundering_herd_when_it_is_listed_again(self):
         """It gets less than 30 calls in each 100 ms; its share is 10."""
