--- a/src/passlane/decisions/__init__.py
+++ b/src/passlane/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Every rule by which passlane decides, without I/O, clock or randomness of its own."""
+"""Decision rules of passlane, with no I/O, clock or randomness of their own."""
--- a/src/passlane/decisions/failure/__init__.py
+++ b/src/passlane/decisions/failure/__init__.py
@@ -1,1 +1,1 @@
-"""What an answer or a failure means, whether to send again, when to give up or come back."""
+"""Interpretation of answers and failures, retry decisions, timeouts and retry-after times."""
--- a/src/passlane/decisions/failure/answer_verdicts.py
+++ b/src/passlane/decisions/failure/answer_verdicts.py
@@ -1,9 +1,8 @@
-"""Judges what a back end's answer means for a request, and what its own caller may be promised.
+"""Classifies answers of back ends and chooses statuses that match the verdict on a request.
 
-Statuses 408, 421, 429 and 503 promise that a request has not run. Such a promise is believed
-of a back end, and made to a caller, only if it is proved (``docs/design/verdicts-and-retries.md``).
-The log lines ``backend_refused``, ``backend_answer_untrusted`` and ``refusal_withheld`` tell of
-what is decided here.
+Statuses 408, 421, 429 and 503 state that a request has not run. Such a status is accepted from a
+back end, and sent to a caller, only with proof. The log lines ``backend_refused``,
+``backend_answer_untrusted`` and ``refusal_withheld`` report these decisions.
 """
 
 import enum
@@ -12,31 +11,33 @@
 from passlane.errors import Verdict
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-"""Statuses that promise a caller that its request has not run and never will."""
+"""Statuses that tell a caller that its request has not run and never will."""
 FIRST_CLIENT_ERROR = 400
 FIRST_SERVER_ERROR = 500
-"""From this status on, an answer counts as a failure of the back end; from ``FIRST_CLIENT_ERROR``
-to below it, as a fault of the request."""
+"""First status that counts as a failure of the back end. Statuses from ``FIRST_CLIENT_ERROR`` up
+to this one count as errors of the request."""
 BAD_GATEWAY = 502
 GATEWAY_TIMEOUT = 504
 UNAVAILABLE = 503
 
 
 class Judgement(enum.Enum):
-    """What to do with an answer."""
+    """How to handle an answer."""
 
     PASS_ON = "pass_on"
     NOT_RUN = "not_run"
-    """The request did not run: it may be sent to another back end."""
+    """The request did not run, so it may be sent to another back end."""
     UNTRUSTED = "untrusted"
-    """The request may have run, but this is no answer to it."""
+    """The request may have run, but the answer can't be forwarded to the caller."""
 
 
 def judge_answer(head: AnswerHead) -> Judgement:
-    """Return what to do with an answer whose head has arrived.
+    """Return how to handle an answer whose head has been received.
 
-    A status that promises "not run" is only believed where the back end proves it, and
-    is never passed on without that proof.
+    1. A proven refusal means that the request did not run.
+    2. An answer that is not authentic, or a status in ``NOT_RUN_STATUSES`` without proof, is not
+       trusted and never forwarded.
+    3. Any other answer is forwarded.
     """
     if head.refusal is not None:
         return Judgement.NOT_RUN
@@ -46,19 +47,19 @@
 
 
 def is_gone(head: AnswerHead) -> bool:
-    """Whether the answer shows that the instance is no longer at its address."""
+    """Return whether the answer shows that the instance is no longer at its address."""
     return head.refusal is Refusal.WRONG_INSTANCE
 
 
 def is_client_error(head: AnswerHead) -> bool:
-    """Whether a trusted answer finds the request itself wrong: no output was made for it."""
+    """Return whether a trusted answer rejects the request itself, so no output was generated."""
     return FIRST_CLIENT_ERROR <= head.status < FIRST_SERVER_ERROR
 
 
 def truthful_status(status: int, verdict: Verdict) -> int:
-    """Return the status of a refusal, or one that promises nothing if the refusal would be false.
+    """Return ``status``, or 502 if the status states "not run" and the verdict does not.
 
-    Every refusal of this system's own goes through here.
+    Applies to every refusal that this system generates itself.
     """
     if status in NOT_RUN_STATUSES and verdict is not Verdict.NOT_RUN:
         return BAD_GATEWAY
@@ -68,7 +69,9 @@
 def status_when_given_up(verdict: Verdict, *, is_late: bool) -> int:
     """Return the final status of a request that got no answer.
 
-    Only a request that certainly did not run gets a status that promises so.
+    1. A request that certainly did not run: 503.
+    2. A request that may have run and has exceeded its time limit: 504.
+    3. Any other request that may have run: 502.
     """
     if verdict is Verdict.NOT_RUN:
         return UNAVAILABLE
--- a/src/passlane/decisions/failure/resending.py
+++ b/src/passlane/decisions/failure/resending.py
@@ -1,8 +1,8 @@
-"""Decides whether a request is sent to one more back end after an attempt without an answer.
+"""Decides whether to send a request to another back end after an attempt without an answer.
 
-What promises rest on: a request that may have run is sent again only if its route says that it
-may be repeated, and to at most ``max_attempts`` back ends that may run it. Proved refusals do
-not count. The log line ``request_ended`` shows the outcome in ``tried`` and ``verdict``.
+A request whose outcome is unknown is sent again only if its route allows repeats, and at most
+``max_attempts`` back ends may run it. Proven refusals do not count as attempts. The log line
+``request_ended`` reports the result in ``tried`` and ``verdict``.
 """
 
 import enum
@@ -11,29 +11,36 @@
 
 
 class AfterBreak(enum.Enum):
-    """What follows an attempt that broke off."""
+    """What to do after an attempt failed without a complete answer."""
 
     NOT_SENT = "not_sent"
-    """No byte had left: it goes to another back end, and nothing is counted."""
+    """No byte was sent: try another back end without counting the attempt."""
     SEND_AGAIN = "send_again"
-    """It may have run, and may run once more at another back end."""
+    """The request may have run and may be retried at another back end."""
     FAIL = "fail"
-    """It may have run, and must not run again."""
+    """The request may have run and must not run again."""
 
 
 def after_break(
     route: Route, runs_before: int, *, bytes_left: bool, is_answer_final: bool
 ) -> AfterBreak:
-    """Return what follows an attempt that broke off.
+    """Return what to do after an attempt failed without a complete answer.
+
+    1. No byte of the request was sent: try another back end.
+    2. The caller has received output that only this answer can continue, or the attempts are
+       used up: fail.
+    3. Otherwise: send the request again.
 
     Parameters
     ----------
+    route
+        Route of the request.
     runs_before
-        Earlier attempts that may have run.
+        Number of earlier attempts that may have run.
     bytes_left
-        ``False`` only if it is certain that no byte of the request left this process.
+        ``False`` only if it is certain that no byte of the request was sent by this process.
     is_answer_final
-        Whether the caller has got a part that no other answer can go on with.
+        Whether the caller has received output that no other answer can continue.
     """
     if not bytes_left:
         return AfterBreak.NOT_SENT
@@ -43,14 +50,14 @@
 
 
 def may_run_again(route: Route, runs: int) -> bool:
-    """Whether a request that may have run ``runs`` times may be sent to one more back end."""
+    """Return whether a request that may have run ``runs`` times may be sent again."""
     return route.is_repeatable and runs < route.max_attempts
 
 
 def leaves_silent_backend(route: Route, runs_before: int) -> bool:
-    """Whether a request turns from a silent back end to another one.
+    """Return whether a request abandons a silent back end for another one.
 
-    Only a repeatable request does, as far as its most attempts allow. A stream stays: its
-    engine may be reading a long prompt.
+    Only repeatable requests do, within their limit on attempts. A stream stays, because its
+    engine may be computing a long prompt.
     """
     return route.kind is RouteKind.REPEATABLE and may_run_again(route, runs_before + 1)
--- a/src/passlane/decisions/failure/retry_after.py
+++ b/src/passlane/decisions/failure/retry_after.py
@@ -1,44 +1,40 @@
-"""Decides when a refused caller is told to come back, in seconds.
+"""Computes the retry-after time of refused requests, in seconds.
 
-Two cases: something is missing (the configuration, the store group's leader, the node's own
-strength), or the back ends have no room. The answer to the caller bears the result.
+There are two cases: the node can't serve requests (no configuration, no leader of the store group,
+or the node is overloaded), or the back ends have no free capacity.
 """
 
 SHORTEST_OUTAGE_RETRY_S = 0.1
 LONGEST_OUTAGE_RETRY_S = 1.0
-"""Seconds; bounds as in ``docs/design/node-bounds.md``. Measured only together with the wait at
-a start (``docs/measurements/further-deployment.md``, "early listening, waiting, times to come
-back")."""
-SHORTEST_ROOM_RETRY_S = 0.05
-"""Seconds. A caller's way to another node takes some milliseconds and a new connection. Not
-measured; chosen."""
+MIN_CAPACITY_RETRY_S = 0.05
+"""Longer than a caller needs to connect to another node."""
 LONGEST_ROOM_RETRY_S = 0.6
-"""Seconds. Callers have one to three seconds; a longer pause leaves no time for an answer. Not
-measured; chosen."""
+"""Leaves time for an answer within a caller's time limit of one to three seconds."""
 ROOM_RETRY_SPREAD = 0.5
-"""Times to come back are lengthened by up to this share, also the longest one, so that callers
-that were refused together don't return together. Not measured; chosen."""
+"""Maximum share that jitter adds to a retry-after time, also at the upper bound, so that callers
+refused together don't retry together."""
 
 
 def retry_after_outage_s(outage_s: float) -> float:
-    """Return the seconds to wait when something has been missing for ``outage_s``.
+    """Return the retry-after time in an outage that has lasted ``outage_s`` seconds.
 
-    What is missing mostly returns soon after it was lost, and the longer it stays away the
-    longer it is likely to. So a caller is asked to wait about as long as the outage has
-    lasted: a short outage costs little, and a long one draws few repeats.
+    The time equals the outage so far, within bounds: short outages delay callers little, and long
+    outages cause few retries.
     """
     return round(min(LONGEST_OUTAGE_RETRY_S, max(SHORTEST_OUTAGE_RETRY_S, outage_s)), 2)
 
 
 def retry_after_wait_s(wait_s: float, draw: float) -> float:
-    """Return the seconds to wait when requests have waited for room for ``wait_s``.
+    """Return the retry-after time when requests have waited for capacity for ``wait_s`` seconds.
 
-    Room is missing for about as long again as it has been.
+    The shortage is expected to last as long again as it has lasted so far.
 
     Parameters
     ----------
+    wait_s
+        Duration of the wait so far, in seconds.
     draw
-        Uniform from 0 to 1; spreads the callers.
+        Uniform random number from 0 to 1 for jitter.
     """
-    within_s = min(LONGEST_ROOM_RETRY_S, max(SHORTEST_ROOM_RETRY_S, wait_s))
-    return round(within_s * (1.0 + ROOM_RETRY_SPREAD * draw), 3)
+    bounded_s = min(LONGEST_ROOM_RETRY_S, max(MIN_CAPACITY_RETRY_S, wait_s))
+    return round(bounded_s * (1.0 + ROOM_RETRY_SPREAD * draw), 3)
--- a/src/passlane/decisions/failure/retry_budget.py
+++ b/src/passlane/decisions/failure/retry_budget.py
@@ -1,4 +1,4 @@
-"""Retry budget: retries stay a small share of the requests, so that they never storm."""
+"""Retry budget: limits retries to a small share of the requests to prevent retry storms."""
 
 from dataclasses import dataclass
 
@@ -10,9 +10,9 @@
     Attributes
     ----------
     retries_per_request
-        What each first attempt adds to the budget.
+        Retries that each first attempt adds to the budget.
     max_retries
-        Most retries that may be saved up, and what a new budget starts with.
+        Maximum of the budget, and its initial value.
     """
 
     retries_per_request: float = 0.1
@@ -20,19 +20,21 @@
 
 
 class RetryBudget:
-    """Counts first attempts of one back end and says whether a retry is affordable."""
+    """Counts first attempts at one back end and decides whether a retry is allowed."""
 
     def __init__(self, config: RetryBudgetConfig | None = None) -> None:
         self._config = config or RetryBudgetConfig()
-        self._saved = self._config.max_retries
+        self._available = self._config.max_retries
 
     def record_request(self) -> None:
-        """Note a first attempt."""
-        self._saved = min(self._saved + self._config.retries_per_request, self._config.max_retries)
+        """Record a first attempt."""
+        self._available = min(
+            self._available + self._config.retries_per_request, self._config.max_retries
+        )
 
     def try_spend(self) -> bool:
-        """Take one retry from the budget; return whether there was one."""
-        if self._saved < 1.0:
+        """Spend one retry; return whether the budget had one."""
+        if self._available < 1.0:
             return False
-        self._saved -= 1.0
+        self._available -= 1.0
         return True
--- a/tests/decisions/failure/test_answer_verdicts.py
+++ b/tests/decisions/failure/test_answer_verdicts.py
@@ -1,4 +1,4 @@
-"""What an answer means, and what a caller may be promised."""
+"""Classification of answers, and statuses that match the verdict on a request."""
 
 import unittest
 
@@ -19,37 +19,37 @@
 
 
 class JudgementTest(unittest.TestCase):
-    def test_an_answer_that_proves_itself_is_passed_on(self):
+    def test_an_authentic_answer_is_forwarded(self):
         for status in (200, 404, 500):
             self.assertIs(judge_answer(head(status)), Judgement.PASS_ON)
 
-    def test_a_proved_refusal_did_not_run(self):
+    def test_a_proven_refusal_did_not_run(self):
         for refusal in Refusal:
             self.assertIs(judge_answer(head(503, refusal)), Judgement.NOT_RUN)
 
-    def test_a_promise_without_proof_is_not_believed(self):
+    def test_a_not_run_status_without_proof_is_untrusted(self):
         for status in NOT_RUN_STATUSES:
             self.assertIs(judge_answer(head(status)), Judgement.UNTRUSTED)
 
-    def test_an_answer_without_its_marks_is_none(self):
+    def test_an_answer_that_is_not_authentic_is_untrusted(self):
         self.assertIs(judge_answer(head(200, is_authentic=False)), Judgement.UNTRUSTED)
 
-    def test_only_a_wrong_instance_is_gone(self):
+    def test_only_a_wrong_instance_refusal_means_gone(self):
         for refusal in Refusal:
             self.assertEqual(is_gone(head(421, refusal)), refusal is Refusal.WRONG_INSTANCE)
 
 
-class PromiseTest(unittest.TestCase):
-    def test_a_refusal_promises_only_what_is_known(self):
+class RefusalStatusTest(unittest.TestCase):
+    def test_a_not_run_status_requires_a_not_run_verdict(self):
         for status in NOT_RUN_STATUSES:
             self.assertEqual(truthful_status(status, Verdict.NOT_RUN), status)
             self.assertEqual(truthful_status(status, Verdict.MAY_HAVE_RUN), 502)
 
-    def test_statuses_that_promise_nothing_stay(self):
+    def test_other_statuses_are_kept(self):
         for status in (401, 404, 502, 504):
             self.assertEqual(truthful_status(status, Verdict.MAY_HAVE_RUN), status)
 
-    def test_whoever_gives_up_promises_only_what_did_not_run(self):
+    def test_only_a_request_that_did_not_run_ends_with_503(self):
         for is_late in (False, True):
             self.assertEqual(status_when_given_up(Verdict.NOT_RUN, is_late=is_late), 503)
         self.assertEqual(status_when_given_up(Verdict.MAY_HAVE_RUN, is_late=False), 502)
--- a/tests/decisions/failure/test_client_timeout.py
+++ b/tests/decisions/failure/test_client_timeout.py
@@ -1,4 +1,4 @@
-"""Until when a caller bears silence, and when a wait is hopeless."""
+"""Client timeout on silent streams, and when a wait is abandoned."""
 
 import unittest
 
@@ -13,27 +13,27 @@
     )
 
 
-class FirstPartTest(unittest.TestCase):
-    def test_the_longest_of_three_counts(self):
+class FirstPartDeadlineTest(unittest.TestCase):
+    def test_the_maximum_of_the_three_timeouts_applies(self):
         for target_s, gap_s, due_at in ((0.1, 0.1, 12.0), (1.0, 0.1, 14.0), (0.1, 1.0, 18.0)):
             self.assertEqual(first_part_due_at(stream(target_s, gap_s), 10.0, 99.0), due_at)
 
-    def test_the_requests_own_time_comes_first(self):
+    def test_the_time_limit_of_the_request_applies(self):
         self.assertEqual(first_part_due_at(stream(1.0, 1.0), 10.0, 11.0), 11.0)
 
-    def test_what_is_no_stream_is_waited_for_to_its_end(self):
+    def test_other_requests_wait_until_their_time_limit(self):
         other = route(kind=RouteKind.REPEATABLE)
         self.assertEqual(first_part_due_at(other, 10.0, 99.0), 99.0)
 
 
-class HopelessTest(unittest.TestCase):
+class AbandonedWaitTest(unittest.TestCase):
     def hopeless_at(self, whole_by):
         return hopeless_at(
             stream(1.0, 0.1), whole_by=whole_by, silent_since=10.0, limit_at=99.0, typical_s=0.5
         )
 
-    def test_a_first_part_takes_its_typical_time(self):
+    def test_the_typical_time_to_the_first_part_is_reserved(self):
         self.assertEqual(self.hopeless_at(98.0), 13.5)
 
-    def test_a_whole_answer_may_need_more(self):
+    def test_the_complete_answer_may_need_an_earlier_start(self):
         self.assertEqual(self.hopeless_at(12.0), 12.0)
--- a/tests/decisions/failure/test_resending.py
+++ b/tests/decisions/failure/test_resending.py
@@ -1,4 +1,4 @@
-"""Whether a request is sent once more."""
+"""Whether a request is sent to another back end after a failed attempt."""
 
 import unittest
 
@@ -21,29 +21,29 @@
     return after_break(route, runs_before, bytes_left=bytes_left, is_answer_final=is_answer_final)
 
 
-class AfterBreakTest(unittest.TestCase):
-    def test_without_a_byte_sent_nothing_is_counted(self):
+class FailedAttemptTest(unittest.TestCase):
+    def test_an_attempt_without_a_byte_sent_is_not_counted(self):
         for each in (TWICE, ONCE):
             self.assertIs(after(each, 5, bytes_left=False), AfterBreak.NOT_SENT)
 
-    def test_a_repeatable_request_runs_as_often_as_its_route_says(self):
+    def test_a_repeatable_request_runs_up_to_the_attempts_of_its_route(self):
         self.assertIs(after(TWICE, 0), AfterBreak.SEND_AGAIN)
         self.assertIs(after(TWICE, 1), AfterBreak.FAIL)
 
-    def test_any_other_runs_once(self):
+    def test_other_requests_run_once(self):
         self.assertFalse(may_run_again(ONCE, 0))
         self.assertIs(after(ONCE, 0), AfterBreak.FAIL)
 
-    def test_an_answer_that_has_begun_is_not_begun_anew(self):
+    def test_a_request_with_a_final_answer_is_not_sent_again(self):
         self.assertIs(after(TWICE, 0, is_answer_final=True), AfterBreak.FAIL)
 
 
-class SilenceTest(unittest.TestCase):
-    def test_a_silent_back_end_is_left_while_another_may_run_it(self):
+class SilentBackendTest(unittest.TestCase):
+    def test_a_silent_back_end_is_abandoned_while_attempts_remain(self):
         self.assertTrue(leaves_silent_backend(TWICE, 0))
         self.assertFalse(leaves_silent_backend(TWICE, 1))
 
-    def test_silence_is_borne_by_streams_and_by_what_runs_once(self):
+    def test_streams_and_requests_that_run_once_keep_a_silent_back_end(self):
         stream = msgspec.structs.replace(TWICE, kind=RouteKind.STREAM, is_resumable=True)
         self.assertTrue(may_run_again(stream, 1))
         self.assertFalse(leaves_silent_backend(stream, 0))
--- a/tests/decisions/failure/test_retry_budget.py
+++ b/tests/decisions/failure/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Retries stay a share of the requests."""
+"""The retry budget limits retries to a share of the requests."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class RetryBudgetTest(unittest.TestCase):
-    def test_retries_are_a_share_of_requests(self):
+    def test_retries_are_limited_to_a_share_of_requests(self):
         budget = RetryBudget(RetryBudgetConfig(retries_per_request=0.1, max_retries=2.0))
         self.assertEqual([True, True, False], [budget.try_spend() for _ in range(3)])
         retries = 0
--- a/tests/decisions/order/test_room_queue.py
+++ b/tests/decisions/order/test_room_queue.py
@@ -4,8 +4,8 @@
 
 from passlane.decisions.failure.retry_after import (
     LONGEST_ROOM_RETRY_S,
+    MIN_CAPACITY_RETRY_S,
     ROOM_RETRY_SPREAD,
-    SHORTEST_ROOM_RETRY_S,
 )
 from passlane.decisions.order.room_queue import PAUSE_SPREAD, PauseRange, RoomQueue, WaitingCall
 from passlane.decisions.order.service_room import (
@@ -138,7 +138,7 @@
         self.assertIsNone(room.note_answered("i-1", "turn", 0.1, 0.1))
 
     def test_the_time_to_come_back_follows_how_long_room_has_been_missing(self):
-        self.assertEqual(self.room.come_back_s(0.0, 0.0), SHORTEST_ROOM_RETRY_S)
+        self.assertEqual(self.room.come_back_s(0.0, 0.0), MIN_CAPACITY_RETRY_S)
         self.room.join(waiting(arrived_at=0.0, give_up_at=9.0), 0.0, 0.5, 6)
         self.assertEqual(self.room.come_back_s(0.3, 0.0), 0.3)
         self.assertEqual(self.room.come_back_s(5.0, 0.0), LONGEST_ROOM_RETRY_S)
@@ -150,4 +150,4 @@
     def test_a_wait_that_has_just_ended_counts_for_a_second(self):
         self.room.note_wait_ended(waiting(arrived_at=0.0), 0.4)
         self.assertEqual(self.room.come_back_s(0.5, 0.0), 0.4)
-        self.assertEqual(self.room.come_back_s(2.0, 0.0), SHORTEST_ROOM_RETRY_S)
+        self.assertEqual(self.room.come_back_s(2.0, 0.0), MIN_CAPACITY_RETRY_S)
