--- a/src/passlane/decisions/admission/__init__.py
+++ b/src/passlane/decisions/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Which new programs and requests are taken on."""
+"""Admission of new programs and requests, and load shedding."""
--- a/src/passlane/decisions/admission/held_bytes.py
+++ b/src/passlane/decisions/admission/held_bytes.py
@@ -1,7 +1,8 @@
-"""Decides about readers that take what is held for them slowly, or not at all.
+"""Applies backpressure for slow readers and decides which stalled readers to terminate.
 
-A reader is whoever is to read bytes that this process holds meanwhile. No I/O is done here:
-who holds the bytes tells what was taken and passed on, and does as it is told.
+A reader is a connection that receives bytes buffered by this process. The module does no I/O: the
+owner of the buffers reports bytes that were buffered or forwarded, and carries out the
+instructions.
 """
 
 import enum
@@ -10,27 +11,28 @@
 import msgspec
 
 BYTES_FOR_ONE = 65_536
-"""What may be held for one reader before more waits: some hundred events of a stream."""
+"""Maximum bytes buffered for one reader before writers wait; about a hundred stream events."""
 SHARE_OF_MEMORY = 1 / 16
-"""What may be held for all readers, of the machine's memory: enough for a hundred readers with
-full buffers on a small machine, and too little to be what ends the process."""
+"""Maximum share of the machine's memory that is buffered for all readers: enough for a hundred
+full buffers on a small machine, and too little to exhaust its memory."""
 LONGEST_STALL_S = 2.0
-"""A caller that has had nothing of a stream for so long has given it up itself."""
+"""Default time without progress after which a reader is terminated. Callers abandon a stream that
+has been silent for this long."""
 SHORTEST_STALL_S = 0.5
-"""A reader that has not moved for less is never ended: its link may have lost a packet."""
+"""A reader stalled for less than this is never terminated, as its link may have lost a packet."""
 
 
 class HeldBytesBounds(msgspec.Struct, frozen=True):
-    """Bounds on what is held for readers.
+    """Bounds on the bytes buffered for readers.
 
     Attributes
     ----------
     for_one
-        Bytes for one reader, beyond which more waits.
+        Maximum bytes for one reader; its writers wait when it is reached.
     for_all
-        Bytes for all readers together; ``None`` for no bound.
+        Maximum bytes for all readers together; ``None`` for no bound.
     longest_stall_s
-        A reader that has taken nothing for so long is ended.
+        Time without progress after which a reader is terminated, in seconds.
     """
 
     for_one: int = BYTES_FOR_ONE
@@ -39,30 +41,34 @@
 
 
 class Instruction(enum.Enum):
-    """Whether more may be taken for a reader."""
+    """Whether more bytes may be buffered for a reader."""
 
     GO_ON = "go_on"
     WAIT = "wait"
 
 
 class EndReason(enum.StrEnum):
-    """Why what is held for a reader is dropped."""
+    """Why a reader is terminated and its buffered bytes are dropped."""
 
     READER_STOPPED = "reader_stopped"
-    """It has taken nothing for too long."""
+    """The reader has made no progress for too long."""
     HELD_BYTES_BOUND = "held_bytes_bound"
-    """Too much is held for all, and this reader has not moved for longest."""
+    """The bound for all readers is reached, and this reader has been stalled for the longest."""
 
 
 class Ending(msgspec.Struct, frozen=True):
-    """A reader to be ended.
+    """A reader to terminate.
 
     Attributes
     ----------
+    reader
+        Key of the reader.
+    reason
+        Why it is terminated.
     held_bytes
-        What was held for it.
+        Bytes that were buffered for it.
     stalled_s
-        How long it had taken nothing.
+        Time since its last progress, in seconds.
     """
 
     reader: Hashable
@@ -72,19 +78,24 @@
 
 
 class _Reader(msgspec.Struct):
-    """What is held for a reader, and since when nothing of it was passed on."""
+    """Bytes buffered for a reader, and the time since which none of them was forwarded."""
 
     held: int
     stalled_since: float
 
 
 class HeldBytes:
-    """Bytes held for readers; local times.
+    """Bytes buffered for each reader; times are local.
+
+    Parameters
+    ----------
+    bounds
+        Limits on bytes and on stalls.
 
     Attributes
     ----------
     total
-        Bytes held for all readers.
+        Bytes buffered for all readers.
     """
 
     def __init__(self, bounds: HeldBytesBounds) -> None:
@@ -94,16 +105,16 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether as much is held for all as may be."""
+        """Whether the bound for all readers is reached."""
         for_all = self._bounds.for_all
         return for_all is not None and self.total >= for_all
 
     def replace_bounds(self, bounds: HeldBytesBounds) -> None:
-        """Decide by other bounds from now on."""
+        """Replace the bounds."""
         self._bounds = bounds
 
     def taken(self, reader: Hashable, size: int, now: float) -> Instruction:
-        """Note that ``size`` bytes more are held for a reader."""
+        """Record that another ``size`` bytes are buffered for a reader."""
         state = self._readers.get(reader)
         if state is None:
             state = self._readers[reader] = _Reader(0, now)
@@ -112,7 +123,7 @@
         return self._instruct(state)
 
     def passed_on(self, reader: Hashable, size: int, now: float) -> Instruction:
-        """Note that a reader has taken ``size`` bytes of what is held for it."""
+        """Record that ``size`` buffered bytes were forwarded to a reader."""
         state = self._readers.get(reader)
         if state is None:
             return Instruction.GO_ON
@@ -125,33 +136,38 @@
         return self._instruct(state)
 
     def closed(self, reader: Hashable) -> None:
-        """Note that nothing is held for a reader any more."""
+        """Remove a reader and its buffered bytes."""
         state = self._readers.pop(reader, None)
         if state is not None:
             self.total -= state.held
 
     def skip(self, seconds: float) -> None:
-        """Leave a span out of all stalls, such as one in which this process didn't run."""
+        """Exclude an interval from all stalls, such as one in which this process did not run."""
         for state in self._readers.values():
             state.stalled_since += seconds
 
     def check(self, now: float) -> Sequence[Ending]:
-        """Return the readers to be ended by now; they are forgotten here."""
+        """Remove and return the readers to terminate.
+
+        1. Readers without progress for ``longest_stall_s``.
+        2. While the bound for all readers is reached, the reader stalled for the longest, if it
+           has been stalled for at least ``SHORTEST_STALL_S``.
+        """
         endings = [
             self._end(reader, EndReason.READER_STOPPED, now)
             for reader, state in list(self._readers.items())
             if now - state.stalled_since >= self._bounds.longest_stall_s
         ]
-        return endings + self._shed(now)
+        return endings + self._end_longest_stalled(now)
 
-    def _shed(self, now: float) -> list[Ending]:
-        """End those that have not moved for longest until the rest is within the bound."""
+    def _end_longest_stalled(self, now: float) -> list[Ending]:
+        """Terminate the longest stalled readers until the total is below the bound."""
         endings: list[Ending] = []
         if not self.is_over:
             return endings
         for reader in sorted(self._readers, key=lambda each: self._readers[each].stalled_since):
-            is_moving = now - self._readers[reader].stalled_since < SHORTEST_STALL_S
-            if is_moving or not self.is_over:
+            is_progressing = now - self._readers[reader].stalled_since < SHORTEST_STALL_S
+            if is_progressing or not self.is_over:
                 break
             endings.append(self._end(reader, EndReason.HELD_BYTES_BOUND, now))
         return endings
--- a/src/passlane/decisions/admission/loop_lag.py
+++ b/src/passlane/decisions/admission/loop_lag.py
@@ -1,20 +1,20 @@
-"""How late the loop of a process runs: measured by when a timer fires."""
+"""Event loop lag of a process, sampled as the delay of a periodic timer."""
 
 from collections import deque
 
 SAMPLE_PERIOD_S = 0.25
-"""Time between two samples: often enough to see what lasts as long as a turn's target."""
+"""Interval between samples, short enough to detect lag that lasts as long as a turn's target."""
 SAMPLE_WEIGHT = 0.3
-"""Weight of a new sample in the mean: what has ended is forgotten within about a second."""
+"""Weight of a new sample in the mean, so that past lag decays within about a second."""
 LARGEST_SAMPLE_S = 0.5
-"""A sample counts this much at most: a process that was frozen once is not late for long."""
-WORST_OF_S = 1.0
-"""The worst sample is that of this span."""
-_SAMPLES = int(WORST_OF_S / SAMPLE_PERIOD_S)
+"""Upper bound of a sample in the mean, so that a single freeze does not dominate it."""
+MAX_LAG_WINDOW_S = 1.0
+"""Time window of ``worst_s``."""
+_WINDOW_SAMPLES = int(MAX_LAG_WINDOW_S / SAMPLE_PERIOD_S)
 
 
 class LoopLag:
-    """Mean and worst of the samples.
+    """Mean and maximum of the sampled lag.
 
     Attributes
     ----------
@@ -23,16 +23,16 @@
     """
 
     def __init__(self) -> None:
-        self._newest: deque[float] = deque(maxlen=_SAMPLES)
+        self._recent_lags_s: deque[float] = deque(maxlen=_WINDOW_SAMPLES)
         self.mean_s = 0.0
 
     @property
     def worst_s(self) -> float:
-        """The largest of the last second, in seconds."""
-        return max(self._newest, default=0.0)
+        """Maximum lag in the last ``MAX_LAG_WINDOW_S``, in seconds."""
+        return max(self._recent_lags_s, default=0.0)
 
     def note(self, due_at: float, fired_at: float) -> None:
-        """Note when a timer was due and when it fired."""
+        """Record when a timer was due and when it fired."""
         lag_s = max(0.0, fired_at - due_at)
-        self._newest.append(lag_s)
+        self._recent_lags_s.append(lag_s)
         self.mean_s += SAMPLE_WEIGHT * (min(lag_s, LARGEST_SAMPLE_S) - self.mean_s)
--- a/src/passlane/decisions/admission/new_programs.py
+++ b/src/passlane/decisions/admission/new_programs.py
@@ -1,8 +1,7 @@
-"""Answers how many new programs go before another: those that wait, and those told to retry.
+"""Counts the new programs that are ahead of another, both waiting and refused ones.
 
-It is for ``program_admission``: each refusal rests on that number, with thousands of programs in
-a crowd, so they are kept by the order in which they are counted. It owns one entry for each
-program that has not begun, and relies on being told of each that begins, leaves or is forgotten.
+Owns one entry for each program that has not begun, sorted so that thousands of entries can be
+counted quickly. ``program_admission`` reports each program that waits, begins, leaves or expires.
 
 Times are local monotonic seconds.
 """
@@ -12,7 +11,7 @@
 
 
 class NewProgram(NamedTuple):
-    """A program that has not begun; ``asked_at`` is when it asked first."""
+    """A program that has not begun; ``asked_at`` is the time of its first request."""
 
     program_id: str
     urgency: int
@@ -21,21 +20,21 @@
 
 
 class NewPrograms:
-    """Programs that have not begun, each one once."""
+    """Programs that have not begun, one entry each."""
 
     def __init__(self) -> None:
         self._programs: dict[str, NewProgram] = {}
         self._asked_at: dict[int, dict[str, list[float]]] = {}
 
     def put(self, program: NewProgram) -> None:
-        """Count a program, in place of what was known of it."""
+        """Add a program, or replace its entry."""
         self.drop(program.program_id)
         self._programs[program.program_id] = program
         tenants = self._asked_at.setdefault(program.urgency, {})
         bisect.insort(tenants.setdefault(program.tenant, []), program.asked_at)
 
     def drop(self, program_id: str) -> None:
-        """Count a program no longer."""
+        """Remove a program, if present."""
         program = self._programs.pop(program_id, None)
         if program is None:
             return
@@ -46,10 +45,11 @@
             del tenants[program.tenant]
 
     def count_before(self, program: NewProgram) -> int:
-        """Return how many go before a program, by the order of ``turn_queue``.
+        """Return how many programs are ahead of a program, by the order of ``turn_queue``.
 
-        All that are more urgent do. Of those as urgent, those of its own tenant that asked no
-        later do, and of each other tenant as many as that and one more.
+        1. All programs of higher urgency.
+        2. Programs of the same urgency and tenant that did not request later.
+        3. From each other tenant, programs of the same urgency: at most one more than in rule 2.
         """
         more_urgent = sum(
             len(times)
--- a/src/passlane/decisions/admission/node_load.py
+++ b/src/passlane/decisions/admission/node_load.py
@@ -1,11 +1,10 @@
-"""Decides what a node takes on, from how it fares.
+"""Decides which requests a node admits, based on its own load.
 
-Answers "why did this node refuse?" (``node_at_its_bounds``): the log line
-``node_admission_changed`` holds the reading, what it led to and which part of it decided. Owns
-the present state. Source: ``docs/design/node-bounds.md``, "A node's own load".
+Owns the node's admission state. The log line ``node_admission_changed`` explains refusals with
+``node_at_its_bounds``: it contains the reading, the resulting state and the cause.
 
-Requests under way go first: what has begun is never ended here. First new programs are
-refused, then all new requests.
+Requests under way are never ended here. With growing load the node first refuses new programs,
+then all new requests.
 """
 
 import enum
@@ -15,41 +14,38 @@
 from passlane.decisions.failure.retry_after import retry_after_outage_s
 
 LATE_LOOP_S = 0.06
-"""Seconds. An event that is passed on 0.12 s late makes its stream late; a loop that is late by
-half of that in the mean exceeds it often. Derived, see "Thresholds" of the design page."""
+"""Mean loop lag from which new programs are refused: half of the 0.12 s by which an event may be
+delayed before its stream misses its target."""
 VERY_LATE_LOOP_S = 0.25
-"""Seconds. The whole target of a turn; whatever is taken on now comes late. Derived, see
-"Thresholds" of the design page."""
-HIGH_SHARE = 0.8
-"""From this share of memory, descriptors or the like on, new programs are refused. Not measured;
-chosen."""
-HIGHEST_SHARE = 0.92
-"""From this share on, all is refused: a process over its memory limit is killed, with all that
-it has under way. Not measured; chosen."""
-RELIEF_SHARE = 0.5
-"""A late loop counts as recovered at this share of the threshold. Not measured; chosen."""
-ROOM_RELIEF_SHARE = 0.9
-"""Room counts as recovered at this share of the threshold: memory is rarely given back. Not
-measured; chosen."""
-SHORTEST_STATE_S = 0.5
-"""Seconds. A state lasts so long at least, so that one sample more or less doesn't change it. Not
-measured; chosen."""
+"""Mean loop lag from which all requests are refused: the whole latency target of a turn."""
+NEW_PROGRAM_REFUSAL_SHARE = 0.8
+"""Share of a resource limit from which new programs are refused."""
+ALL_REFUSAL_SHARE = 0.92
+"""Share of a resource limit from which all requests are refused, before the process is killed for
+exceeding its memory limit."""
+LOOP_LAG_RECOVERY_SHARE = 0.5
+"""Share of the threshold below which loop lag counts as recovered."""
+RESOURCE_RECOVERY_SHARE = 0.9
+"""Share of the threshold below which a resource counts as recovered; close to 1 because processes
+rarely release memory."""
+MIN_STATE_S = 0.5
+"""Minimum time in a state before a less restrictive one, so that single samples don't toggle it."""
 
 
 class Admission(enum.IntEnum):
-    """What a node takes on; the higher, the less."""
+    """Which requests a node admits; higher values are more restrictive."""
 
     ALL = 0
     KNOWN_PROGRAMS = 1
-    """Further requests of programs that it has served; nothing else."""
+    """Only requests of programs that the node has already served."""
     NOTHING = 2
 
 
 class LoadCause(enum.Enum):
-    """Which reading decided what a node takes on."""
+    """Which part of a reading determined the admission state."""
 
     NONE = ""
-    """None: all is taken again."""
+    """No part: all requests are admitted."""
     LOOP_LAG = "loop_lag"
     HELD_BYTES = "held_bytes"
     UNDER_WAY = "under_way"
@@ -58,20 +54,20 @@
 
 
 class NodeReading(msgspec.Struct, frozen=True):
-    """How a node fares; ``None`` for what isn't known.
+    """Load of a node; ``None`` for unknown values.
 
     Attributes
     ----------
     loop_lag_s
-        By how much the loop runs late, in the mean.
+        Mean lag of the event loop, in seconds.
     held_bytes
-        Bytes held for slow readers.
+        Bytes buffered for slow readers.
     under_way
-        Requests under way.
+        Number of requests under way.
     resident_bytes
-        Memory that the process occupies.
+        Resident memory of the process, in bytes.
     descriptors
-        Descriptors that are open.
+        Number of open file descriptors.
     """
 
     loop_lag_s: float = 0.0
@@ -82,7 +78,7 @@
 
 
 class NodeCapacity(msgspec.Struct, frozen=True):
-    """What a node can carry; ``None`` for no bound."""
+    """Limits of a node, by the fields of ``NodeReading``; ``None`` for no bound."""
 
     late_loop_s: float = LATE_LOOP_S
     very_late_loop_s: float = VERY_LATE_LOOP_S
@@ -93,12 +89,14 @@
 
 
 class LoadChange(msgspec.Struct, frozen=True):
-    """A change of what a node takes on.
+    """A change of a node's admission state.
 
     Attributes
     ----------
+    before, now
+        Previous and new state.
     cause
-        Which reading decided.
+        Part of the reading that determined the new state.
     """
 
     before: Admission
@@ -106,20 +104,25 @@
     cause: LoadCause
 
 
-class _Demand(msgspec.Struct, frozen=True):
-    """What a reading asks for, and which part of it does."""
+class _RequiredAdmission(msgspec.Struct, frozen=True):
+    """The admission state that a reading requires, and the part that determined it."""
 
     admission: Admission
     cause: LoadCause
 
 
 class NodeLoad:
-    """What a node takes on; local times.
+    """Admission state of a node; times are local.
+
+    Parameters
+    ----------
+    capacity
+        Limits to which readings are compared.
 
     Attributes
     ----------
     admission
-        What it takes on now.
+        Current state.
     """
 
     def __init__(self, capacity: NodeCapacity) -> None:
@@ -129,14 +132,18 @@
         self.admission = Admission.ALL
 
     def observe(self, reading: NodeReading, now: float) -> LoadChange | None:
-        """Decide anew by a reading; return the change if there is one."""
-        demand = self._demand_of(reading)
-        wanted = demand.admission
-        if wanted < self.admission and now - self._changed_at < SHORTEST_STATE_S:
+        """Update the state from a reading; return the change, or ``None`` if there is none.
+
+        1. A more restrictive state applies immediately.
+        2. A less restrictive state applies only ``MIN_STATE_S`` after the last change.
+        """
+        required = self._required_by(reading)
+        wanted = required.admission
+        if wanted < self.admission and now - self._changed_at < MIN_STATE_S:
             return None
         if wanted == self.admission:
             return None
-        change = LoadChange(self.admission, wanted, demand.cause)
+        change = LoadChange(self.admission, wanted, required.cause)
         if self.admission is Admission.ALL:
             self._refusing_since = now
         self.admission = wanted
@@ -144,49 +151,64 @@
         return change
 
     def refuses(self, *, is_new_program: bool) -> bool:
-        """Whether a request that has just come is to be refused."""
+        """Return whether to refuse a new request."""
         if self.admission is Admission.NOTHING:
             return True
         return is_new_program and self.admission is Admission.KNOWN_PROGRAMS
 
     def retry_after_s(self, now: float) -> float:
-        """Return when a refused caller is to come back, in seconds."""
+        """Return the retry-after time of a refused request, in seconds."""
         return retry_after_outage_s(now - self._refusing_since)
 
-    def _demand_of(self, reading: NodeReading) -> _Demand:
-        """Return the worst of what the parts of a reading ask for; the first among equals."""
+    def _required_by(self, reading: NodeReading) -> _RequiredAdmission:
+        """Return the most restrictive state that any part of a reading requires.
+
+        Ties are resolved in favor of the first part.
+        """
         capacity = self._capacity
         wanted = {
-            LoadCause.LOOP_LAG: self._by_lag(reading.loop_lag_s),
-            LoadCause.HELD_BYTES: self._by_room(reading.held_bytes, capacity.held_bytes),
-            LoadCause.UNDER_WAY: self._by_room(reading.under_way, capacity.under_way),
-            LoadCause.MEMORY: self._by_room(reading.resident_bytes, capacity.resident_bytes),
-            LoadCause.DESCRIPTORS: self._by_room(reading.descriptors, capacity.descriptors),
+            LoadCause.LOOP_LAG: self._required_by_lag(reading.loop_lag_s),
+            LoadCause.HELD_BYTES: self._required_by_usage(reading.held_bytes, capacity.held_bytes),
+            LoadCause.UNDER_WAY: self._required_by_usage(reading.under_way, capacity.under_way),
+            LoadCause.MEMORY: self._required_by_usage(
+                reading.resident_bytes, capacity.resident_bytes
+            ),
+            LoadCause.DESCRIPTORS: self._required_by_usage(
+                reading.descriptors, capacity.descriptors
+            ),
         }
         cause = max(wanted, key=wanted.__getitem__)
         if wanted[cause] is Admission.ALL:
-            return _Demand(Admission.ALL, LoadCause.NONE)
-        return _Demand(wanted[cause], cause)
+            return _RequiredAdmission(Admission.ALL, LoadCause.NONE)
+        return _RequiredAdmission(wanted[cause], cause)
 
-    def _by_lag(self, lag_s: float) -> Admission:
+    def _required_by_lag(self, lag_s: float) -> Admission:
         capacity = self._capacity
-        return self._by_thresholds(
-            lag_s, capacity.late_loop_s, capacity.very_late_loop_s, RELIEF_SHARE
+        return self._required_by_thresholds(
+            lag_s, capacity.late_loop_s, capacity.very_late_loop_s, LOOP_LAG_RECOVERY_SHARE
         )
 
-    def _by_room(self, used: int | None, most: int | None) -> Admission:
-        if used is None or most is None:
+    def _required_by_usage(self, used: int | None, limit: int | None) -> Admission:
+        if used is None or limit is None:
             return Admission.ALL
-        return self._by_thresholds(used, HIGH_SHARE * most, HIGHEST_SHARE * most, ROOM_RELIEF_SHARE)
+        return self._required_by_thresholds(
+            used,
+            NEW_PROGRAM_REFUSAL_SHARE * limit,
+            ALL_REFUSAL_SHARE * limit,
+            RESOURCE_RECOVERY_SHARE,
+        )
 
-    def _by_thresholds(
-        self, value: float, high: float, highest: float, relief_share: float
+    def _required_by_thresholds(
+        self, value: float, high: float, very_high: float, recovery_share: float
     ) -> Admission:
-        """Return what a value asks for; a state that holds is left below its threshold only."""
+        """Return the state that a value requires.
+
+        In a restrictive state its threshold is multiplied by ``recovery_share`` (hysteresis).
+        """
         if self.admission is Admission.NOTHING:
-            highest *= relief_share
+            very_high *= recovery_share
         if self.admission is not Admission.ALL:
-            high *= relief_share
-        if value >= highest:
+            high *= recovery_share
+        if value >= very_high:
             return Admission.NOTHING
         return Admission.KNOWN_PROGRAMS if value >= high else Admission.ALL
--- a/src/passlane/decisions/admission/program_admission.py
+++ b/src/passlane/decisions/admission/program_admission.py
@@ -1,17 +1,11 @@
-"""Answers when a new program begins, waits a moment, or is refused with a time to retry.
+"""Estimates when a new program can begin, and tracks refused programs until they retry.
 
-It is for services whose callers compete for too few slots. A program that is begun while there
-is no room slows all that are under way, and then all come late and none is spared. So a new
-program begins only when no turn that goes before it waits. One that can't begin soon is refused
-at once, and its ``retry_after_s`` tells when there is expected to be room, from the programs
-before it and the rate at which programs are begun, so that callers retry one after the other.
-Who asked first comes first, also after a refusal.
+Starting programs without free capacity would delay all programs under way. A new program that
+can't begin soon is therefore refused with a ``retry_after_s`` computed from the number of programs
+ahead of it and the rate at which programs begin. A refused program keeps its position in the order.
 
-It owns the refused programs whose time to retry is not over, and the rate at which programs
-begin. It relies on ``new_programs`` for how many go before one, and on the scheduler of turns for
-being told of each program that waits, leaves or begins.
-
-Times are local monotonic seconds.
+Owns the refused programs that may still retry, and the rate at which programs begin. The turn
+scheduler reports each program that waits, leaves or begins. Times are local monotonic seconds.
 """
 
 import heapq
@@ -25,42 +19,38 @@
 from passlane.decisions.inputs.turn_events import TurnAsked
 
 LONGEST_HOLD_S = 0.5
-"""Seconds. A program expected to begin within this time waits here. A retry takes its caller a
-new connection and two ways more, and callers bear a silence of 2 s. Not measured; chosen."""
+"""Maximum wait of a new program before it is refused, below the 2 s after which callers abandon a
+silent stream."""
 LONGEST_HOLD_AFTER_RETRY_S = 1.5
-"""Seconds. A caller that retried when it was told to is not sent away again for less. Callers
-leave a stream that is silent for 2 s; sent away too often, they give up the program. Not
-measured; chosen."""
-EARLY_TOLERANCE_S = 0.15
-"""Seconds by which callers retry earlier than told and have still done as told: clocks and ways.
-Not measured; chosen."""
+"""Maximum wait of a program that retried on schedule. Longer than ``LONGEST_HOLD_S``, because
+callers abandon a program after repeated refusals."""
+EARLY_RETRY_TOLERANCE_S = 0.15
+"""Time by which a retry may precede its retry-after time and still be on schedule; allows for
+clock differences and network delay."""
 RETRY_GRACE_S = 1.0
-"""Seconds after its time to retry after which a caller is not waited for. Not measured; chosen."""
-RATE_MEMORY_S = 1.5
-"""Seconds over which the rate at which programs begin is taken: bursts begin and end within three
-to seven. Not measured; chosen."""
-SLOWEST_RATE_SHARE = 0.2
-"""Share of what all slots could serve that the rate is not taken to be less than: while more
-urgent programs take nearly all slots few others begin, but such times last for seconds only. Not
-measured; chosen."""
-SHORTEST_RETRY_S = 0.15
-"""Seconds that a refused caller is told at least. Not measured; chosen."""
+"""Time after the retry-after time until a refused program that has not retried expires."""
+RATE_TIME_CONSTANT_S = 1.5
+"""Time constant of the exponentially decaying start rate, shorter than a burst of programs."""
+MIN_RATE_SHARE = 0.2
+"""Lower bound of the start rate, as a share of what all slots could serve. Few programs begin while
+more urgent ones use nearly all slots, but that lasts only for seconds."""
+MIN_RETRY_S = 0.15
+"""Lower bound of ``retry_after_s``."""
 LONGEST_RETRY_S = 3.0
-"""Seconds that a refused caller is told at most. Callers heed a told time up to a third of what
-they have left, mostly 1.3 s; a longer wait is told so that they can turn elsewhere. Not measured;
-chosen."""
+"""Upper bound of ``retry_after_s``. It may exceed what callers are willing to wait, so that they
+can choose another service."""
 
 
 class ExpectedStart(msgspec.Struct, frozen=True):
-    """When a new program is expected to begin; what a refusal rests on.
+    """Estimate of when a new program begins, used to refuse it.
 
     Attributes
     ----------
     programs_before
-        New programs that go before it, refused ones included; ``waiting`` in the log line
+        Number of new programs ahead of it, including refused ones; ``waiting`` in the log line
         ``program_refused``.
     wait_s
-        Until it begins, in seconds.
+        Expected time until it begins, in seconds.
     """
 
     programs_before: int
@@ -68,110 +58,125 @@
 
     @property
     def retry_after_s(self) -> float:
-        """Seconds after which its caller is told to retry."""
+        """Retry-after time for its caller, in seconds."""
         return retry_after(self.wait_s)
 
 
 def retry_after(wait_s: float) -> float:
-    """Return after how many seconds a caller that would wait so long is told to retry."""
-    return min(LONGEST_RETRY_S, max(SHORTEST_RETRY_S, wait_s))
+    """Return the retry-after time for an expected wait, in seconds."""
+    return min(LONGEST_RETRY_S, max(MIN_RETRY_S, wait_s))
 
 
 def hold_s(*, came_as_told: bool) -> float:
-    """Return for how many seconds a new program waits here before it is refused."""
+    """Return the maximum wait of a new program before it is refused, in seconds.
+
+    Parameters
+    ----------
+    came_as_told
+        Whether its caller retried at the given retry-after time.
+    """
     return LONGEST_HOLD_AFTER_RETRY_S if came_as_told else LONGEST_HOLD_S
 
 
 class _Refusal(NamedTuple):
-    """What a refused program was told, in local time."""
+    """First request and retry-after time of a refused program, in local time."""
 
     first_asked_at: float
     retry_at: float
 
 
-class _Lapse(NamedTuple):
-    """When a refused program that has not asked again is forgotten."""
+class _RefusalExpiry(NamedTuple):
+    """Time at which a refused program that has not retried expires."""
 
     at: float
     program_id: str
 
 
 class StartRate:
-    """How many programs a second are begun, of late."""
+    """Exponentially decaying rate at which programs begin."""
 
     def __init__(self) -> None:
         self._count = 0.0
         self._counted_at = 0.0
 
     def note(self, now: float) -> None:
-        """Count a program that begins."""
+        """Record that a program begins."""
         self._decay(now)
         self._count += 1.0
 
     def per_s(self, now: float) -> float:
-        """Return the rate."""
+        """Return the rate in programs per second."""
         self._decay(now)
-        return self._count / RATE_MEMORY_S
+        return self._count / RATE_TIME_CONSTANT_S
 
     def _decay(self, now: float) -> None:
-        self._count *= math.exp(-max(0.0, now - self._counted_at) / RATE_MEMORY_S)
+        self._count *= math.exp(-max(0.0, now - self._counted_at) / RATE_TIME_CONSTANT_S)
         self._counted_at = now
 
 
 class ProgramAdmission:
-    """New programs of one service: who was told to retry, and when the next can begin."""
+    """New programs of one service: waiting and refused programs, and expected start times."""
 
     def __init__(self) -> None:
         self._refused: dict[str, _Refusal] = {}
-        self._lapses: list[_Lapse] = []
+        self._expiries: list[_RefusalExpiry] = []
         self._waiting: Counter[str] = Counter()
         self._programs = NewPrograms()
         self._rate = StartRate()
 
     def __len__(self) -> int:
-        """Return how many programs were told to retry and have not."""
+        """Return the number of refused programs that have not begun or expired."""
         return len(self._refused)
 
     def first_asked_at(self, program_id: str, now: float) -> float:
-        """Return when a program asked first."""
+        """Return the time of a program's first request; ``now`` if it was not refused before."""
         refusal = self._refused.get(program_id)
         return refusal.first_asked_at if refusal is not None else now
 
     def came_as_told(self, program_id: str, now: float) -> bool:
-        """Whether a program that asks now was told to retry by now."""
+        """Return whether a program that was refused retries no earlier than it was told to.
+
+        A retry may be early by ``EARLY_RETRY_TOLERANCE_S``.
+        """
         refusal = self._refused.get(program_id)
-        return refusal is not None and now >= refusal.retry_at - EARLY_TOLERANCE_S
+        return refusal is not None and now >= refusal.retry_at - EARLY_RETRY_TOLERANCE_S
 
     def expected_start(
         self, asked: TurnAsked, asked_at: float, all_slots_per_s: float, now: float
     ) -> ExpectedStart:
-        """Return when a program that asked first at ``asked_at`` is expected to begin.
+        """Return the expected start of a program whose first request was at ``asked_at``.
 
         Parameters
         ----------
+        asked
+            The program's turn.
+        asked_at
+            Time of the program's first request.
         all_slots_per_s
-            Programs a second that all slots together could serve.
+            Programs per second that all slots together could serve.
+        now
+            Current time.
         """
         before = self.programs_before(asked, asked_at, now)
         return ExpectedStart(before, self.expected_wait_s(before, all_slots_per_s, now))
 
     def programs_before(self, asked: TurnAsked, asked_at: float, now: float) -> int:
-        """Return how many new programs go before another that asked first at ``asked_at``."""
+        """Return the number of new programs ahead of one first requested at ``asked_at``."""
         self.forget_lapsed(now)
         return self._programs.count_before(_program_of(asked, asked_at))
 
     def expected_wait_s(self, before: int, all_slots_per_s: float, now: float) -> float:
-        """Return the seconds until a program with so many before it is expected to begin."""
-        slowest_per_s = SLOWEST_RATE_SHARE * all_slots_per_s
-        return (before + 1) / max(slowest_per_s, self._rate.per_s(now))
+        """Return the expected wait of a program with ``before`` programs ahead, in seconds."""
+        min_per_s = MIN_RATE_SHARE * all_slots_per_s
+        return (before + 1) / max(min_per_s, self._rate.per_s(now))
 
     def note_waits(self, asked: TurnAsked, asked_at: float) -> None:
-        """Note that a turn of a new program waits for a slot."""
+        """Record that a turn of a new program waits for a slot."""
         self._waiting[asked.program_id] += 1
         self._programs.put(_program_of(asked, asked_at))
 
     def note_waits_no_longer(self, program_id: str) -> None:
-        """Note that a turn of a new program has left the queue, for whatever reason."""
+        """Record that a turn of a new program left the queue for any reason."""
         self._waiting[program_id] -= 1
         if self._waiting[program_id] > 0:
             return
@@ -180,7 +185,7 @@
             self._programs.drop(program_id)
 
     def note_begun(self, program_id: str, now: float) -> None:
-        """Note that a program begins."""
+        """Record that a program begins."""
         self._refused.pop(program_id, None)
         self._programs.drop(program_id)
         self._rate.note(now)
@@ -188,22 +193,22 @@
     def note_refused(
         self, asked: TurnAsked, asked_at: float, retry_after_s: float, now: float
     ) -> None:
-        """Note that a program is told to retry after so many seconds."""
+        """Record that a program was refused with a retry-after time."""
         retry_at = now + retry_after_s
         self._refused[asked.program_id] = _Refusal(asked_at, retry_at)
-        heapq.heappush(self._lapses, _Lapse(retry_at + RETRY_GRACE_S, asked.program_id))
+        heapq.heappush(self._expiries, _RefusalExpiry(retry_at + RETRY_GRACE_S, asked.program_id))
         self._programs.put(_program_of(asked, asked_at))
 
     def forget_lapsed(self, now: float) -> None:
-        """Forget the refused programs that have not asked again in time."""
-        while self._lapses and self._lapses[0].at < now:
-            lapse = heapq.heappop(self._lapses)
-            refusal = self._refused.get(lapse.program_id)
-            if refusal is None or refusal.retry_at + RETRY_GRACE_S > lapse.at:
+        """Remove refused programs that have not retried in time."""
+        while self._expiries and self._expiries[0].at < now:
+            expiry = heapq.heappop(self._expiries)
+            refusal = self._refused.get(expiry.program_id)
+            if refusal is None or refusal.retry_at + RETRY_GRACE_S > expiry.at:
                 continue
-            del self._refused[lapse.program_id]
-            if lapse.program_id not in self._waiting:
-                self._programs.drop(lapse.program_id)
+            del self._refused[expiry.program_id]
+            if expiry.program_id not in self._waiting:
+                self._programs.drop(expiry.program_id)
 
 
 def _program_of(asked: TurnAsked, asked_at: float) -> NewProgram:
--- a/tests/decisions/admission/test_loop_lag.py
+++ b/tests/decisions/admission/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""A late loop is seen, and forgotten soon."""
+"""Event loop lag is detected, and past lag decays soon."""
 
 import unittest
 from pathlib import Path
@@ -13,13 +13,13 @@
 
 
 class LoopLagTest(unittest.TestCase):
-    def test_the_mean_nears_a_lasting_lag(self):
+    def test_the_mean_converges_to_a_constant_lag(self):
         lag = LoopLag()
         for _ in range(12):
             lag.note(1.0, 1.1)
         self.assertAlmostEqual(lag.mean_s, 0.1, delta=0.005)
 
-    def test_a_process_that_was_frozen_once_is_not_late_for_long(self):
+    def test_the_mean_recovers_soon_after_a_single_freeze(self):
         lag = LoopLag()
         lag.note(1.0, 31.0)
         self.assertAlmostEqual(lag.mean_s, SAMPLE_WEIGHT * LARGEST_SAMPLE_S)
@@ -27,7 +27,7 @@
             lag.note(1.0, 1.0)
         self.assertLess(lag.mean_s, 0.03)
 
-    def test_the_worst_is_that_of_the_last_second(self):
+    def test_the_maximum_covers_the_last_second(self):
         lag = LoopLag()
         lag.note(1.0, 1.3)
         lag.note(1.0, 1.1)
@@ -36,14 +36,14 @@
             lag.note(1.0, 1.0)
         self.assertEqual(lag.worst_s, 0.0)
 
-    def test_a_timer_that_fires_early_is_not_late(self):
+    def test_a_timer_that_fires_early_has_no_lag(self):
         lag = LoopLag()
         lag.note(1.0, 0.999)
         self.assertEqual((lag.mean_s, lag.worst_s), (0.0, 0.0))
 
 
 class ProcessUsageTest(unittest.TestCase):
-    def test_memory_and_descriptors_are_told(self):
+    def test_memory_and_descriptors_are_reported(self):
         self.assertGreater(resident_bytes(), 1_000_000)
         before = open_descriptors()
         with Path("/dev/null").open():
