--- a/src/passlane/decisions/order/__init__.py
+++ b/src/passlane/decisions/order/__init__.py
@@ -1,1 +1,1 @@
-"""Who goes first: the order of turns, of calls, and of requests that wait for a slot."""
+"""Order of waiting turns, calls and requests: priority, fairness and aging."""
--- a/src/passlane/decisions/order/call_queue.py
+++ b/src/passlane/decisions/order/call_queue.py
@@ -1,19 +1,19 @@
 """Queue of the calls that wait for one model, and the order in which they are served.
 
-Order, first rule first:
-
-1. class: lower first; a lane moves up one class for each ``class_step_s`` that its
-   longest-waiting call has waited;
-2. tenants of a class share by weighted fair queuing: the one that has had the least
-   service for its weight comes first;
-3. calls of one lane are ordered by arrival plus ``attained service / ageing rate``: least
-   attained service first, but a second of waiting makes up for ``ageing_tokens_per_s``;
-4. a call whose deadline is near goes to the front of its lane.
-
-A lane holds the calls of one tenant and class; the first calls of programs have lanes of
-their own, so that the calls of programs under way can go on while new ones must wait.
-Because attained service is capped, no call that arrived ``starvation_bound_s`` later
-than another goes ahead of it in its lane, unless its deadline is near.
+The order, by decreasing precedence:
+
+1. Class: lower first. A lane moves up one class for each ``class_step_s`` that its oldest call
+   has waited.
+2. Weighted fair queuing among the tenants of a class: the tenant with the least service per
+   weight first.
+3. Within a lane, arrival time plus ``attained service / aging rate``: least attained service
+   first, where one second of waiting offsets ``ageing_tokens_per_s``.
+4. A call close to its deadline moves to the front of its lane.
+
+A lane contains the calls of one tenant and class. First calls of programs have separate lanes, so
+that calls of programs under way can start while new programs must wait. Attained service is
+capped, so a call never overtakes one in its lane that arrived ``starvation_bound_s`` earlier,
+unless its deadline is near.
 """
 
 import bisect
@@ -29,7 +29,7 @@
 
 
 class _LaneKey(NamedTuple):
-    """Calls that share a lane."""
+    """Key of a lane: calls with the same key share it."""
 
     tenant_id: TenantId
     service_class: int
@@ -41,28 +41,39 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedCall:
-    """A waiting call with its place in the lane's order.
+    """A waiting call with its sort key.
 
-    ``is_first`` tells that it begins a program of its own.
+    Attributes
+    ----------
+    call
+        The call.
+    is_first
+        Whether it is the first call of a program.
+    arrived_at
+        Time of its arrival.
+    sort_time
+        Arrival time shifted by attained service or deadline; calls are sorted by it.
+    number
+        Sequence number of its arrival.
     """
 
     call: CallArrived
     is_first: bool
     arrived_at: float
-    due: float
+    sort_time: float
     number: int
 
     @property
     def order_key(self) -> tuple[float, int]:
-        """Sorts calls of a lane; the number breaks ties by arrival."""
-        return (self.due, self.number)
+        """Sort key within a lane; the number breaks ties by arrival."""
+        return (self.sort_time, self.number)
 
 
 @dataclass(slots=True)
 class _Lane:
     """Waiting calls of one lane, sorted by ``order_key``.
 
-    ``arrivals`` holds the same calls' times of arrival by their number, oldest first.
+    ``arrivals`` maps the numbers of the same calls to their arrival times, oldest first.
     """
 
     tenant_id: TenantId
@@ -71,18 +82,18 @@
     arrivals: OrderedDict[int, float] = field(default_factory=OrderedDict)
 
     def add(self, queued: QueuedCall) -> None:
-        """Put a call in its place."""
+        """Insert a call in order."""
         bisect.insort(self.calls, queued, key=lambda item: item.order_key)
         self.arrivals[queued.number] = queued.arrived_at
 
     def remove(self, queued: QueuedCall) -> None:
-        """Take out a call that is in the lane."""
+        """Remove a call that is in the lane."""
         index = bisect.bisect_left(self.calls, queued.order_key, key=lambda item: item.order_key)
         del self.calls[index]
         del self.arrivals[queued.number]
 
     def effective_class(self, now: float, class_step_s: float) -> int:
-        """Return the class, one better for each ``class_step_s`` that the oldest call waited."""
+        """Return the class, reduced by one per ``class_step_s`` that the oldest call waited."""
         if self.service_class <= 0 or class_step_s <= 0:
             return self.service_class
         waited_s = now - next(iter(self.arrivals.values()))
@@ -90,12 +101,12 @@
 
 
 class CallQueue:
-    """Waiting calls of one model at one node, of bounded length.
+    """Bounded queue of the calls that wait for one model at one node.
 
     Parameters
     ----------
     config
-        Bound and order.
+        Maximum length and ordering.
     """
 
     def __init__(self, config: QueueConfig) -> None:
@@ -104,40 +115,51 @@
         self._calls: dict[CallId, QueuedCall] = {}
         self._deadlines: list[tuple[float, int, CallId]] = []
         self._service: dict[TenantId, float] = {}
-        self._waiting_of: Counter[TenantId] = Counter()
+        self._waiting_counts: Counter[TenantId] = Counter()
         self._virtual_time = 0.0
         self._next_number = 0
 
     def __len__(self) -> int:
-        """Return how many calls wait."""
+        """Return the number of waiting calls."""
         return len(self._calls)
 
     def __contains__(self, call_id: CallId) -> bool:
-        """Return whether the call waits here."""
+        """Return whether the call is in the queue."""
         return call_id in self._calls
 
     def has_room_for(self, tenant_id: TenantId) -> bool:
-        """Return whether another call of the tenant may wait here.
+        """Return whether another call of the tenant may be queued.
 
-        No tenant may fill the queue by itself: each has its share, and room for one
-        more tenant's share is kept free.
+        1. A full queue accepts no call.
+        2. With ordering by arrival any other call is accepted.
+        3. Otherwise each tenant may use an equal share of the queue, where the share of one more
+           tenant is kept free, and at least one entry.
         """
         if len(self._calls) >= self._config.max_calls:
             return False
         if self._config.ordering is Ordering.ARRIVAL:
             return True
-        share = self._config.max_calls // (len(self._waiting_of) + 1)
-        return self._waiting_of[tenant_id] < max(share, 1)
+        share = self._config.max_calls // (len(self._waiting_counts) + 1)
+        return self._waiting_counts[tenant_id] < max(share, 1)
 
     def add(
         self, call: CallArrived, attained_tokens: int, now: float, *, is_first: bool = False
     ) -> None:
-        """Queue a call whose program has attained that much service so far.
-
-        ``is_first`` tells that it begins a program of its own.
+        """Queue a call.
+
+        Parameters
+        ----------
+        call
+            The call.
+        attained_tokens
+            Service that its program has attained so far, in tokens.
+        now
+            Current time.
+        is_first
+            Whether it is the first call of a program.
         """
-        due = self._due(call, attained_tokens, now)
-        queued = QueuedCall(call, is_first, now, due, self._next_number)
+        sort_time = self._sort_time(call, attained_tokens, now)
+        queued = QueuedCall(call, is_first, now, sort_time, self._next_number)
         self._next_number += 1
         key = self._lane_key(queued)
         lane = self._lanes.get(key)
@@ -145,22 +167,22 @@
             lane = self._lanes[key] = _Lane(key.tenant_id, key.service_class)
         lane.add(queued)
         self._calls[call.call_id] = queued
-        self._waiting_of[call.tenant_id] += 1
+        self._waiting_counts[call.tenant_id] += 1
         heapq.heappush(self._deadlines, (call.deadline, queued.number, call.call_id))
-        # A tenant that was idle does not save up service for later.
+        # An idle tenant does not accumulate credit.
         self._service[call.tenant_id] = max(
             self._service.get(call.tenant_id, 0.0), self._virtual_time
         )
 
     def remove(self, call_id: CallId) -> QueuedCall | None:
-        """Take a call out; return it, or ``None`` if it does not wait here."""
+        """Remove and return a call; ``None`` if it is not in the queue."""
         queued = self._calls.pop(call_id, None)
         if queued is None:
             return None
         tenant_id = queued.call.tenant_id
-        self._waiting_of[tenant_id] -= 1
-        if self._waiting_of[tenant_id] == 0:
-            del self._waiting_of[tenant_id]
+        self._waiting_counts[tenant_id] -= 1
+        if self._waiting_counts[tenant_id] == 0:
+            del self._waiting_counts[tenant_id]
         key = self._lane_key(queued)
         lane = self._lanes[key]
         lane.remove(queued)
@@ -169,28 +191,28 @@
         return queued
 
     def charge(self, call: CallArrived, tokens: float) -> None:
-        """Count service of a started call towards its tenant's share."""
+        """Charge the service of a started call to its tenant's share."""
         start = self._service.get(call.tenant_id, self._virtual_time)
         self._virtual_time = max(self._virtual_time, start)
         self._service[call.tenant_id] = start + tokens / max(call.weight, 0.01)
         if len(self._service) > 4 * len(self._lanes) + 1_000:
-            self._forget_idle_tenants()
+            self._remove_idle_tenants()
 
-    def waiting_of(self, tenant_id: TenantId) -> int:
-        """Return how many calls of a tenant wait here."""
-        return self._waiting_of[tenant_id]
+    def waiting_count(self, tenant_id: TenantId) -> int:
+        """Return the number of waiting calls of a tenant."""
+        return self._waiting_counts[tenant_id]
 
     def in_order(self, now: float, lane_limit: int) -> Iterator[QueuedCall]:
-        """Yield waiting calls, up to ``lane_limit`` of each lane, the first to be served first.
+        """Yield waiting calls in the order of service, up to ``lane_limit`` of each lane.
 
-        The queue may be changed only after the iteration has been left.
+        The queue must not be modified during the iteration.
         """
         heads: list[tuple[int, float, float, int, int, _Lane]] = []
         for lane in self._lanes.values():
             effective = lane.effective_class(now, self._config.class_step_s)
             first = lane.calls[0]
             service = self._service.get(lane.tenant_id, 0.0)
-            heads.append((effective, service, first.due, first.number, 0, lane))
+            heads.append((effective, service, first.sort_time, first.number, 0, lane))
         heapq.heapify(heads)
         while heads:
             effective, service, _, _, index, lane = heads[0]
@@ -202,11 +224,11 @@
                 continue
             next_call = lane.calls[following]
             service += queued.call.max_tokens / max(queued.call.weight, 0.01)
-            entry = (effective, service, next_call.due, next_call.number, following, lane)
+            entry = (effective, service, next_call.sort_time, next_call.number, following, lane)
             heapq.heapreplace(heads, entry)
 
     def take_expired(self, now: float) -> list[QueuedCall]:
-        """Take out and return the calls whose deadline has passed."""
+        """Remove and return the calls whose deadline has passed."""
         expired = []
         while self._deadlines and self._deadlines[0][0] <= now:
             _, number, call_id = heapq.heappop(self._deadlines)
@@ -226,21 +248,21 @@
             heapq.heappop(self._deadlines)
         return None
 
-    def _due(self, call: CallArrived, attained_tokens: int, now: float) -> float:
+    def _sort_time(self, call: CallArrived, attained_tokens: int, now: float) -> float:
         if self._config.ordering is Ordering.ARRIVAL:
             return now
-        counted = min(attained_tokens, self._config.max_attained_tokens)
-        due = now + counted / self._config.ageing_tokens_per_s
-        return min(due, call.deadline - self._config.urgent_s)
+        capped_tokens = min(attained_tokens, self._config.max_attained_tokens)
+        sort_time = now + capped_tokens / self._config.ageing_tokens_per_s
+        return min(sort_time, call.deadline - self._config.urgent_s)
 
     def _lane_key(self, queued: QueuedCall) -> _LaneKey:
         if self._config.ordering is Ordering.ARRIVAL:
             return _ARRIVAL_LANE
         return _LaneKey(queued.call.tenant_id, queued.call.service_class, queued.is_first)
 
-    def _forget_idle_tenants(self) -> None:
+    def _remove_idle_tenants(self) -> None:
         self._service = {
             tenant_id: service
             for tenant_id, service in self._service.items()
-            if tenant_id in self._waiting_of or service > self._virtual_time
+            if tenant_id in self._waiting_counts or service > self._virtual_time
         }
--- a/src/passlane/decisions/order/model_queues.py
+++ b/src/passlane/decisions/order/model_queues.py
@@ -88,7 +88,7 @@
             return MAX_RETRY_AFTER_S
         queue = self.of_model(call.model)
         share = self._shares.fair_share(call.tenant_id)
-        wait_s = max(len(queue), queue.waiting_of(call.tenant_id) / share) / rate
+        wait_s = max(len(queue), queue.waiting_count(call.tenant_id) / share) / rate
         return min(max(wait_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
     def _served_per_s(self, model: str, now: float) -> float:
--- a/src/passlane/decisions/order/turn_precedence.py
+++ b/src/passlane/decisions/order/turn_precedence.py
@@ -1,8 +1,7 @@
-"""Answers whether a turn that has just asked must wait behind others, though there may be room.
+"""Decides whether a new turn must wait behind others even if an engine has free capacity.
 
-It is for the scheduler of turns, which looks for an engine only if this names nobody to wait for.
-It owns no state, and relies on ``turn_queue`` for the turns that wait and on its two bounds of
-waiting.
+The turn scheduler looks for an engine only if there is no reason to wait. The module owns no
+state; the waiting turns and the bounds of their waits belong to ``turn_queue``.
 """
 
 import enum
@@ -10,14 +9,14 @@
 
 from passlane.decisions.order.turn_queue import (
     LONGEST_LATE_WAIT_S,
-    LONGEST_PASSED_OVER_S,
+    MAX_PASSED_OVER_S,
     TurnQueue,
     WaitingTurn,
 )
 
 
-class WaitsFor(enum.Enum):
-    """Whom a turn that has just asked waits for."""
+class WaitReason(enum.Enum):
+    """Why a new turn must wait."""
 
     ANY_OTHER = "its program loops: it gets slots that nobody else wants"
     NEW_PROGRAM = "it begins a program, and other new programs wait"
@@ -28,34 +27,46 @@
 
 def waits_for(
     turn: WaitingTurn, queue: TurnQueue, has_free_slot: Callable[[], bool], now: float
-) -> WaitsFor | None:
-    """Return whom a turn must wait for; ``None`` if it may go to an engine that has room.
+) -> WaitReason | None:
+    """Return why a turn must wait; ``None`` if it may use an engine with free capacity.
+
+    1. A turn of a looping program waits if any other turn waits.
+    2. A new program waits if another new program waits.
+    3. A new program waits if a turn under way of at least its urgency waits.
+    4. Any turn waits if a more urgent one has waited for more than ``MAX_PASSED_OVER_S``.
+    5. Any turn waits if a turn under way of its urgency has waited for ``LONGEST_LATE_WAIT_S``
+       although a slot is free, as that turn lacks memory.
 
     Parameters
     ----------
+    turn
+        The new turn.
+    queue
+        Turns of the service that already wait.
     has_free_slot
-        Whether an engine of the service that takes turns has a free slot; asked only if needed.
+        Returns whether an available engine of the service has a free slot; called only if needed.
+    now
+        Current time.
     """
     if turn.is_looping and len(queue) > 0:
-        return WaitsFor.ANY_OTHER
+        return WaitReason.ANY_OTHER
     if turn.is_new_program and queue.new_programs:
-        return WaitsFor.NEW_PROGRAM
-    if turn.is_new_program and queue.is_before_new(turn.urgency):
-        return WaitsFor.UNDER_WAY
-    if queue.longest_more_urgent_wait_s(turn.urgency, now) > LONGEST_PASSED_OVER_S:
-        return WaitsFor.MORE_URGENT
-    if _is_memory_awaited(turn, queue, has_free_slot, now):
-        return WaitsFor.MEMORY
+        return WaitReason.NEW_PROGRAM
+    if turn.is_new_program and queue.has_turn_before_new_program(turn.urgency):
+        return WaitReason.UNDER_WAY
+    if queue.max_more_urgent_wait_s(turn.urgency, now) > MAX_PASSED_OVER_S:
+        return WaitReason.MORE_URGENT
+    if _must_wait_for_memory(turn, queue, has_free_slot, now):
+        return WaitReason.MEMORY
     return None
 
 
-def _is_memory_awaited(
+def _must_wait_for_memory(
     turn: WaitingTurn, queue: TurnQueue, has_free_slot: Callable[[], bool], now: float
 ) -> bool:
-    """Whether a large turn that is as urgent has waited too long for memory.
+    """Return whether a large turn of the same urgency has waited too long for memory.
 
-    Slots are free then that it can't use; smaller turns that took them would keep the memory
-    from it.
+    Smaller turns that used the free slots would prevent the memory from becoming available.
     """
-    waited_s = queue.longest_wait_under_way_s(turn.urgency, now)
+    waited_s = queue.max_under_way_wait_s(turn.urgency, now)
     return waited_s >= LONGEST_LATE_WAIT_S and has_free_slot()
--- a/src/passlane/decisions/order/turn_queue.py
+++ b/src/passlane/decisions/order/turn_queue.py
@@ -1,26 +1,19 @@
-"""Answers which of the turns that wait for a slot goes first, over all nodes.
-
-First rule first:
-
-1. urgency: the lowest number first (``TurnQueue.in_order``);
-2. turns of programs under way before programs that are new (``TurnQueue.in_order``);
-3. of those under way, the one that must begin soonest for its program to be over in time;
-   programs that can't be in time any more come after those that can, the longest waiting
-   first, but no turn waits longer than ``LONGEST_LATE_WAIT_S`` for others of its urgency
-   (``_UnderWay.in_order``);
-4. new programs are shared out fairly among tenants by the service that they were given,
-   and of one tenant the one that asked first, also if it was refused meanwhile, is first
-   (``call_queue``);
-5. programs that loop without end come after all others (``TurnQueue.in_order``).
-
-One exception: an engine that has room may get the turn whose history it holds before one of the
-same urgency (``TurnQueue.first_for``).
-
-It owns the turns that wait of one service. It relies on ``program_progress`` for a turn's latest
-start and whether its program loops, and on ``call_queue`` for the shares of tenants. Whether a
-turn that has just asked must wait at all is answered in ``turn_precedence``.
-
-Times are local monotonic seconds. A lower urgency goes first; 0 is the lowest.
+"""Queue of the turns of one service that wait for a slot, and the order in which they get one.
+
+The order, by decreasing precedence:
+
+1. Urgency: the lowest number first; 0 is the lowest (``TurnQueue.in_order``).
+2. Turns of programs under way before new programs (``TurnQueue.in_order``).
+3. Among programs under way, the earliest latest start first. Overdue turns, whose latest start
+   has passed, follow those that can still be on time, the longest waiting first. Overdue turns
+   that have waited for ``LONGEST_LATE_WAIT_S`` precede both (``_UnderWayTurns.in_order``).
+4. New programs by fair shares of service among tenants, and within a tenant by the time of the
+   first request, also after a refusal (``call_queue``).
+5. Programs detected as endless loops after all others (``TurnQueue.in_order``).
+
+Exception: an engine with free capacity may get a turn whose prefix it has cached before another
+turn of the same urgency (``TurnQueue.first_for``). ``turn_precedence`` decides whether a new turn
+must wait at all. Times are local monotonic seconds.
 """
 
 import bisect
@@ -36,39 +29,41 @@
 from passlane.identifiers import CallId, ProgramId, TenantId
 
 LONGEST_LATE_WAIT_S = 0.3
-"""Seconds that a turn of a program that is late waits for others of its urgency at most. Its
-caller still wants the answer until the program has taken twice its time: with nine turns of 0.4 s
-it bears some 0.3 s for each turn.
-
-``turn_precedence`` holds back smaller turns for as long: without it 16 of 30 small turns that kept
-coming got a slot and a large one beside them none (docs/incidents/waits-for-places.md)."""
-LOOKAHEAD = 12
-"""Turns of one urgency that are looked at for one whose history the engine holds: reading 4,000
-tokens anew takes an engine 50 ms, and holds up all that it runs. Not measured; chosen."""
-LONGEST_PASSED_OVER_S = 0.1
-"""Seconds. A turn that has waited longer is not passed over by one whose history the engine holds:
-it would cost its program more than the reading costs the engine. Nor do less urgent ones pass it
-that return to their engine (``turn_precedence``): without this four of them went before an urgent
-turn (docs/incidents/waits-for-places.md)."""
-MOST_NEW_PROGRAMS = 2_000
-"""New programs that wait at once; bounds memory. Few wait longer than half a second, so this is
-several thousand a second. Not measured; chosen."""
-_FIRST_TURNS = QueueConfig(max_calls=MOST_NEW_PROGRAMS, class_step_s=0.0, urgent_s=0.0)
+"""Maximum wait of an overdue turn behind others of its urgency. Callers accept answers until a
+program has taken twice its time, which leaves about this much for each turn.
+
+``turn_precedence`` makes smaller turns wait once a large turn has waited this long, so that small
+turns can't starve it of memory."""
+LOOKAHEAD_TURNS = 12
+"""Number of turns of one urgency that are searched for one whose prefix the engine has cached.
+Recomputing a prefix delays all turns of the engine."""
+MAX_PASSED_OVER_S = 0.1
+"""Wait after which a turn is not passed over any more, neither for a prefix that the engine has
+cached nor by less urgent turns that return to their engine (``turn_precedence``)."""
+MAX_NEW_PROGRAMS = 2_000
+"""Maximum number of waiting new programs; bounds memory."""
+_NEW_PROGRAM_QUEUE = QueueConfig(max_calls=MAX_NEW_PROGRAMS, class_step_s=0.0, urgent_s=0.0)
 
 
 class WaitingTurn(msgspec.Struct, frozen=True, kw_only=True):
-    """A turn that waits, or is looked at to see whether it must.
+    """A turn that waits, or that is checked for whether it must wait.
 
     Attributes
     ----------
+    asked
+        Request for the turn.
     asked_at
-        When it asked; of a new program, when the program asked first.
+        Time of the request; for a new program, of the program's first request.
     arrived_at
-        When this attempt asked.
+        Time of this attempt's request.
     latest_start
-        When it must begin for its program to be in time.
+        Latest time to begin for the program to meet its deadline.
     hold_until
-        When it is refused unless it has a slot by then; ``inf`` for turns under way.
+        Time at which it is refused if it has no slot; ``inf`` for turns of programs under way.
+    is_new_program
+        Whether it is the first turn of a program.
+    is_looping
+        Whether its program has been detected as an endless loop.
     """
 
     asked: TurnAsked
@@ -81,31 +76,31 @@
 
     @property
     def attempt_id(self) -> str:
-        """The attempt that waits."""
+        """ID of the waiting attempt."""
         return self.asked.attempt_id
 
     @property
     def urgency(self) -> int:
-        """The urgency of its requests; the lowest goes first."""
+        """Urgency of its requests; the lowest number is served first."""
         return self.asked.demand.urgency
 
 
 class _ArrivalKey(NamedTuple):
-    """The turns among which the longest wait is looked for."""
+    """Key of a group of turns whose longest wait is tracked."""
 
     urgency: int
     is_new_program: bool
 
 
 class _OrderKey(NamedTuple):
-    """Sorts turns of programs under way."""
+    """Sort key of turns of programs under way."""
 
     latest_start: float
     attempt_id: str
 
 
-class _UnderWay:
-    """Waiting turns of programs under way, of one urgency, by their latest start."""
+class _UnderWayTurns:
+    """Waiting turns of programs under way with one urgency, sorted by latest start."""
 
     def __init__(self) -> None:
         self._turns: list[WaitingTurn] = []
@@ -121,13 +116,18 @@
         del self._turns[index]
 
     def in_order(self, now: float) -> Iterator[WaitingTurn]:
-        """Yield turns, the first to be served first."""
-        first_in_time = bisect.bisect_left(self._turns, _OrderKey(now, ""), key=_order_key)
-        late = sorted(self._turns[:first_in_time], key=lambda turn: turn.asked_at)
-        overdue = [turn for turn in late if now - turn.asked_at >= LONGEST_LATE_WAIT_S]
-        yield from overdue
-        yield from self._turns[first_in_time:]
-        yield from late[len(overdue) :]
+        """Yield turns in the order of service.
+
+        1. Overdue turns that have waited for ``LONGEST_LATE_WAIT_S``, the longest waiting first.
+        2. Turns that can still be on time, by latest start.
+        3. Other overdue turns, the longest waiting first.
+        """
+        first_on_time = bisect.bisect_left(self._turns, _OrderKey(now, ""), key=_order_key)
+        overdue = sorted(self._turns[:first_on_time], key=lambda turn: turn.asked_at)
+        past_wait_limit = [turn for turn in overdue if now - turn.asked_at >= LONGEST_LATE_WAIT_S]
+        yield from past_wait_limit
+        yield from self._turns[first_on_time:]
+        yield from overdue[len(past_wait_limit) :]
 
 
 def _order_key(turn: WaitingTurn) -> _OrderKey:
@@ -138,8 +138,8 @@
     """Waiting turns of one service."""
 
     def __init__(self) -> None:
-        self._under_way: dict[int, _UnderWay] = {}
-        self._new = CallQueue(_FIRST_TURNS)
+        self._under_way: dict[int, _UnderWayTurns] = {}
+        self._new = CallQueue(_NEW_PROGRAM_QUEUE)
         self._looping: dict[str, WaitingTurn] = {}
         self._turns: dict[str, WaitingTurn] = {}
         self._arrivals: dict[_ArrivalKey, dict[str, float]] = {}
@@ -149,16 +149,16 @@
 
     @property
     def new_programs(self) -> int:
-        """New programs that wait."""
+        """Number of waiting new programs."""
         return len(self._new)
 
     @property
     def under_way(self) -> int:
-        """Turns of programs under way that wait, those of looping programs left out."""
+        """Number of waiting turns of programs under way, without looping programs."""
         return len(self._turns) - len(self._new) - len(self._looping)
 
     def add(self, turn: WaitingTurn) -> None:
-        """Let a turn wait."""
+        """Add a turn."""
         self._turns[turn.attempt_id] = turn
         if turn.is_looping:
             self._looping[turn.attempt_id] = turn
@@ -169,10 +169,10 @@
             call = _call_of(turn.asked, turn.hold_until)
             self._new.add(call, 0, turn.asked_at, is_first=True)
         else:
-            self._under_way.setdefault(turn.urgency, _UnderWay()).add(turn)
+            self._under_way.setdefault(turn.urgency, _UnderWayTurns()).add(turn)
 
     def remove(self, attempt_id: str) -> WaitingTurn | None:
-        """Take a turn out; ``None`` if it does not wait here."""
+        """Remove and return a turn; ``None`` if it is not in the queue."""
         turn = self._turns.pop(attempt_id, None)
         if turn is None:
             return None
@@ -187,60 +187,69 @@
         return turn
 
     def charge(self, asked: TurnAsked, service_s: float) -> None:
-        """Count what a turn gets towards its tenant's share."""
+        """Charge the service of a turn to its tenant's share."""
         self._new.charge(_call_of(asked, 0.0), service_s)
 
-    def is_before_new(self, urgency: int) -> bool:
-        """Whether a turn waits that goes before a new program of an urgency."""
-        return any(len(turns) > 0 and known <= urgency for known, turns in self._under_way.items())
+    def has_turn_before_new_program(self, urgency: int) -> bool:
+        """Return whether a waiting turn precedes a new program of the given urgency."""
+        return any(
+            len(turns) > 0 and other_urgency <= urgency
+            for other_urgency, turns in self._under_way.items()
+        )
 
-    def longest_more_urgent_wait_s(self, urgency: int, now: float) -> float:
-        """Return for how long a more urgent one has waited, at most; 0 without one."""
+    def max_more_urgent_wait_s(self, urgency: int, now: float) -> float:
+        """Return the longest wait of a more urgent turn, in seconds; 0 if there is none."""
         more_urgent = (key for key in self._arrivals if key.urgency < urgency)
-        return max((self._longest_wait_s(key, now) for key in more_urgent), default=0.0)
+        return max((self._max_wait_s(key, now) for key in more_urgent), default=0.0)
 
-    def longest_wait_under_way_s(self, urgency: int, now: float) -> float:
-        """Return for how long one as urgent and of a program under way has waited, at most."""
-        return self._longest_wait_s(_ArrivalKey(urgency, False), now)
+    def max_under_way_wait_s(self, urgency: int, now: float) -> float:
+        """Return the longest wait of a turn under way with the same urgency, in seconds."""
+        return self._max_wait_s(_ArrivalKey(urgency, False), now)
 
-    def _longest_wait_s(self, key: _ArrivalKey, now: float) -> float:
-        """Return the wait of the one that came first."""
+    def _max_wait_s(self, key: _ArrivalKey, now: float) -> float:
+        """Return the wait of the turn that arrived first, in seconds; 0 if there is none."""
         return now - next(iter(self._arrivals.get(key, {}).values()), now)
 
     def in_order(self, now: float) -> Iterator[WaitingTurn]:
-        """Yield waiting turns, the first to be served first; not to be changed meanwhile."""
-        new = self._new.in_order(now, MOST_NEW_PROGRAMS)
-        next_new = self._next_of(new)
+        """Yield waiting turns in the order of service.
+
+        The queue must not be modified during the iteration.
+        """
+        new = self._new.in_order(now, MAX_NEW_PROGRAMS)
+        next_new = self._next_new(new)
         for urgency in sorted(self._under_way):
             while next_new is not None and next_new.urgency < urgency:
                 yield next_new
-                next_new = self._next_of(new)
+                next_new = self._next_new(new)
             yield from self._under_way[urgency].in_order(now)
         while next_new is not None:
             yield next_new
-            next_new = self._next_of(new)
+            next_new = self._next_new(new)
         yield from self._looping.values()
 
     def first_for(self, instance_id: str, now: float) -> WaitingTurn | None:
-        """Return the turn that is to go to an engine that has room.
+        """Return the turn to place on an engine with free capacity; ``None`` if none waits.
 
-        That is the first in order, or one as urgent that is not far behind it and whose history
-        the engine holds; ``None`` if none waits.
+        1. If the first turn in order is a new program or has waited for more than
+           ``MAX_PASSED_OVER_S``, that turn.
+        2. Otherwise, among the turns of its urgency that are under way and within
+           ``LOOKAHEAD_TURNS``, the first one whose program last used the engine.
+        3. Otherwise the first turn in order.
         """
         first: WaitingTurn | None = None
         for number, turn in enumerate(self.in_order(now)):
             if first is None:
                 first = turn
-                if turn.is_new_program or now - turn.asked_at > LONGEST_PASSED_OVER_S:
+                if turn.is_new_program or now - turn.asked_at > MAX_PASSED_OVER_S:
                     return turn
-            if number >= LOOKAHEAD or turn.urgency != first.urgency or turn.is_new_program:
+            if number >= LOOKAHEAD_TURNS or turn.urgency != first.urgency or turn.is_new_program:
                 break
             if turn.asked.used_last == instance_id:
                 return turn
         return first
 
     def take_held_too_long(self, now: float) -> list[WaitingTurn]:
-        """Take out and return the turns that are to be refused by now."""
+        """Remove and return the turns whose ``hold_until`` has passed."""
         expired = [self._turns.pop(queued.call.call_id) for queued in self._new.take_expired(now)]
         for turn in expired:
             del self._arrivals[_arrival_key(turn)][turn.attempt_id]
@@ -249,7 +258,7 @@
             self.remove(turn.attempt_id)
         return expired + looping
 
-    def _next_of(self, new: Iterator[QueuedCall]) -> WaitingTurn | None:
+    def _next_new(self, new: Iterator[QueuedCall]) -> WaitingTurn | None:
         queued = next(new, None)
         return self._turns[queued.call.call_id] if queued is not None else None
 
--- a/tests/decisions/order/test_call_queue.py
+++ b/tests/decisions/order/test_call_queue.py
@@ -1,4 +1,4 @@
-"""Order of waiting calls: class, fair share, attained service, ageing, deadline."""
+"""Order of waiting calls: class, fair share, attained service, aging, deadline."""
 
 import unittest
 
@@ -22,14 +22,14 @@
 
 
 class CallQueueTest(unittest.TestCase):
-    def test_lower_class_first_until_the_other_has_waited(self):
+    def test_lower_class_first_until_a_higher_class_has_aged(self):
         queue = CallQueue(CONFIG)
         queue.add(call("late", service_class=1), 0, 0.0)
         queue.add(call("first", service_class=0), 900, 4.0)
         self.assertEqual(["first", "late"], order(queue, 4.9))
         self.assertEqual(["late", "first"], order(queue, 5.0))
 
-    def test_least_attained_service_first_with_ageing(self):
+    def test_least_attained_service_first_with_aging(self):
         queue = CallQueue(CONFIG)
         queue.add(call("long"), 500, 0.0)
         queue.add(call("short"), 100, 3.0)
@@ -37,7 +37,7 @@
         self.assertEqual(["short", "long", "younger"], order(queue, 5.0))
 
     def test_starvation_bound(self):
-        """Nothing that arrives more than the bound later goes ahead, whatever its service."""
+        """No call that arrives later by more than the bound overtakes, whatever its service."""
         self.assertEqual(10.0, CONFIG.starvation_bound_s)
         queue = CallQueue(CONFIG)
         queue.add(call("oldest"), 10**9, 0.0)
@@ -47,7 +47,7 @@
         arrived = [int(name[1:]) * 0.1 for name in ahead]
         self.assertLessEqual(max(arrived), CONFIG.starvation_bound_s)
 
-    def test_near_deadline_goes_to_the_front(self):
+    def test_a_call_near_its_deadline_moves_to_the_front(self):
         queue = CallQueue(CONFIG)
         queue.add(call("patient"), 0, 0.0)
         queue.add(call("urgent", deadline=1.5), 1_000, 0.1)
@@ -67,7 +67,7 @@
             served.append(queued.call.tenant_id)
         self.assertEqual(20, served.count(TenantId("a")))
 
-    def test_idle_tenant_saves_nothing_up(self):
+    def test_an_idle_tenant_accumulates_no_credit(self):
         queue = CallQueue(CONFIG)
         for number in range(50):
             one = call(f"a{number}", "a")
@@ -80,7 +80,7 @@
         first_ten = order(queue, 1.0)[:10]
         self.assertGreaterEqual(sum(name.startswith("x") for name in first_ten), 4)
 
-    def test_expired_calls_are_taken_out_in_order(self):
+    def test_expired_calls_are_removed_in_order_of_deadline(self):
         queue = CallQueue(CONFIG)
         for number in (3, 1, 2):
             queue.add(call(f"c{number}", deadline=float(number)), 0, 0.0)
