--- a/src/passlane/decisions/order/attained_service.py
+++ b/src/passlane/decisions/order/attained_service.py
@@ -1,4 +1,4 @@
-"""What is known of each program: service attained, where it ran, and its pauses."""
+"""Tracks the progress of each program at a node: attained service, last engine and pauses."""
 
 from collections import Counter, OrderedDict
 from collections.abc import Mapping
@@ -9,21 +9,23 @@
 
 @dataclass(slots=True)
 class ProgramProgress:
-    """What a program has had so far.
+    """Progress of a program.
 
     Attributes
     ----------
     attained_tokens
-        Prompt tokens computed (not those found in a cache) and tokens generated.
+        Prompt tokens computed (without cached tokens) plus tokens generated.
     prefix_tokens
-        Length of its history after the last call, in tokens.
+        Length of its context after the last call, in tokens.
     last_engine
-        Where its last call ran.
+        Engine that ran its last call.
     paused_at, expected_s
-        Set while the program waits for a tool, with the usual length of the pause.
+        Start and expected duration of a pause, set while the program waits for a tool.
+    active_calls
+        Number of its running calls.
     open_for
-        Tenant of a program under way: from its first start until it ends or its cache
-        is released.
+        Tenant of a program under way: from its first start until it ends or its cache is
+        released.
     """
 
     attained_tokens: int = 0
@@ -36,30 +38,36 @@
 
 
 class AttainedService:
-    """Progress of the programs at this node; forgets the longest idle above a limit."""
+    """Progress of the programs at this node.
+
+    Parameters
+    ----------
+    max_programs
+        Maximum number of retained programs; the least recently used is evicted.
+    """
 
     def __init__(self, max_programs: int) -> None:
         self._max_programs = max_programs
         self._programs: OrderedDict[ProgramId, ProgramProgress] = OrderedDict()
-        self._open_of: Counter[TenantId] = Counter()
+        self._open_counts: Counter[TenantId] = Counter()
 
     def __len__(self) -> int:
-        """Return how many programs are remembered."""
+        """Return the number of retained programs."""
         return len(self._programs)
 
     @property
     def open_by_tenant(self) -> Mapping[TenantId, int]:
-        """How many programs of each tenant are under way; none for those left out."""
-        return self._open_of
+        """Number of programs under way by tenant; tenants without any are omitted."""
+        return self._open_counts
 
     def open(self, progress: ProgramProgress, tenant_id: TenantId) -> None:
-        """Note that a program is under way."""
+        """Record that a program is under way."""
         if progress.open_for is None:
             progress.open_for = tenant_id
-            self._open_of[tenant_id] += 1
+            self._open_counts[tenant_id] += 1
 
     def close(self, program_id: ProgramId) -> None:
-        """Note that a program is not under way any more, whether it comes back or not."""
+        """Record that a program is no longer under way; it may be opened again later."""
         progress = self._programs.get(program_id)
         if progress is not None:
             self._close(progress)
@@ -69,32 +77,32 @@
         if tenant_id is None:
             return
         progress.open_for = None
-        self._open_of[tenant_id] -= 1
-        if self._open_of[tenant_id] == 0:
-            del self._open_of[tenant_id]
+        self._open_counts[tenant_id] -= 1
+        if self._open_counts[tenant_id] == 0:
+            del self._open_counts[tenant_id]
 
     def of(self, program_id: ProgramId) -> ProgramProgress:
-        """Return the progress of a program, making a new one if there is none."""
+        """Return the progress of a program, creating it if necessary."""
         progress = self._programs.get(program_id)
         if progress is None:
             progress = ProgramProgress()
             self._programs[program_id] = progress
-            self._forget_oldest()
+            self._evict_oldest()
         else:
             self._programs.move_to_end(program_id)
         return progress
 
     def get(self, program_id: ProgramId) -> ProgramProgress | None:
-        """Return the progress of a program, or ``None`` if it is not known."""
+        """Return the progress of a program, or ``None`` if it is not tracked."""
         return self._programs.get(program_id)
 
     def forget(self, program_id: ProgramId) -> None:
-        """Forget a program that has ended."""
+        """Remove a program that has ended."""
         progress = self._programs.pop(program_id, None)
         if progress is not None:
             self._close(progress)
 
-    def _forget_oldest(self) -> None:
+    def _evict_oldest(self) -> None:
         while len(self._programs) > self._max_programs:
             _, progress = self._programs.popitem(last=False)
             self._close(progress)
--- a/src/passlane/decisions/order/crowding.py
+++ b/src/passlane/decisions/order/crowding.py
@@ -106,7 +106,7 @@
         """Return how heavy a tenant is, by its calls that run or by its programs."""
         load = TenantLoad.LIGHT
         weight = self._shares.weight_of(tenant_id)
-        calls = self._shares.running_of(tenant_id)
+        calls = self._shares.running_count(tenant_id)
         if calls >= self._config.min_running:
             load = running.load_of(calls, weight)
         count = self._programs.open_by_tenant.get(tenant_id, 0)
--- a/src/passlane/decisions/order/model_queues.py
+++ b/src/passlane/decisions/order/model_queues.py
@@ -1,4 +1,4 @@
-"""The queues of a node, one for each model, and when a refused caller should come back."""
+"""The call queues of a node, deadline for each model, and retry-after times of refused calls."""
 
 from collections.abc import Iterator
 
@@ -20,9 +20,9 @@
     Parameters
     ----------
     config
-        Bound and order of each queue.
+        Maximum length and ordering of each queue.
     engines, placement, shares
-        What the node knows of speeds and shares, to estimate when a place is free.
+        Engine speeds and tenant shares, used to estimate retry-after times.
     """
 
     def __init__(
@@ -39,7 +39,7 @@
         self._queues: dict[str, CallQueue] = {}
 
     def __len__(self) -> int:
-        """Return how many calls wait, over all models."""
+        """Return the number of waiting calls of all models."""
         return sum(len(queue) for queue in self._queues.values())
 
     def items(self) -> Iterator[tuple[str, CallQueue]]:
@@ -47,22 +47,22 @@
         return iter(self._queues.items())
 
     def of_model(self, model: str) -> CallQueue:
-        """Return the queue of a model, making a new one if there is none."""
+        """Return the queue of a model, creating it if necessary."""
         queue = self._queues.get(model)
         if queue is None:
             queue = self._queues[model] = CallQueue(self._config)
         return queue
 
     def remove(self, call_id: CallId) -> bool:
-        """Take a call out; return whether it waited here."""
+        """Remove a call; return whether it was waiting."""
         return any(queue.remove(call_id) is not None for queue in self._queues.values())
 
     def take_expired(self, now: float) -> list[QueuedCall]:
-        """Take out and return the calls whose deadline has passed."""
+        """Remove and return the calls whose deadline has passed."""
         return [queued for queue in self._queues.values() for queued in queue.take_expired(now)]
 
     def take_unserved(self, now: float) -> list[QueuedCall]:
-        """Take out and return the calls whose model no engine serves any more."""
+        """Remove and return the calls whose model is no longer served by any engine."""
         unserved = [
             queued
             for model, queue in self._queues.items()
@@ -76,12 +76,13 @@
     def next_deadline(self) -> float | None:
         """Return the earliest deadline among all waiting calls."""
         deadlines = [queue.next_deadline() for queue in self._queues.values()]
-        return min((one for one in deadlines if one is not None), default=None)
+        return min((deadline for deadline in deadlines if deadline is not None), default=None)
 
     def retry_after_s(self, call: CallArrived, now: float) -> float:
-        """Return when the tenant's waiting calls are likely to have been served.
+        """Return the retry-after time of a refused call, in seconds.
 
-        That is at the rate of its fair share, when it has more calls waiting than that.
+        It is the larger of the expected times to serve the whole queue at the full rate and the
+        tenant's waiting calls at the rate of its fair share, within bounds.
         """
         rate = self._served_per_s(call.model, now)
         if rate <= 0:
@@ -92,7 +93,7 @@
         return min(max(wait_s, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
 
     def _served_per_s(self, model: str, now: float) -> float:
-        """Return how many calls the watched engines serve in a second with full batches."""
+        """Return how many calls per second the engines of a model serve with full batches."""
         rate = 0.0
         for engine in self._engines:
             if engine.leaving or not engine.has_model(model):
--- a/src/passlane/decisions/order/pauses.py
+++ b/src/passlane/decisions/order/pauses.py
@@ -1,7 +1,7 @@
-"""How long programs pause between calls, learned by kind of pause.
+"""Statistics of the pauses of programs between calls.
 
-Pauses are grouped by the power of two of the time that the node expects. When a program
-has paused longer than nearly all that came back, it most likely never will.
+Pauses are grouped by their expected duration, rounded to a power of two. A program that has paused
+for longer than a high quantile of its group is treated as overdue.
 """
 
 import math
@@ -9,31 +9,31 @@
 
 from passlane.decisions.inputs.call_scheduler_config import RetentionConfig
 
-SAMPLES_KEPT = 512
-SAMPLES_NEEDED = 50
+MAX_SAMPLES = 512
+MIN_SAMPLES = 50
 SAMPLES_BETWEEN_SORTS = 32
 MIN_EXPECTED_S = 0.01
 
 
-class _Group:
-    """Recent pauses of one kind that ended with the program's return."""
+class _PauseGroup:
+    """Recent pauses of one group that ended with the program's return."""
 
     def __init__(self) -> None:
-        self._pauses_s: deque[float] = deque(maxlen=SAMPLES_KEPT)
+        self._pauses_s: deque[float] = deque(maxlen=MAX_SAMPLES)
         self._since_sort = 0
         self._quantile_s: float | None = None
 
     def learn(self, pause_s: float) -> None:
-        """Take in one more pause."""
+        """Record the duration of a pause."""
         self._pauses_s.append(pause_s)
         self._since_sort += 1
 
     def quantile_s(self, quantile: float) -> float | None:
-        """Return the pause that this part of all stayed below, or ``None`` for too few.
+        """Return a quantile of the pauses, or ``None`` for fewer than ``MIN_SAMPLES``.
 
-        Sorting is put off, so the value may be a few pauses old.
+        The value is cached and updated once every ``SAMPLES_BETWEEN_SORTS`` pauses.
         """
-        if len(self._pauses_s) < SAMPLES_NEEDED:
+        if len(self._pauses_s) < MIN_SAMPLES:
             return None
         if self._quantile_s is None or self._since_sort >= SAMPLES_BETWEEN_SORTS:
             ordered = sorted(self._pauses_s)
@@ -43,28 +43,39 @@
 
 
 class PauseStatistics:
-    """Tells after what time a paused program is taken as not returning."""
+    """Estimates when a paused program is unlikely to return.
+
+    Parameters
+    ----------
+    config
+        Quantile, margins and minimum times.
+    """
 
     def __init__(self, config: RetentionConfig) -> None:
         self._config = config
-        self._groups: dict[int, _Group] = {}
+        self._groups: dict[int, _PauseGroup] = {}
 
     def learn(self, expected_s: float, actual_s: float) -> None:
-        """Take in a pause that ended with the program's return."""
+        """Record a pause that ended with the program's return."""
         self._group(expected_s).learn(actual_s)
 
     def overdue_after_s(self, expected_s: float, *, under_pressure: bool) -> float:
-        """Return the length of a pause after which the program's cache is released."""
+        """Return the duration of a pause after which the program's cache is released.
+
+        1. With too few samples: a multiple of the expected duration, with a minimum.
+        2. Otherwise: the quantile of the group, with a minimum, multiplied by a margin unless
+           the cache is under pressure.
+        """
         config = self._config
-        usual_s = self._group(expected_s).quantile_s(config.return_quantile)
-        if usual_s is None:
+        typical_s = self._group(expected_s).quantile_s(config.return_quantile)
+        if typical_s is None:
             return max(config.overdue_factor * expected_s, config.min_unlearned_s)
         margin = 1.0 if under_pressure else config.margin
-        return max(usual_s * margin, config.min_overdue_s)
+        return max(typical_s * margin, config.min_overdue_s)
 
-    def _group(self, expected_s: float) -> _Group:
+    def _group(self, expected_s: float) -> _PauseGroup:
         key = round(math.log2(max(expected_s, MIN_EXPECTED_S)))
         group = self._groups.get(key)
         if group is None:
-            group = self._groups[key] = _Group()
+            group = self._groups[key] = _PauseGroup()
         return group
--- a/src/passlane/decisions/order/program_progress.py
+++ b/src/passlane/decisions/order/program_progress.py
@@ -1,62 +1,61 @@
-"""Answers by when a program's next turn must begin, and whether the program loops.
+"""Estimates the latest start of a program's next turn, and detects programs that loop endlessly.
 
-It is for the order of turns (``turn_queue``). Nobody knows a program's graph. What its caller
-tells is when it should be over, a multiple of what it takes on idle engines, so the time that it
-has at its first turn grows with its length. What programs of a route were seen to need of that
-time, and how many turns they made in it, is taken for the next ones.
+The structure of a program is unknown, but callers report a deadline. The share of the available
+time and the number of turns that earlier programs of a route needed serve as the estimate for
+later ones.
 
-It owns the programs that had a turn lately and the needs of their routes. It relies on being told
-of each turn that asks, gets a slot and ends.
-
-Times are local monotonic seconds.
+Owns the recently active programs and the statistics of their routes. The turn scheduler reports
+each turn that is requested, placed or ended. Times are local monotonic seconds.
 """
 
 from collections import OrderedDict
 
 import msgspec
 
-ENDED_AFTER_S = 1.5
-"""Seconds without a turn after which a program has ended: tool calls between two turns take up to
-0.5 s, and a caller that was refused retries earlier. Not measured; chosen."""
-FORGOTTEN_AFTER_S = 20.0
-"""Seconds for which programs that ended are remembered, since one that looped may come again. Not
-measured; chosen."""
-SMOOTHING = 0.05
-"""Weight of one program in what is known of its route. Not measured; chosen."""
-NEED_SHARE_AT_FIRST = 0.7
-"""Share of its time that a program is taken to need before any of its route has ended. Not
-measured; chosen."""
-TURNS_AT_FIRST = 4.0
-"""Turns that a program is taken to make before any of its route has ended. Not measured; chosen."""
-UNHURRIED_SHARE = 0.1
-"""Programs that waited for slots for more than this share of their time tell nothing of what they
-need. Not measured; chosen."""
+PROGRAM_IDLE_TIMEOUT_S = 1.5
+"""Time without a turn after which a program counts as ended; exceeds the duration of tool calls and
+the retry interval of refused callers."""
+ENDED_RETENTION_S = 20.0
+"""Time for which ended programs are retained, so that a loop that resumes is recognized."""
+MIN_SAMPLE_WEIGHT = 0.05
+"""Minimum weight of a new program in the moving averages of its route."""
+INITIAL_NEED_SHARE = 0.7
+"""Initial estimate of the share of its available time that a program needs."""
+INITIAL_TURNS = 4.0
+"""Initial estimate of the number of turns of a program."""
+MAX_SAMPLE_WAIT_SHARE = 0.1
+"""Maximum share of its available time that a program may have waited for slots to count as a sample
+of the needed time."""
 LOOP_FACTOR = 4.0
-"""A program with this many times the turns of its route's mean is taken to loop without end: of
-programs with lognormal turns and sub-agents fewer than one in 100 has so many. Not measured;
-chosen."""
-FEWEST_LOOP_TURNS = 24
-"""Turns up to which no program is taken to loop, whatever others make. Not measured; chosen."""
-NO_DEADLINE_S = 10.0
-"""Seconds that are assumed for a program whose caller told no time. Not measured; chosen."""
-SHORTEST_TIME_S = 0.05
-"""Seconds that a program has at least, so that shares of it are defined. Not measured; chosen."""
+"""Multiple of the route's mean number of turns above which a program counts as an endless loop."""
+MIN_LOOP_TURNS = 24
+"""Number of turns up to which no program counts as an endless loop."""
+DEFAULT_TIME_S = 10.0
+"""Available time that is assumed for a program without a deadline."""
+MIN_TIME_S = 0.05
+"""Minimum available time, so that shares of it are defined."""
 
 
 class ProgramProgress(msgspec.Struct):
-    """What is known of one program.
+    """Progress of one program.
 
     Attributes
     ----------
+    route
+        Route of the program.
+    first_asked_at
+        Time of its first request.
     time_s
-        From its first turn until it should be over.
+        Available time from its first request to its deadline, in seconds.
     turns
-        Turns that have had a slot.
+        Number of turns that have had a slot.
     waited_s
-        Time that its turns have waited for slots; that until its first one, also if it was
-        away because it was told to retry.
+        Time that its turns have waited for slots, in seconds. For the first turn it includes
+        the time between a refusal and the retry.
     used_last
-        The engine that answered it last; empty if none has.
+        Engine that last served it; empty if none has.
+    last_seen_at
+        Time of the last request or end of a turn.
     """
 
     route: str
@@ -69,37 +68,37 @@
 
     @property
     def deadline_at(self) -> float:
-        """When it should be over."""
+        """Time by which it should end."""
         return self.first_asked_at + self.time_s
 
 
-class _RouteNeeds(msgspec.Struct):
-    """What programs of one route were seen to need."""
+class _RouteStatistics(msgspec.Struct):
+    """Moving averages over the programs of one route."""
 
-    need_share: float = NEED_SHARE_AT_FIRST
-    turns: float = TURNS_AT_FIRST
+    need_share: float = INITIAL_NEED_SHARE
+    turns: float = INITIAL_TURNS
     turns_per_s: float = 0.0
     programs: int = 0
 
-    def learn(self, program: ProgramProgress) -> None:
-        """Take in a program that has ended."""
+    def update(self, program: ProgramProgress) -> None:
+        """Update the averages with a program that has ended."""
         self.programs += 1
-        weight = max(SMOOTHING, 1.0 / self.programs)
+        weight = max(MIN_SAMPLE_WEIGHT, 1.0 / self.programs)
         self.turns += weight * (program.turns - self.turns)
         self.turns_per_s += weight * (program.turns / program.time_s - self.turns_per_s)
-        if program.waited_s <= UNHURRIED_SHARE * program.time_s:
-            took_s = program.last_seen_at - program.first_asked_at
-            share = min(1.0, took_s / program.time_s)
+        if program.waited_s <= MAX_SAMPLE_WAIT_SHARE * program.time_s:
+            duration_s = program.last_seen_at - program.first_asked_at
+            share = min(1.0, duration_s / program.time_s)
             self.need_share += weight * (share - self.need_share)
 
 
 class ProgramTable:
-    """Programs that had a turn lately, and the needs of their routes."""
+    """Recently active programs, and the statistics of their routes."""
 
     def __init__(self) -> None:
         self._programs: OrderedDict[str, ProgramProgress] = OrderedDict()
         self._ended: OrderedDict[str, ProgramProgress] = OrderedDict()
-        self._needs: dict[str, _RouteNeeds] = {}
+        self._statistics: dict[str, _RouteStatistics] = {}
 
     def __len__(self) -> int:
         return len(self._programs)
@@ -107,19 +106,31 @@
     def see(
         self, program_id: str, route: str, time_left_s: float | None, now: float
     ) -> ProgramProgress:
-        """Note that a program asks for something; return its progress."""
-        self._sweep(now)
+        """Record a request of a program and return its progress.
+
+        Parameters
+        ----------
+        program_id
+            The program.
+        route
+            Route of the program.
+        time_left_s
+            Time until its deadline, in seconds; ``None`` if it has none.
+        now
+            Current time.
+        """
+        self._expire_programs(now)
         program = self._programs.get(program_id) or self._ended.pop(program_id, None)
         if program is None:
-            time_s = NO_DEADLINE_S if time_left_s is None else time_left_s
-            program = ProgramProgress(route, now, max(time_s, SHORTEST_TIME_S))
+            time_s = DEFAULT_TIME_S if time_left_s is None else time_left_s
+            program = ProgramProgress(route, now, max(time_s, MIN_TIME_S))
         program.last_seen_at = now
         self._programs[program_id] = program
         self._programs.move_to_end(program_id)
         return program
 
     def note_placed(self, program_id: str, asked_at: float, now: float) -> None:
-        """Note that a turn has a slot; until its first one a program has waited all the time."""
+        """Record that a turn got a slot; the first turn has waited since the first request."""
         program = self._programs.get(program_id)
         if program is None:
             return
@@ -127,7 +138,7 @@
         program.turns += 1
 
     def note_end(self, program_id: str, served_by: str, now: float) -> None:
-        """Note that a turn of a program has ended."""
+        """Record the end of a turn."""
         program = self._programs.get(program_id)
         if program is not None:
             program.last_seen_at = now
@@ -135,52 +146,54 @@
             self._programs.move_to_end(program_id)
 
     def latest_start(self, program: ProgramProgress) -> float:
-        """Return when a program's next turn must begin for it to be over in time."""
-        needs = self._needs_of(program.route)
-        expected_turns = max(1.0, needs.turns_per_s * program.time_s or needs.turns)
-        left_share = max(1.0 / expected_turns, 1.0 - program.turns / expected_turns)
-        return program.deadline_at - needs.need_share * program.time_s * left_share
+        """Return the latest time to begin a program's next turn for it to meet its deadline."""
+        statistics = self._statistics_of(program.route)
+        expected_turns = max(1.0, statistics.turns_per_s * program.time_s or statistics.turns)
+        remaining_share = max(1.0 / expected_turns, 1.0 - program.turns / expected_turns)
+        return program.deadline_at - statistics.need_share * program.time_s * remaining_share
 
     def is_looping(self, program: ProgramProgress) -> bool:
-        """Whether a program has made far more turns than others of its route."""
-        usual = self._needs_of(program.route).turns
-        return program.turns > max(FEWEST_LOOP_TURNS, LOOP_FACTOR * usual)
+        """Return whether a program has made far more turns than others of its route."""
+        route_turns = self._statistics_of(program.route).turns
+        return program.turns > max(MIN_LOOP_TURNS, LOOP_FACTOR * route_turns)
 
-    def engine_of_history(self, program: ProgramProgress, told: str) -> str:
-        """Return the engine to which a program's next turn may return; empty if to none.
+    def engine_of_history(self, program: ProgramProgress, replicated_engine: str) -> str:
+        """Return the engine that is likely to have cached a program's prefix; empty for none.
 
-        A program that loops gets no slot beyond an engine's, which those that return get. For any
-        other, what is known here is newer than what is replicated, which holds settlements back
-        for a moment.
+        1. None for a looping program: it must not use the extra slots for returning programs.
+        2. The engine that served the program last, as far as this node has recorded.
+        3. The engine of the replicated state, which may lag behind.
 
         Parameters
         ----------
-        told
-            What the replicated state holds; empty if it holds none.
+        program
+            Progress of the program.
+        replicated_engine
+            Engine in the replicated state; empty if there is none.
         """
         if self.is_looping(program):
             return ""
-        return program.used_last or told
+        return program.used_last or replicated_engine
 
     def mean_turns(self, route: str) -> float:
-        """Return how many turns programs of a route make."""
-        return self._needs_of(route).turns
+        """Return the mean number of turns of the programs of a route."""
+        return self._statistics_of(route).turns
 
-    def _needs_of(self, route: str) -> _RouteNeeds:
-        return self._needs.setdefault(route, _RouteNeeds())
+    def _statistics_of(self, route: str) -> _RouteStatistics:
+        return self._statistics.setdefault(route, _RouteStatistics())
 
-    def _sweep(self, now: float) -> None:
-        """Learn from programs that have ended, and forget those that ended long ago."""
+    def _expire_programs(self, now: float) -> None:
+        """Update statistics with ended programs, and remove those past their retention."""
         while self._programs:
             program_id, program = next(iter(self._programs.items()))
-            if now - program.last_seen_at < ENDED_AFTER_S:
+            if now - program.last_seen_at < PROGRAM_IDLE_TIMEOUT_S:
                 break
             del self._programs[program_id]
             self._ended[program_id] = program
             if program.turns > 0 and not self.is_looping(program):
-                self._needs_of(program.route).learn(program)
+                self._statistics_of(program.route).update(program)
         while self._ended:
             program_id, program = next(iter(self._ended.items()))
-            if now - program.last_seen_at < FORGOTTEN_AFTER_S:
+            if now - program.last_seen_at < ENDED_RETENTION_S:
                 break
             del self._ended[program_id]
