--- a/src/passlane/decisions/order/crowding.py
+++ b/src/passlane/decisions/order/crowding.py
@@ -1,12 +1,10 @@
-"""Which calls must wait because starting them now would harm programs under way.
-
-Two harms are prevented. When more programs are under way than the caches can hold, each
-call pushes out a prefix that is needed soon, and engines spend their time computing the
-same prefixes again; so new programs of the heavier tenants wait while the engines' caches
-turn over fast. And a tenant far above its share, whose running calls or programs fill a
-good part of all batches or caches, may not take the room that others need. Light tenants
-never wait here.
-See docs/design/ordering.md.
+"""Decides which calls must wait because starting them would slow programs under way.
+
+1. Calls of light tenants never wait here.
+2. New programs of heavy tenants wait while the engines evict recently used prefixes. Otherwise
+   the caches thrash: engines recompute prefixes that were evicted shortly before.
+3. Calls of tenants with excessive use, whose running calls or programs use a large share of all
+   batches or caches, may only use spare batch and cache capacity.
 """
 
 import enum
@@ -25,7 +23,7 @@
 
 
 class TenantLoad(enum.IntEnum):
-    """How much a tenant uses, compared with the others that are active."""
+    """Use of a tenant, compared with the other active tenants."""
 
     LIGHT = 0
     HEAVY = 1
@@ -33,10 +31,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Levels:
-    """Use per weight above which a tenant counts as heavy and as excessive.
+class _Thresholds:
+    """Use per weight above which a tenant counts as heavy or as excessive.
 
-    ``excessive_count`` is the least use, not divided by weight, that is excessive.
+    ``excessive_count`` is the use, not divided by weight, that must also be exceeded for
+    excessive use.
     """
 
     heavy: float
@@ -44,7 +43,7 @@
     excessive_count: float
 
     def load_of(self, use: int, weight: float) -> TenantLoad:
-        """Return how heavy a tenant with this use and this weight is."""
+        """Return the load of a tenant with this use and weight."""
         use_per_weight = use / weight
         if use_per_weight > self.excessive and use > self.excessive_count:
             return TenantLoad.EXCESSIVE
@@ -52,10 +51,17 @@
 
 
 @dataclass(slots=True)
-class _Room:
-    """What the engines of a model can take by each of the rules.
+class _Capacity:
+    """Capacity of the engines of a model for tenants that are not light.
 
-    The first two are the most tokens that any engine can take.
+    Attributes
+    ----------
+    heavy_program
+        Maximum tokens that a new program of a heavy tenant may add to any engine's cache.
+    excessive_program
+        The same for a tenant with excessive use.
+    has_spare_batch
+        Whether any engine has spare batch capacity.
     """
 
     heavy_program: float = 0.0
@@ -64,14 +70,14 @@
 
 
 class CrowdingRules:
-    """Decides for one node which waiting calls may start where.
+    """Decides for one node which waiting calls may start at which engine.
 
     Parameters
     ----------
     config
-        Limits; switched off, every call may start anywhere.
+        Limits; if disabled, every call may start anywhere.
     engines, programs, shares, placement
-        What the node knows, kept up to date by the scheduler.
+        State of the node, updated by the scheduler.
     """
 
     def __init__(
@@ -89,21 +95,25 @@
         self._placement = placement
 
     def assess(self, model: str, now: float) -> "Crowding | None":
-        """Return what holds for the next start; ``None`` if any call may start anywhere.
+        """Return the limits for the next start; ``None`` if any call may start anywhere.
 
-        That is so while nothing runs that could be harmed. So whatever the view of the
-        caches says, some call can always go on.
+        There are no limits while no call is running, so that the scheduler can't deadlock on a
+        wrong view of the caches.
         """
         if not self._config.enabled or self._shares.running == 0:
             return None
-        running = self._levels(
+        running = self._thresholds(
             self._shares.running_by_tenant(), self._engines.batch_fill(model, now)
         )
-        programs = self._levels(self._programs.open_by_tenant, self._engines.cache_pressure(model))
-        return Crowding(self, running, programs, self._room(model, now), now)
+        programs = self._thresholds(
+            self._programs.open_by_tenant, self._engines.cache_pressure(model)
+        )
+        return Crowding(self, running, programs, self._capacity(model, now), now)
 
-    def load_of(self, tenant_id: TenantId, running: _Levels, programs: _Levels) -> TenantLoad:
-        """Return how heavy a tenant is, by its calls that run or by its programs."""
+    def load_of(
+        self, tenant_id: TenantId, running: _Thresholds, programs: _Thresholds
+    ) -> TenantLoad:
+        """Return the load of a tenant: the higher one by its running calls or by its programs."""
         load = TenantLoad.LIGHT
         weight = self._shares.weight_of(tenant_id)
         calls = self._shares.running_count(tenant_id)
@@ -115,21 +125,26 @@
         return load
 
     def new_tokens(self, queued: QueuedCall, estimate: Estimate | None = None) -> float:
-        """Return what a call adds to a cache: at the estimate's engine, or at least."""
+        """Return the tokens that a call adds to a cache.
+
+        Without an estimate, the result is a lower bound for all engines.
+        """
         if estimate is not None:
             return self._placement.new_tokens(queued.call, estimate)
         prompt_tokens = queued.call.prompt_tokens if queued.is_first else 0
         return prompt_tokens + self._placement.expected_generated(queued.call)
 
     def has_spare_batch(self, engine: EngineView, now: float) -> bool:
-        """Return whether an engine takes calls of tenants with excessive use."""
+        """Return whether an engine has spare batch capacity for tenants with excessive use."""
         return engine.has_spare_batch(self._config.batch_fraction, now)
 
-    def room_for_program(self, engine: EngineView, load: TenantLoad, now: float) -> float:
+    def capacity_for_program(self, engine: EngineView, load: TenantLoad, now: float) -> float:
         """Return the tokens that a new program of a tenant that is not light may add.
 
-        With heavy use that is any number where caches last, with excessive use only what
-        leaves a share of the cache free.
+        1. Excessive use: the free tokens minus a reserved share of the cache.
+        2. Heavy use, and the least recently used prefix is older than ``min_residence_s``: no
+           limit.
+        3. Otherwise: the free tokens.
         """
         free = engine.free_cache_tokens()
         if load is TenantLoad.EXCESSIVE:
@@ -139,59 +154,67 @@
             return math.inf
         return free
 
-    def _levels(self, uses: Mapping[TenantId, int], fill: float) -> _Levels:
-        """Return the levels for calls or programs that fill their places to this share."""
+    def _thresholds(self, uses: Mapping[TenantId, int], fill: float) -> _Thresholds:
+        """Return the thresholds for calls or programs that use this share of the capacity."""
         total = sum(uses.values())
         if total == 0:
-            return _Levels(math.inf, math.inf, math.inf)
+            return _Thresholds(math.inf, math.inf, math.inf)
         per_weight = [use / self._shares.weight_of(tenant) for tenant, use in uses.items()]
         mean = sum(per_weight) / len(per_weight)
-        # The heaviest are cut first, and others only when these have come near to them.
+        # Limits the heaviest tenants first, and others only once their use is close to that.
         near_heaviest = self._config.near_heaviest * max(per_weight)
-        return _Levels(
+        return _Thresholds(
             heavy=max(mean, near_heaviest),
             excessive=self._config.tolerance * mean,
             excessive_count=self._config.excessive_share / max(fill, 1e-9) * total,
         )
 
-    def _room(self, model: str, now: float) -> _Room:
-        room = _Room()
+    def _capacity(self, model: str, now: float) -> _Capacity:
+        capacity = _Capacity()
         for engine in self._engines:
             if engine.leaving or not engine.has_model(model):
                 continue
-            heavy = self.room_for_program(engine, TenantLoad.HEAVY, now)
-            room.heavy_program = max(room.heavy_program, heavy)
+            heavy = self.capacity_for_program(engine, TenantLoad.HEAVY, now)
+            capacity.heavy_program = max(capacity.heavy_program, heavy)
             if self.has_spare_batch(engine, now):
-                excessive = self.room_for_program(engine, TenantLoad.EXCESSIVE, now)
-                room.excessive_program = max(room.excessive_program, excessive)
-                room.has_spare_batch = True
-        return room
+                excessive = self.capacity_for_program(engine, TenantLoad.EXCESSIVE, now)
+                capacity.excessive_program = max(capacity.excessive_program, excessive)
+                capacity.has_spare_batch = True
+        return capacity
 
 
 class Crowding:
-    """What holds for one start of a call; made anew for the next."""
+    """Limits for one start of a call; assessed again for the next start."""
 
     def __init__(
-        self, rules: CrowdingRules, running: _Levels, programs: _Levels, room: _Room, now: float
+        self,
+        rules: CrowdingRules,
+        running: _Thresholds,
+        programs: _Thresholds,
+        capacity: _Capacity,
+        now: float,
     ) -> None:
         self._rules = rules
         self._running = running
         self._programs = programs
-        self._room = room
+        self._capacity = capacity
         self._now = now
         self._loads: dict[TenantId, TenantLoad] = {}
 
     def must_wait(self, queued: QueuedCall) -> bool:
-        """Return whether no engine can take the call now; cheap, but not the last word."""
+        """Return whether no engine can start the call now.
+
+        A cheap check: a call that passes it must still pass ``may_start``.
+        """
         load = self._load_of(queued.call.tenant_id)
         if load is TenantLoad.LIGHT:
             return False
         new_tokens = self._rules.new_tokens(queued)
         if load is TenantLoad.HEAVY:
-            return queued.is_first and new_tokens > self._room.heavy_program
+            return queued.is_first and new_tokens > self._capacity.heavy_program
         if not queued.is_first:
-            return not self._room.has_spare_batch
-        return new_tokens > self._room.excessive_program
+            return not self._capacity.has_spare_batch
+        return new_tokens > self._capacity.excessive_program
 
     def may_start(self, queued: QueuedCall, estimate: Estimate) -> bool:
         """Return whether the call may start at the estimate's engine."""
@@ -203,8 +226,8 @@
             return False
         new_tokens = self._rules.new_tokens(queued, estimate)
         if queued.is_first:
-            return new_tokens <= self._rules.room_for_program(engine, load, self._now)
-        # A program under way goes on where its prefix is, so that it can come to its end.
+            return new_tokens <= self._rules.capacity_for_program(engine, load, self._now)
+        # A program under way may continue where its prefix is cached, so that it can finish.
         is_cached = estimate.cached_tokens > 0
         return load is TenantLoad.HEAVY or is_cached or new_tokens <= engine.free_cache_tokens()
 
--- a/tests/decisions/order/test_crowding.py
+++ b/tests/decisions/order/test_crowding.py
@@ -1,4 +1,4 @@
-"""Calls that wait so that programs under way are not harmed, and the counts behind it."""
+"""Limits on heavy tenants that protect programs under way, and the counts they are based on."""
 
 import random
 import unittest
@@ -39,7 +39,7 @@
         return scheduler
 
     def call(self, tenant: str, now: float) -> list[CallId]:
-        """Let a call arrive; return the calls that start because of it."""
+        """Submit a call; return the calls that start as a result."""
         self.number += 1
         call_id = CallId(f"c{self.number}")
         arrived = events.CallArrived(
@@ -54,7 +54,7 @@
         return [item.call_id for item in output if isinstance(item, instructions.StartCall)]
 
     def flood(self, now: float) -> int:
-        """Start programs of the flooding tenant until one must wait; return how many."""
+        """Start programs of the flooding tenant until one must wait; return their number."""
         self.call(SMALL, now)
         self.call("other", now)
         for count in range(40):
@@ -62,19 +62,19 @@
                 return count
         return 40
 
-    def test_a_flooding_tenant_leaves_room_for_the_others(self):
+    def test_a_flooding_tenant_leaves_capacity_for_others(self):
         started = self.flood(0.0)
         self.assertLess(started, 9)
         for number in range(4):
             started = self.call(SMALL, 0.1 + number * 0.01)
             self.assertIn(f"c{self.number}", started)
 
-    def test_without_the_rules_the_flood_takes_all_slots(self):
+    def test_without_the_limits_a_flooding_tenant_uses_all_slots(self):
         self.scheduler = self.build(CrowdingConfig(enabled=False))
         self.assertEqual(16, self.flood(0.0))
         self.assertEqual([], self.call(SMALL, 0.1))
 
-    def test_a_held_back_program_starts_when_others_have_ended(self):
+    def test_a_delayed_program_starts_after_others_have_ended(self):
         self.flood(0.0)
         for number in range(1, self.number):
             self.scheduler.handle(events.ProgramEnded(ProgramId(f"p{number}")), 1.0)
@@ -83,12 +83,12 @@
                 return
         self.fail("the waiting program never started")
 
-    def test_a_lone_tenant_is_never_held_back(self):
+    def test_a_single_tenant_is_never_delayed(self):
         started = sum(len(self.call(FLOOD, 0.0)) for _ in range(18))
         self.assertEqual(18, started)
 
-    def test_a_heavy_tenants_new_program_waits_while_caches_turn_over_fast(self):
-        """Until the prefix that it would push out has not been used for a while."""
+    def test_a_new_program_of_a_heavy_tenant_waits_while_caches_thrash(self):
+        """The program starts once the prefix that it would evict has become old enough."""
         for number in range(18):
             tenant = FLOOD if number < 5 else f"small-{number}"
             self.call(tenant, 0.0)
@@ -102,7 +102,7 @@
 
 
 class OpenProgramsTest(unittest.TestCase):
-    def test_counts_follow_programs_that_end_or_are_forgotten(self):
+    def test_counts_exclude_programs_that_end_or_are_evicted(self):
         programs = AttainedService(max_programs=3)
         for number in range(5):
             programs.open(programs.of(ProgramId(f"p{number}")), TenantId("t"))
@@ -116,7 +116,7 @@
 
 
 class TenantSharesTest(unittest.TestCase):
-    def test_inactive_tenants_do_not_share_and_running_ones_do(self):
+    def test_shares_include_running_tenants_and_exclude_inactive_ones(self):
         shares = TenantShares(CrowdingConfig(active_s=10.0))
         shares.record_arrival(TenantId("runs"), 1.0, 0.0)
         shares.record_start(TenantId("runs"), 1.0, 0.0)
