--- a/src/passlane/decisions/order/program_progress.py
+++ b/src/passlane/decisions/order/program_progress.py
@@ -147,14 +147,14 @@
 
     def latest_start(self, program: ProgramProgress) -> float:
         """Return the latest time to begin a program's next turn for it to meet its deadline."""
-        statistics = self._statistics_of(program.route)
+        statistics = self._needs_of(program.route)
         expected_turns = max(1.0, statistics.turns_per_s * program.time_s or statistics.turns)
         remaining_share = max(1.0 / expected_turns, 1.0 - program.turns / expected_turns)
         return program.deadline_at - statistics.need_share * program.time_s * remaining_share
 
     def is_looping(self, program: ProgramProgress) -> bool:
         """Return whether a program has made far more turns than others of its route."""
-        route_turns = self._statistics_of(program.route).turns
+        route_turns = self._needs_of(program.route).turns
         return program.turns > max(MIN_LOOP_TURNS, LOOP_FACTOR * route_turns)
 
     def engine_of_history(self, program: ProgramProgress, replicated_engine: str) -> str:
@@ -177,9 +177,9 @@
 
     def mean_turns(self, route: str) -> float:
         """Return the mean number of turns of the programs of a route."""
-        return self._statistics_of(route).turns
+        return self._needs_of(route).turns
 
-    def _statistics_of(self, route: str) -> _RouteStatistics:
+    def _needs_of(self, route: str) -> _RouteStatistics:
         return self._statistics.setdefault(route, _RouteStatistics())
 
     def _expire_programs(self, now: float) -> None:
@@ -191,7 +191,7 @@
             del self._programs[program_id]
             self._ended[program_id] = program
             if program.turns > 0 and not self.is_looping(program):
-                self._statistics_of(program.route).update(program)
+                self._needs_of(program.route).update(program)
         while self._ended:
             program_id, program = next(iter(self._ended.items()))
             if now - program.last_seen_at < ENDED_RETENTION_S:
