--- a/src/passlane/decisions/order/model_queues.py
+++ b/src/passlane/decisions/order/model_queues.py
@@ -1,4 +1,4 @@
-"""The call queues of a node, deadline for each model, and retry-after times of refused calls."""
+"""The call queues of a node, one for each model, and retry-after times of refused calls."""
 
 from collections.abc import Iterator
 
