--- a/tests/recorded_decisions/__init__.py
+++ b/tests/recorded_decisions/__init__.py
@@ -1,5 +1,4 @@
-"""Recorded runs of the state machines that decide.
+"""Recorded runs of the decision state machines.
 
-The digests are a net for the reshaping of these machines, during which equal inputs must give
-equal instructions. They go when that is over.
+The digests guard refactorings of these machines: equal inputs must produce equal instructions.
 """
--- a/tests/recorded_decisions/engine_choice_load.py
+++ b/tests/recorded_decisions/engine_choice_load.py
@@ -1,8 +1,8 @@
-"""Requests of one node at engines and plain back ends, for the choice by memory, then load.
+"""Requests of one node to engines and plain back ends, for the choice of a back end.
 
-Requests run as long as their back end's speed says, break off, stall or are dropped. Back ends
-come, leave, are told to be gone, and have spells of slowness and silence. What the health of
-each shows is looked at beside the choices.
+The duration of requests depends on the speed of their back end; some fail, stall or are dropped.
+Back ends join, leave, are removed, and are slow or silent at times. The steps record the choices
+and the health of each back end.
 """
 
 import math
@@ -34,8 +34,8 @@
 REQUESTS_PER_S = 60.0
 LIST_PERIOD_S = 0.9
 LOOK_PERIOD_S = 0.25
-SPELL_S = 3.0
-MOST_TRIES = 3
+PHASE_S = 3.0
+MAX_TRIES = 3
 SERVICES = {"model": 7, "plain": 6}
 ZONES = "abb"
 HERE = NodePlace("node-1", "a")
@@ -43,7 +43,7 @@
 
 @dataclass
 class _Request:
-    """A request, with the back ends that it was sent to."""
+    """A request and the back ends to which it was sent."""
 
     service: str
     key: PlacementKey
@@ -60,7 +60,7 @@
 
 
 class _Load(World):
-    """One node's requests."""
+    """Requests of one node."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -73,7 +73,7 @@
     def step(self, kind: str, event: object, given: object) -> Step:
         return Step(kind, self.now, event, given)
 
-    # What is listed, and what it shows.
+    # Backend lists and their health.
 
     def list_backends(self) -> Step:
         self.later(LIST_PERIOD_S, self.list_backends)
@@ -101,7 +101,7 @@
         )
 
     def look(self) -> Step:
-        """Look at the health of all back ends of a service."""
+        """Record the health of all back ends of a service."""
         self.later(LOOK_PERIOD_S, self.look)
         service = self.random.choice(tuple(SERVICES))
         judged = self.registry.judge(service, self.now)
@@ -176,7 +176,7 @@
         attempt = _Attempt(request, load, load.health.watch(self.now))
         first_part_s = self.duration(instance_id)
         chance = self.random.random()
-        if chance < 0.05 or self.is_in_spell(instance_id, 11):
+        if chance < 0.05 or self.is_degraded(instance_id, 11):
             self.later(first_part_s * 0.5, lambda: self.fail(attempt))
         elif chance < 0.12:
             self.later(self.random.uniform(0.1, 2.5), lambda: self.drop(attempt))
@@ -185,13 +185,13 @@
 
     def duration(self, instance_id: str) -> float:
         slowness = 1.0 + 0.2 * int(instance_id[-1:])
-        if self.is_in_spell(instance_id, 7):
+        if self.is_degraded(instance_id, 7):
             slowness *= 8.0
         return self.random.lognormvariate(math.log(0.12), 0.6) * slowness
 
-    def is_in_spell(self, instance_id: str, period: int) -> bool:
-        """Whether a back end has a spell now; each has one in so many."""
-        return (int(self.now / SPELL_S) + int(instance_id[-1:])) % period == 0
+    def is_degraded(self, instance_id: str, period: int) -> bool:
+        """Return whether a back end is degraded now; each is in one of ``period`` periods."""
+        return (int(self.now / PHASE_S) + int(instance_id[-1:])) % period == 0
 
     def first_part(self, attempt: _Attempt, first_part_s: float) -> Step:
         attempt.watch.progressed(self.now)
@@ -211,7 +211,7 @@
         attempt.watch.failed(self.now)
         attempt.watch.dropped(self.now + 9.0, stall_limit_s(0.1))
         note_failure(attempt.load, self.now)
-        if len(attempt.request.tried) < MOST_TRIES:
+        if len(attempt.request.tried) < MAX_TRIES:
             self.later(0.01, lambda: self.send(attempt.request))
         return self.ended("failed", attempt)
 
--- a/tests/recorded_decisions/loads.py
+++ b/tests/recorded_decisions/loads.py
@@ -1,4 +1,4 @@
-"""The seeded load of each machine under record, by the name of its file of digests."""
+"""The seeded load of each recorded machine, by the name of its digest file."""
 
 from collections.abc import Callable, Iterator
 
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -1,7 +1,7 @@
-"""The one place that names the machines under record, their events and their instructions.
+"""Imports of the recorded machines, their events and their instructions.
 
-A module that moves or a class that is renamed changes the imports and the tables here, and
-nothing else of this folder. The markers stand for the classes in the digests and stay.
+Moving a module or renaming a class requires changes only to the imports and tables here. Markers
+identify the classes in the digests and must not change.
 """
 
 from passlane.configuration.documents import EngineBody
@@ -208,7 +208,7 @@
     TurnPlaced: "placed",
     TurnWithdrawn: "withdrawn",
 }
-"""What stands in a digest for the class of an instruction or of a part of one."""
+"""Marker of the class of an instruction, or of a part of one, in the digests."""
 
 SHORTENED: dict[type, str] = {
     BackendLoad: "record.instance_id",
@@ -216,4 +216,4 @@
     EngineSlots: "incarnation",
     WaitingCall: "request_id",
 }
-"""Objects with state of their own, for which the named path of attributes stands in a digest."""
+"""Stateful objects, which are represented in the digests by the given attribute path."""
--- a/tests/recorded_decisions/node_load_load.py
+++ b/tests/recorded_decisions/node_load_load.py
@@ -1,4 +1,4 @@
-"""Readings of a node that gets busy and recovers, and callers that wait for a first part."""
+"""Readings of a node that is overloaded and recovers, and callers waiting for a first part."""
 
 from collections.abc import Iterator
 
@@ -17,7 +17,7 @@
 SEED = 20_260_105
 STEPS = 4_000
 READING_PERIOD_S = 0.1
-SPELL_S = 4.0
+PHASE_S = 4.0
 CAPACITIES = (
     NodeCapacity(held_bytes=1_000, under_way=200, resident_bytes=5_000, descriptors=300),
     NodeCapacity(late_loop_s=0.1, under_way=100),
@@ -25,7 +25,7 @@
 
 
 class _Load(World):
-    """One node with two sets of bounds."""
+    """One node with two sets of limits."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -41,16 +41,16 @@
         return Step("reading", self.now, reading, changes)
 
     def reading(self) -> NodeReading:
-        """Return a reading in which one thing is short, by spells."""
-        short = int(self.now / SPELL_S) % 6
+        """Return a reading in which one resource at a time is scarce, alternating by period."""
+        scarce = int(self.now / PHASE_S) % 6
 
-        def used(kind: int, most: int) -> int:
-            share = self.random.uniform(0.6, 1.0) if kind == short else 0.4
-            return int(share * most)
+        def used(kind: int, limit: int) -> int:
+            share = self.random.uniform(0.6, 1.0) if kind == scarce else 0.4
+            return int(share * limit)
 
         is_known = self.random.random() < 0.9
         return NodeReading(
-            loop_lag_s=self.random.uniform(0.0, 0.3) if short == 0 else 0.01,
+            loop_lag_s=self.random.uniform(0.0, 0.3) if scarce == 0 else 0.01,
             held_bytes=used(1, 1_000),
             under_way=used(2, 200),
             resident_bytes=used(3, 5_000) if is_known else None,
--- a/tests/recorded_decisions/program_admission_load.py
+++ b/tests/recorded_decisions/program_admission_load.py
@@ -1,7 +1,6 @@
-"""New programs of one service that wait, are told to come back, begin, or stay away.
+"""New programs of one service that wait, are refused, retry, begin or never return.
 
-Beside it the choice of an engine for each program that begins, among engines that are learnt
-to differ in speed.
+It also chooses an engine for each program that begins, among engines of different learned speeds.
 """
 
 import math
@@ -29,13 +28,13 @@
 STEPS = 4_000
 ENGINES = 6
 PROGRAMS_PER_S = 25.0
-LONGEST_WAIT_S = 0.5
-ALL_PLACES_PER_S = 12.0
+MAX_WAIT_S = 0.5
+ALL_SLOTS_PER_S = 12.0
 SWEEP_PERIOD_S = 0.4
 
 
 class _Load(World):
-    """New programs before one service."""
+    """New programs of one service."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed)
@@ -65,7 +64,7 @@
         self.admission.forget_lapsed(self.now)
         return self.step("sweep", None, None)
 
-    # Programs that ask.
+    # Requests of programs.
 
     def new_program(self) -> Step:
         self.later(self.random.expovariate(PROGRAMS_PER_S), self.new_program)
@@ -98,8 +97,8 @@
         asked_at = admission.first_asked_at(asked.program_id, now)
         has_returned = admission.came_as_told(asked.program_id, now)
         before = admission.programs_before(asked, asked_at, now)
-        wait_s = admission.expected_wait_s(before, ALL_PLACES_PER_S, now)
-        if has_returned or wait_s <= LONGEST_WAIT_S:
+        wait_s = admission.expected_wait_s(before, ALL_SLOTS_PER_S, now)
+        if has_returned or wait_s <= MAX_WAIT_S:
             self.wait(asked, asked_at)
         else:
             self.refuse(asked, asked_at, wait_s)
@@ -109,7 +108,7 @@
         self.admission.note_waits(asked, asked_at)
         wait_s = self.random.expovariate(4.0)
         if self.random.random() < 0.1:
-            # Its caller asks once more while it waits still.
+            # The caller sends another request while this one still waits.
             self.later(wait_s / 2, lambda: self.ask(asked))
         if self.random.random() < 0.6:
             self.later(wait_s, lambda: self.begin(asked))
@@ -125,13 +124,13 @@
         return retry_after_s
 
     def leave(self, asked: TurnAsked, asked_at: float) -> Step:
-        """Leave the queue: told to come back, or given up."""
+        """Leave the queue: refused with a retry-after time, or abandoned by the caller."""
         self.admission.note_waits_no_longer(asked.program_id)
         if self.random.random() < 0.3:
             return self.step("given up", asked, None)
         return self.step("told to return", asked, self.refuse(asked, asked_at, 0.1))
 
-    # Programs that begin.
+    # Starts of programs.
 
     def begin(self, asked: TurnAsked) -> Step:
         self.admission.note_waits_no_longer(asked.program_id)
--- a/tests/recorded_decisions/quota_ledger_load.py
+++ b/tests/recorded_decisions/quota_ledger_load.py
@@ -1,8 +1,8 @@
-"""Tenants at their limits, for the ledger of quotas.
+"""Tenants at their limits, for the quota ledger.
 
-Three ledgers stand for the replicas of the group: one leads, the others note what it tells.
-Now and then another leads; some of what was to be told is lost. Limits change with versions
-of the configuration.
+Three ledgers act as the replicas of a group: the leader replicates usage to the followers.
+Leadership changes occasionally, and some replication messages are lost. Limits change with
+configuration versions.
 """
 
 from collections.abc import Callable, Iterator
@@ -37,7 +37,7 @@
 
 
 class _Load:
-    """A group of ledgers under one set of rules."""
+    """A group of ledgers with one set of rules."""
 
     def __init__(self, random: Random, rules: QuotaRules) -> None:
         self._random = random
@@ -47,7 +47,7 @@
         self._version = 1
         self._now = 100.0
         self._granted: list[tuple[QuotaDraw, float]] = []
-        self._telling: list[tuple[TenantUsage, ...]] = []
+        self._pending_usages: list[tuple[TenantUsage, ...]] = []
         self._events: dict[Callable[[], Step], int] = {
             self._draw: 80,
             self._must_tell: 6,
@@ -56,12 +56,12 @@
             self._tell: 5,
             self._note_told: 5,
             self._enter_term: 2,
-            self._lead_anew: 1,
+            self._change_leader: 1,
             self._look: 2,
         }
 
     def steps(self) -> Iterator[Step]:
-        yield self._lead_anew()
+        yield self._change_leader()
         acts, weights = list(self._events), list(self._events.values())
         for number in range(1, STEPS_OF_EACH):
             is_idle = number % STEPS_BETWEEN_IDLE == 0
@@ -75,7 +75,7 @@
         return Step(kind, self._now, event, given)
 
     def _limit(self) -> QuotaLimit:
-        """Return a tenant's limit; some nodes know an older version of it."""
+        """Return a tenant's limit, sometimes in an older version."""
         tenant = self._random.choice(tuple(RATES))
         if self._random.random() < 0.03:
             self._version += 1
@@ -122,13 +122,13 @@
 
     def _tell(self) -> Step:
         usages = self._leader.usages_to_tell(self._now)
-        self._telling.append(usages)
+        self._pending_usages.append(usages)
         return self._step("tell", None, usages)
 
     def _note_told(self) -> Step:
-        if not self._telling:
+        if not self._pending_usages:
             return self._look()
-        usages = self._telling.pop(0)
+        usages = self._pending_usages.pop(0)
         is_told = self._random.random() < 0.8
         self._leader.note_told(usages, is_told=is_told)
         if is_told:
@@ -142,15 +142,15 @@
                 ledger.note_replicated(usages, group_s)
 
     def _enter_term(self) -> Step:
-        """Enter the term in which it leads already."""
+        """Enter the term in which the leader already leads."""
         self._leader.enter_term(self._term, self._now)
         return self._step("same term", self._term, self._state())
 
-    def _lead_anew(self) -> Step:
+    def _change_leader(self) -> Step:
         self._leader = self._random.choice(self._ledgers)
         self._term += 1
         self._granted = []
-        self._telling = []
+        self._pending_usages = []
         self._leader.enter_term(self._term, self._now)
         return self._step("new term", self._term, self._state())
 
@@ -162,6 +162,6 @@
 
 
 def quota_ledger_steps() -> Iterator[Step]:
-    """Yield the steps of the recorded run, one group of ledgers after the other."""
+    """Yield the steps of the recorded run, for each group of ledgers in sequence."""
     for rules in RULES:
         yield from _Load(Random(SEED), rules).steps()
--- a/tests/recorded_decisions/record.py
+++ b/tests/recorded_decisions/record.py
@@ -1,7 +1,6 @@
-"""Writes the digests of the machines named on the command line anew.
+"""Rewrites the digests of the machines named on the command line.
 
-Only for code whose decisions are right by definition: a change that is meant to decide alike
-must pass with the digests as they are.
+Use it only for intended changes of decisions. A refactoring must pass with the existing digests.
 """
 
 import sys
--- a/tests/recorded_decisions/recording.py
+++ b/tests/recorded_decisions/recording.py
@@ -1,4 +1,4 @@
-"""Keeps the digests of a run, one for each step, and compares a run with them."""
+"""Stores one digest for each step of a run, and compares later runs with them."""
 
 import itertools
 from collections import Counter
@@ -14,9 +14,9 @@
 
 
 class Step(NamedTuple):
-    """One event that a machine was told, and what it gave.
+    """One event that a machine handled, and its output.
 
-    ``kind`` names the kind of event, ``event`` is shown when the step differs.
+    ``kind`` names the kind of event; ``event`` is printed if the step differs.
     """
 
     kind: str
@@ -26,18 +26,18 @@
 
 
 class Reached(NamedTuple):
-    """How often a run reached each kind of event, and each marker of what was given."""
+    """How often a run reached each kind of event and each marker of the output."""
 
     events: Counter[str]
     markers: Counter[str]
 
 
 class DifferentStepError(AssertionError):
-    """Names the first step that differs from its record."""
+    """Reports the first step that differs from the recorded run."""
 
 
 def record(name: str, steps: Iterable[Step]) -> None:
-    """Write the digests of a run."""
+    """Write the digests of a run to its file."""
     digests = [digest_of(step.given) for step in steps]
     lines = [
         " ".join(digests[begin : begin + DIGESTS_IN_LINE])
@@ -47,7 +47,7 @@
 
 
 def compare(name: str, steps: Iterable[Step]) -> Reached:
-    """Compare a run with its record; return what it reached.
+    """Compare a run with its recorded digests; return what it reached.
 
     Raises
     ------
--- a/tests/recorded_decisions/room_load.py
+++ b/tests/recorded_decisions/room_load.py
@@ -1,8 +1,8 @@
-"""Calls of one node that look for room, at plain back ends and at model engines.
+"""Calls of one node that need capacity at plain back ends and at model engines.
 
-Places of a back end are shared with nodes that aren't seen: in spells nearly all of them are
-taken. A call that finds no room waits for its turn or for a place that gets free, and gives
-up when its time has run out. Back ends come, leave, break off and have slow spells.
+The slots of a back end are shared with other nodes, which are not simulated: periodically nearly
+all slots are in use. A refused call waits to retry or for a slot that is released, and is
+abandoned when its time is up. Back ends join, leave, fail and are slow at times.
 """
 
 import math
@@ -30,13 +30,13 @@
 
 SEED = 20_260_104
 STEPS = {False: 6_000, True: 2_500}
-"""By whether the service is one of model engines."""
+"""Number of steps, by whether the back ends are model engines."""
 CALLS_PER_S = 70.0
 LIST_PERIOD_S = 0.5
 LOOK_PERIOD_S = 0.2
-SPELL_S = 0.9
+PHASE_S = 0.9
 BREAK_S = 0.5
-"""For so long a back end is silent before it breaks off."""
+"""Time for which a back end is silent before its connection breaks."""
 BACKENDS = 19
 FEW_BACKENDS = 4
 HERE = NodePlace("node-1", "a")
@@ -45,7 +45,7 @@
 
 @dataclass
 class _Call:
-    """A call on its way to an answer."""
+    """A call that has not ended."""
 
     waiting: WaitingCall
     route: str
@@ -56,7 +56,7 @@
 
 
 class _Load(World):
-    """One node before one service."""
+    """One node that sends calls to one service."""
 
     def __init__(self, seed: int, *, is_for_model: bool) -> None:
         super().__init__(seed)
@@ -74,9 +74,9 @@
         return self.registry.of_service("service")
 
     def is_scarce(self) -> bool:
-        return int(self.now / SPELL_S) % 3 == 1
+        return int(self.now / PHASE_S) % 3 == 1
 
-    # What is listed, and how it stands.
+    # Backend lists and their state.
 
     def list_backends(self) -> Step:
         self.later(LIST_PERIOD_S, self.list_backends)
@@ -117,10 +117,10 @@
         )
         call = _Call(waiting, route, self.random.random() < 0.3, limit_at)
         self.calls[waiting] = call
-        return self.look_for_room(call, None)
+        return self.request_capacity(call, None)
 
-    def look_for_room(self, call: _Call, turn: RoomTurn | None) -> Step:
-        """Send a call to a back end, or let it wait."""
+    def request_capacity(self, call: _Call, turn: RoomTurn | None) -> Step:
+        """Send a call to a back end, or queue it."""
         if self.room.plain is None:
             self.send(call, self.random.choice(self.loads()))
             return self.step("sent to engine", call.waiting, [turn])
@@ -160,7 +160,7 @@
 
     def duration(self, route: str, instance_id: str) -> float:
         number = int(instance_id.rpartition("-")[2])
-        is_slow = (int(self.now / SPELL_S) + number) % 6 == 0
+        is_slow = (int(self.now / PHASE_S) + number) % 6 == 0
         run_s = self.random.lognormvariate(math.log(ROUTES[route]), 0.3)
         return run_s * (3.5 if is_slow else 1.0)
 
@@ -172,23 +172,23 @@
         note_success(load)
         instance_id = load.record.instance_id
         first = self.room.note_answered(instance_id, call.route, seconds, self.now)
-        self.hand_on(first, instance_id)
+        self.reassign_slot(first, instance_id)
         return self.step("answered", instance_id, [first])
 
-    def hand_on(self, first: WaitingCall | None, instance_id: str) -> None:
+    def reassign_slot(self, first: WaitingCall | None, instance_id: str) -> None:
         if first is not None:
             call = self.calls[first]
             self.stop_waiting(call)
-            self.later(0.0, lambda: self.look_for_room(call, RoomTurn(instance_id)))
+            self.later(0.0, lambda: self.request_capacity(call, RoomTurn(instance_id)))
 
     def refuse(self, call: _Call, load: BackendLoad, watch: AttemptWatch) -> Step:
         load.in_flight -= 1
-        watch.dropped(self.now, SPELL_S)
+        watch.dropped(self.now, PHASE_S)
         call.tried.append(load.record.instance_id)
         if self.room.plain is not None:
             self.room.plain.note_refused(load.record.instance_id, self.now)
         if len(call.tried) < 3 and self.room.plain is not None:
-            self.later(0.0, lambda: self.look_for_room(call, None))
+            self.later(0.0, lambda: self.request_capacity(call, None))
         else:
             self.later(0.0, lambda: self.join(call))
         return self.step("refused", load.record, [load.in_flight])
@@ -200,7 +200,7 @@
         if self.room.plain is not None:
             self.room.plain.note_broken(load.record.instance_id, self.now)
         first = self.room.offer(self.now)
-        self.hand_on(first, load.record.instance_id)
+        self.reassign_slot(first, load.record.instance_id)
         return self.step("broken off", load.record, [first])
 
     # Waiting.
@@ -221,7 +221,7 @@
         turn = self.room.take_turn(call.waiting, self.now)
         if turn is not None:
             self.stop_waiting(call)
-            self.later(0.0, lambda: self.look_for_room(call, turn))
+            self.later(0.0, lambda: self.request_capacity(call, turn))
             return self.step("turn", call.waiting, [turn])
         if self.now >= call.waiting.give_up_at:
             return self.give_up(call)
--- a/tests/recorded_decisions/scheduler_load.py
+++ b/tests/recorded_decisions/scheduler_load.py
@@ -1,8 +1,8 @@
-"""Model calls of programs that one node leads, for the scheduler of a node.
+"""Model calls of programs that one node leads, for the call scheduler.
 
-The load is closed: a call that is started ends at its engine, its program goes to a tool and
-returns, ends, or is never heard of again. Engines report load and cache events late and with
-gaps, restart, leave, go unreachable and vanish from the configuration.
+The load is closed-loop: a started call ends at its engine, and its program pauses for a tool and
+returns, ends, or never returns. Engines report load and cache events with delays and gaps,
+restart, leave, become unreachable and are removed from the configuration.
 """
 
 import math
@@ -66,7 +66,7 @@
         retention=RetentionConfig(enabled=False),
     ): 1_500,
 }
-"""Steps by configuration."""
+"""Number of steps, by configuration."""
 ENGINES = {"large": 9, "small": 3}
 TENANTS = {"north": 1.0, "south": 2.0, "east": 1.0, "heavy": 1.0}
 PROGRAMS_PER_S = 14.0
@@ -91,13 +91,13 @@
 }
 UNREACHABLE_ENGINE = "large-6"
 FAILING = {UNREACHABLE_ENGINE: 1.0, "large-2": 0.5}
-"""Share of calls that fail at engines that do worse than others."""
+"""Share of calls that fail, by engine; ``FAILING_ELSEWHERE`` applies to all other engines."""
 FAILING_ELSEWHERE = 0.04
 
 
 @dataclass
 class _Program:
-    """A program that makes its calls one after the other."""
+    """A program that runs its calls sequentially."""
 
     program_id: ProgramId
     tenant: str
@@ -110,7 +110,7 @@
 
 @dataclass
 class _Engine:
-    """An engine, with the cache events that it has published."""
+    """An engine and the number of its last published cache event."""
 
     engine_id: EngineId
     incarnation: int = 1
@@ -119,7 +119,7 @@
 
 
 class _Load(World):
-    """The world around one node's scheduler."""
+    """Simulated environment of one node's scheduler."""
 
     def __init__(self, seed: int, config: SchedulerConfig) -> None:
         super().__init__(seed)
@@ -134,16 +134,16 @@
         for act in (self.configure, self.leave, self.report, self.tick, self.new_program):
             self.later(0.0, act)
 
-    def told(self, event: Any) -> Step:
-        """Tell the scheduler of an event, and act upon its instructions."""
+    def send_event(self, event: Any) -> Step:
+        """Send an event to the scheduler and apply its instructions."""
         instructions = self.scheduler.handle(event, self.now)
         for instruction in instructions:
-            self.follow(instruction)
+            self.apply(instruction)
         figures = [self.scheduler.queued_calls, self.scheduler.running_calls]
         at_engines = [self.scheduler.in_flight_at(EngineId(name)) for name in self.engines]
         return Step(EVENTS[type(event)], self.now, event, [instructions, figures, at_engines])
 
-    def follow(self, instruction: Any) -> None:
+    def apply(self, instruction: Any) -> None:
         if isinstance(instruction, StartCall):
             self.start(instruction)
         elif isinstance(instruction, RequestCacheSnapshot):
@@ -152,7 +152,7 @@
                 self.later(0.1, lambda: self.snapshot(engine))
         elif isinstance(instruction, WakeAt) and self.random.random() < 0.1:
             wait_s = max(0.0, instruction.time - self.now)
-            self.later(wait_s, lambda: self.told(TimeAdvanced()))
+            self.later(wait_s, lambda: self.send_event(TimeAdvanced()))
 
     # Engines.
 
@@ -166,7 +166,7 @@
             or name == UNREACHABLE_ENGINE
             or (self.random.random() > 0.05 and (has_small or name.startswith("large")))
         }
-        return self.told(EnginesChanged(bodies))
+        return self.send_event(EnginesChanged(bodies))
 
     def body(self, name: str) -> EngineBody:
         model, _, number = name.rpartition("-")
@@ -182,21 +182,21 @@
     def leave(self) -> Step:
         self.later(LEAVING_PERIOD_S, self.leave)
         names = [name for name in self.engines if self.random.random() < 0.1]
-        return self.told(EnginesLeaving(frozenset(EngineId(name) for name in names)))
+        return self.send_event(EnginesLeaving(frozenset(EngineId(name) for name in names)))
 
     def report(self) -> Step:
-        """Report the load or the cache of an engine, or that it can't be reached."""
+        """Report the load or the cache events of an engine, or that it is unreachable."""
         self.later(REPORT_PERIOD_S / 3, self.report)
         name = self.random.choice(tuple(self.engines))
         engine = self.engines[name]
         if name == UNREACHABLE_ENGINE or self.random.random() < 0.04:
-            return self.told(EngineUnreachable(engine.engine_id))
+            return self.send_event(EngineUnreachable(engine.engine_id))
         if self.random.random() < 0.03:
             engine.incarnation += 1
             engine.last_event = 0
         if self.random.random() < 0.5:
-            return self.told(CacheEventsReported(engine.engine_id, self.cache_events(engine)))
-        return self.told(LoadReported(self.load_of(engine)))
+            return self.send_event(CacheEventsReported(engine.engine_id, self.cache_events(engine)))
+        return self.send_event(LoadReported(self.load_of(engine)))
 
     def load_of(self, engine: _Engine) -> EngineLoad:
         model = engine.engine_id.rpartition("-")[0]
@@ -232,11 +232,11 @@
             CacheEntry(program, self.random.randint(100, 4_000)) for program in programs
         )
         snapshot = CacheSnapshot(engine.incarnation, engine.last_event - behind, entries)
-        return self.told(CacheSnapshotReported(engine.engine_id, snapshot))
+        return self.send_event(CacheSnapshotReported(engine.engine_id, snapshot))
 
     def tick(self) -> Step:
         self.later(TICK_S, self.tick)
-        return self.told(TimeAdvanced())
+        return self.send_event(TimeAdvanced())
 
     # Programs and their calls.
 
@@ -279,11 +279,11 @@
         self.calls[call.call_id] = (call, program)
         if random.random() < 0.08:
             self.later(random.uniform(0.01, 0.6), lambda: self.withdraw(call.call_id))
-        return self.told(call)
+        return self.send_event(call)
 
     def withdraw(self, call_id: CallId) -> Step:
         self.calls.pop(call_id, None)
-        return self.told(CallWithdrawn(call_id))
+        return self.send_event(CallWithdrawn(call_id))
 
     def start(self, start: StartCall) -> None:
         engine = self.engines[start.engine_id]
@@ -297,7 +297,7 @@
         self.later(run_s, lambda: self.end(call, engine))
 
     def first_token(self, call_id: CallId) -> Step | None:
-        return self.told(CallFirstToken(call_id)) if self.random.random() < 0.3 else None
+        return self.send_event(CallFirstToken(call_id)) if self.random.random() < 0.3 else None
 
     def end(self, call: CallArrived, engine: _Engine) -> Step:
         engine.running -= 1
@@ -306,24 +306,26 @@
         cached = self.random.randint(0, call.prompt_tokens)
         known = self.calls.pop(call.call_id, None)
         if known is not None:
-            self.go_on(known[1], generated)
-        return self.told(CallEnded(call.call_id, succeeded, call.prompt_tokens, cached, generated))
+            self.continue_program(known[1], generated)
+        return self.send_event(
+            CallEnded(call.call_id, succeeded, call.prompt_tokens, cached, generated)
+        )
 
-    def go_on(self, program: _Program, generated: int) -> None:
-        """Let a program go to a tool and return, end, or never be heard of again."""
+    def continue_program(self, program: _Program, generated: int) -> None:
+        """Let a program pause for a tool and return, end, or never return."""
         program.calls_left -= 1
         program.tokens += generated + self.random.randint(20, 500)
         pause_s = self.random.expovariate(4.0)
         if program.calls_left <= 0:
-            self.later(0.01, lambda: self.told(ProgramEnded(program.program_id)))
+            self.later(0.01, lambda: self.send_event(ProgramEnded(program.program_id)))
             return
         if self.random.random() < 0.9:
-            self.later(0.0, lambda: self.told(ProgramPaused(program.program_id, 0.25)))
+            self.later(0.0, lambda: self.send_event(ProgramPaused(program.program_id, 0.25)))
         if self.random.random() < 0.9:
             self.later(pause_s, lambda: self.arrive(program))
 
 
 def scheduler_steps() -> Iterator[Step]:
-    """Yield the steps of the recorded runs, one configuration after the other."""
+    """Yield the steps of the recorded runs, for each configuration in sequence."""
     for config, steps in RUNS.items():
         yield from _Load(SEED, config).play(steps)
--- a/tests/recorded_decisions/test_recorded_decisions.py
+++ b/tests/recorded_decisions/test_recorded_decisions.py
@@ -1,6 +1,6 @@
-"""Replays the recorded runs of the machines that decide, and compares each step.
+"""Replays the recorded runs of the decision state machines and compares each step.
 
-The digests are a net for the reshaping of these machines and go when that is over.
+Guards against refactorings that change decisions.
 """
 
 import unittest
@@ -11,10 +11,10 @@
 
 
 class TestRecordedDecisions(unittest.TestCase):
-    """Equal events give equal instructions, to the byte."""
+    """Equal events produce byte-identical instructions."""
 
     def check(self, machine: str, events: set[str], markers: set[str]) -> None:
-        """Replay a run, and see that it reached all kinds of events and instructions."""
+        """Replay a run and check that it reached all kinds of events and instructions."""
         reached = compare(machine, LOADS[machine]())
         self.assertEqual(set(reached.events), events)
         self.assertEqual(set(reached.markers), markers)
--- a/tests/recorded_decisions/turn_scheduler_load.py
+++ b/tests/recorded_decisions/turn_scheduler_load.py
@@ -1,7 +1,7 @@
-"""Programs of several tenants on engines of two services, for the scheduler of turns.
+"""Programs of several tenants on engines of two services, for the turn scheduler.
 
-The load is closed: a turn that is placed ends some time later at its engine, one that is
-refused comes back or stays away. Engines come, leave, drain, fail, refuse and hang.
+The load is closed-loop: a placed turn ends some time later at its engine, and a refused one is
+retried or abandoned. Engines join, leave, drain, fail, refuse and hang.
 """
 
 import math
@@ -32,7 +32,7 @@
 HANG = (4.0, 7.0)
 HANGING_ENGINE = "model-2"
 LISTS_BETWEEN_LOSSES = 4
-"""Each so many lists one has no engine of the service ``small``."""
+"""Every so many backend lists, one contains no engine of the service ``small``."""
 NEW_LEADER_AT_S = (0.0, 12.0)
 FIGURES_PERIOD_S = 0.7
 LIST_PERIOD_S = 1.3
@@ -40,23 +40,23 @@
 
 @dataclass(frozen=True)
 class _LoadKind:
-    """What differs between the recorded runs: by service, and by route."""
+    """Parameters that differ between the recorded runs, by service and by route."""
 
     steps: int
     memory_tokens: dict[str, int]
-    most_turns: dict[str, int]
+    max_turns: dict[str, int]
 
 
 KINDS = (
     _LoadKind(6_000, {"model": 15_000, "small": 0}, {"alarm": 9, "session": 9}),
     _LoadKind(5_500, {"model": 60_000, "small": 7_000}, {"alarm": 6, "session": 16}),
 )
-"""Engines that are short of memory; engines that are short of places, and longer programs."""
+"""A run in which engines lack memory, and one with longer programs in which they lack slots."""
 
 
 @dataclass
 class _Program:
-    """A program that makes its turns one after the other."""
+    """A program that runs its turns sequentially."""
 
     program_id: str
     service: str
@@ -74,7 +74,7 @@
 
 @dataclass
 class _Turn:
-    """A turn that has asked and has not ended."""
+    """A turn that has been requested and has not ended."""
 
     program: _Program
     asked: TurnAsked
@@ -82,7 +82,7 @@
 
 
 class _Load(World):
-    """The world around the scheduler."""
+    """Simulated environment of the scheduler."""
 
     def __init__(self, seed: int, kind: _LoadKind) -> None:
         super().__init__(seed)
@@ -97,13 +97,13 @@
         self.later(0.1, self.figures)
         self.later(0.2, self.new_program)
 
-    def told(self, kind: str, event: Any, decisions: list[Any]) -> Step:
-        """Act upon decisions and return the step."""
+    def apply_all(self, kind: str, event: Any, decisions: list[Any]) -> Step:
+        """Apply decisions and return the step."""
         for decision in decisions:
-            self.follow(decision)
+            self.apply(decision)
         return Step(kind, self.now, event, decisions)
 
-    def follow(self, decision: Any) -> None:
+    def apply(self, decision: Any) -> None:
         turn = self.turns.get(decision.attempt_id)
         if turn is None:
             return
@@ -111,19 +111,19 @@
             self.run(turn, decision)
         elif isinstance(decision, TurnNotPlaced):
             del self.turns[decision.attempt_id]
-            self.come_back(turn.program, decision.retry_after_s)
+            self.retry_refused(turn.program, decision.retry_after_s)
         else:
             del self.turns[decision.attempt_id]
             self.later(0.1, lambda: self.ask(turn.program))
 
-    # Times at which something happens by itself.
+    # Periodic actions.
 
     def begin(self) -> Step:
-        return self.told("begin", None, self.scheduler.begin(self.now))
+        return self.apply_all("begin", None, self.scheduler.begin(self.now))
 
     def tick(self) -> Step:
         self.later(TICK_S, self.tick)
-        return self.told("advance", None, self.scheduler.advance(self.now))
+        return self.apply_all("advance", None, self.scheduler.advance(self.now))
 
     def figures(self) -> Step:
         self.later(FIGURES_PERIOD_S, self.figures)
@@ -140,7 +140,9 @@
             for number in range(engines)
             if self.is_listed(service)
         ]
-        return self.told("engines", records, self.scheduler.replace_backends(records, self.now))
+        return self.apply_all(
+            "engines", records, self.scheduler.replace_backends(records, self.now)
+        )
 
     def is_listed(self, service: str) -> bool:
         if service == "small" and self.lists % LISTS_BETWEEN_LOSSES == 0:
@@ -181,14 +183,14 @@
             urgency=random.choice((0, 1, 1, 2)),
             turns_left=LOOPING_TURNS
             if is_looping
-            else random.randint(1, self.kind.most_turns[route]),
+            else random.randint(1, self.kind.max_turns[route]),
             deadline_at=self.now + random.uniform(0.3, 6.0) if has_deadline else None,
             history=random.randint(100, 9_000),
             shared_part=random.choice(("", "part-1", "part-2", "part-3")),
             is_looping=is_looping,
         )
 
-    def come_back(self, program: _Program, retry_after_s: float) -> None:
+    def retry_refused(self, program: _Program, retry_after_s: float) -> None:
         chance = self.random.random()
         if chance < 0.75:
             self.later(retry_after_s, lambda: self.ask(program))
@@ -209,7 +211,7 @@
             self.later(self.random.uniform(0.0, 0.2), lambda: self.ask_again(asked))
         if not program.is_looping and self.random.random() < 0.1:
             self.later(self.random.uniform(0.02, 0.5), lambda: self.give_up(asked.attempt_id))
-        return self.told("asked", asked, self.scheduler.ask(asked, self.now))
+        return self.apply_all("asked", asked, self.scheduler.ask(asked, self.now))
 
     def ask_again(self, asked: TurnAsked) -> Step | None:
         turn = self.turns.get(asked.attempt_id)
@@ -259,20 +261,20 @@
         if turn is None:
             return None
         ended = TurnEnded(attempt_id=attempt_id)
-        return self.told("given up", ended, self.scheduler.end(ended, self.now))
+        return self.apply_all("given up", ended, self.scheduler.end(ended, self.now))
 
     def end(self, attempt_id: str, run_s: float) -> Step | None:
         turn = self.turns.pop(attempt_id, None)
         if turn is None:
             return None
         ended = self.ended(turn, run_s)
-        self.go_on(turn.program, ended)
+        self.continue_program(turn.program, ended)
         if self.random.random() < 0.05:
             self.later(0.03, lambda: self.end_again(ended))
-        return self.told("ended", ended, self.scheduler.end(ended, self.now))
+        return self.apply_all("ended", ended, self.scheduler.end(ended, self.now))
 
     def end_again(self, ended: TurnEnded) -> Step:
-        return self.told("ended again", ended, self.scheduler.end(ended, self.now))
+        return self.apply_all("ended again", ended, self.scheduler.end(ended, self.now))
 
     def ended(self, turn: _Turn, run_s: float) -> TurnEnded:
         attempt_id = turn.asked.attempt_id
@@ -287,7 +289,7 @@
         outcome = TurnOutcome(engine_s=run_s, first_part_s=run_s / 4, events=9, full_at=full_at)
         return TurnEnded(attempt_id=attempt_id, served_by=served_by, outcome=outcome)
 
-    def go_on(self, program: _Program, ended: TurnEnded) -> None:
+    def continue_program(self, program: _Program, ended: TurnEnded) -> None:
         program.is_first = False
         program.used_last = ended.served_by or program.used_last
         program.turns_left -= 1
@@ -298,6 +300,6 @@
 
 
 def turn_scheduler_steps() -> Iterator[Step]:
-    """Yield the steps of the recorded runs, one after the other."""
+    """Yield the steps of the recorded runs in sequence."""
     for kind in KINDS:
         yield from _Load(SEED, kind).play(kind.steps)
--- a/tests/recorded_decisions/values.py
+++ b/tests/recorded_decisions/values.py
@@ -1,4 +1,4 @@
-"""The canonical form of instructions: their values alone, no names of classes or fields."""
+"""Canonical form of instructions: their values without the names of classes and fields."""
 
 import dataclasses
 import enum
@@ -15,7 +15,7 @@
 
 
 def values_of(item: Any) -> Any:
-    """Return lists, strings and whole numbers that tell all values of ``item``.
+    """Return all values of ``item`` as nested lists, strings and integers.
 
     Raises
     ------
@@ -36,7 +36,7 @@
 
 
 def digest_of(items: Any) -> str:
-    """Return the digest of the values of ``items`` in hexadecimal digits."""
+    """Return the digest of the values of ``items`` as hexadecimal digits."""
     text = json.dumps(values_of(items), separators=(",", ":"))
     return blake2b(text.encode(), digest_size=DIGEST_BYTES).hexdigest()
 
--- a/tests/recorded_decisions/world.py
+++ b/tests/recorded_decisions/world.py
@@ -1,4 +1,4 @@
-"""Virtual time for the loads: what happens when, and the steps that come of it."""
+"""Virtual time for the loads: scheduled actions and the steps that they produce."""
 
 import heapq
 from collections.abc import Callable, Iterator
@@ -10,33 +10,33 @@
 
 
 class World:
-    """What surrounds a machine; all that happens is drawn from one seeded source.
+    """Simulated environment of a machine; all random choices come from one seeded generator.
 
     Attributes
     ----------
     now
-        Seconds of virtual time.
+        Virtual time, in seconds.
     """
 
     def __init__(self, seed: int) -> None:
         self.random = Random(seed)
         self.now = 0.0
-        self._coming: list[tuple[float, int, Act]] = []
+        self._scheduled: list[tuple[float, int, Act]] = []
         self._count = 0
 
     def next_number(self) -> int:
-        """Return a number that nothing else has."""
+        """Return a unique sequence number."""
         self._count += 1
         return self._count
 
     def later(self, seconds: float, act: Act) -> None:
-        """Let something happen so many seconds from now."""
-        heapq.heappush(self._coming, (self.now + seconds, self.next_number(), act))
+        """Schedule an action ``seconds`` from now."""
+        heapq.heappush(self._scheduled, (self.now + seconds, self.next_number(), act))
 
     def play(self, steps: int) -> Iterator[Step]:
-        """Yield so many steps."""
+        """Run scheduled actions and yield the given number of steps."""
         while steps > 0:
-            self.now, _, act = heapq.heappop(self._coming)
+            self.now, _, act = heapq.heappop(self._scheduled)
             step = act()
             if step is not None:
                 steps -= 1
