--- a/src/passlane/event_streams/__init__.py
+++ b/src/passlane/event_streams/__init__.py
@@ -1,1 +1,1 @@
-"""Server-sent events as bytes: where one ends, and what it holds."""
+"""Parsing of server-sent event streams."""
--- a/src/passlane/event_streams/whole_events.py
+++ b/src/passlane/event_streams/whole_events.py
@@ -1,4 +1,7 @@
-"""Splits a stream of server-sent events into whole events as its bytes arrive."""
+"""Splits a server-sent event stream into complete events as its bytes arrive.
+
+Owns the bytes of the event that is still incomplete.
+"""
 
 import msgspec
 
@@ -8,7 +11,7 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One whole event: its bytes, its id and its data."""
+    """One complete event: its raw bytes, its id and its data."""
 
     raw: bytes
     event_id: str | None
@@ -16,20 +19,20 @@
 
 
 class EventSplitter:
-    """Gathers bytes and gives whole events; what is left over is no whole event."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
         self._pending = b""
 
     @property
     def pending(self) -> bytes:
-        """Bytes of an event whose end has not arrived."""
+        """Bytes of the event that is still incomplete."""
         return self._pending
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that end within ``data``."""
-        *wholes, self._pending = (self._pending + data).split(EVENT_END)
-        return [_parse(whole + EVENT_END) for whole in wholes]
+        """Append bytes and return the events that are now complete."""
+        *complete, self._pending = (self._pending + data).split(EVENT_END)
+        return [_parse(event + EVENT_END) for event in complete]
 
 
 def _parse(raw: bytes) -> StreamEvent:
@@ -44,6 +47,6 @@
 
 
 def _value_of(line: bytes, field: bytes) -> bytes:
-    """Return a field's value; one space after the colon does not belong to it."""
+    """Return the value of a field, without the single optional space after the colon."""
     value = line[len(field) :].rstrip(b"\r")
     return value[1:] if value.startswith(b" ") else value
--- a/tests/event_streams/test_whole_events.py
+++ b/tests/event_streams/test_whole_events.py
@@ -1,4 +1,4 @@
-"""Whole events out of arbitrary pieces of a stream."""
+"""Splitting of event streams that arrive in arbitrary chunks."""
 
 import itertools
 import unittest
@@ -13,7 +13,7 @@
 
 class EventSplitterTest(unittest.TestCase):
     @given(st.lists(st.integers(min_value=0, max_value=len(STREAM)), max_size=10))
-    def test_pieces_do_not_matter(self, cuts):
+    def test_events_do_not_depend_on_the_chunk_boundaries(self, cuts):
         splitter = EventSplitter()
         edges = [0, *sorted(cuts), len(STREAM)]
         events = []
