--- a/src/passlane/relay/list_reader.py
+++ b/src/passlane/relay/list_reader.py
@@ -1,9 +1,9 @@
-"""Keeps a node's list of back ends up to date, within the rate for all nodes.
+"""Keeps a node's list of backends up to date, within the call rate allowed for all nodes.
 
-The leader of the control group has one node read the platform's list for all and
-passes it on. A node whose list grows old, because that leader or the reader is out of
-reach, reads for itself. Owns the times of these readings; the list itself is in
-``decisions.backends.registry``. Lines: ``backends_changed``, ``backend_list_lost``.
+The leader of the control group appoints one node to read the platform's list for all nodes, and
+distributes it. A node whose list is stale, because the leader or the appointed node is
+unreachable, reads the list itself. Owns the times of these reads; the list itself is in
+``decisions.backends.registry``. Log lines: ``backends_changed``, ``backend_list_lost``.
 """
 
 import random as random_module
@@ -18,47 +18,44 @@
 from passlane.relay.backends import BackendList
 
 READ_PERIOD_S = 0.9
-"""Seconds between two readings by the appointed reader. Measured as part of "one node reads the
-list for all" only (``docs/measurements/platform-rounds.md``)."""
+"""Seconds between two reads by the appointed node."""
 RATE_SHARE = 0.6
-"""Share of the allowed rate that all nodes together use when each reads for itself. Not measured;
-chosen."""
+"""Share of the allowed call rate that all nodes together use when each of them reads."""
 READ_TIMEOUT_S = 1.0
-"""Seconds for one reading. Not measured; chosen."""
-RETRY_PAUSE_S = 0.2
-"""Seconds after a reading that failed. Not measured; chosen."""
+"""Timeout of one read, in seconds."""
+READ_RETRY_DELAY_S = 0.2
+"""Seconds to wait after a failed read."""
 STALE_AFTER_S = 2.0
-"""Seconds. A list that nobody has confirmed for this long is read again by the node itself. Not
-measured; chosen."""
-WATCH_PERIOD_S = 0.25
-"""Seconds between two looks at the list's age. Not measured; chosen."""
-EARLIEST_READ_SHARE = 0.85
-"""Nodes read up to this share of their period early, so that they part. Not measured; chosen."""
+"""Seconds without confirmation after which a node reads the list itself."""
+STALENESS_CHECK_INTERVAL_S = 0.25
+"""Seconds between two checks whether the list is stale."""
+MIN_READ_INTERVAL_SHARE = 0.85
+"""Minimum share of the read interval that a node waits; the rest is random jitter."""
 
 Report = Callable[[tuple[BackendRecord, ...]], Awaitable[None]]
-"""Tells the leader of the control group what was read."""
+"""Reports the list that was read to the leader of the control group."""
 
 _log = get_logger(__name__)
 
 
 def own_period_s(node_count: int, rate_per_s: float) -> float:
-    """Return how long a node waits between two readings when all of them read."""
+    """Return the seconds between two reads by one node when all nodes read."""
     return max(READ_PERIOD_S, node_count / (RATE_SHARE * rate_per_s))
 
 
 class BackendListReader:
-    """Reads the list, as the appointed reader or when the list has grown old.
+    """Reads the list as the appointed node, or when the list is stale.
 
     Parameters
     ----------
     rate_per_s
-        Calls that all nodes together may make.
+        Calls per second that all nodes together may make.
     node_count
-        Returns how many nodes there are.
+        Returns the number of nodes.
     is_appointed
-        Returns whether this node is to read for all.
+        Returns whether this node reads for all nodes.
     report
-        Passes on what the appointed reader has read.
+        Reports the list that the appointed node read.
     """
 
     def __init__(
@@ -78,8 +75,8 @@
         self._is_appointed = is_appointed
         self._report = report
         self._random = random
-        self._is_lost = False
-        self._taken_over: Sequence[BackendRecord] | None = None
+        self._is_unavailable = False
+        self._applied: Sequence[BackendRecord] | None = None
         self._next_own_read_at = 0.0
 
     async def run(self) -> None:
@@ -91,21 +88,21 @@
                 await self._read_if_stale()
 
     def take_over(self, records: Sequence[BackendRecord], confirmed_at: float) -> None:
-        """Use a list that was right at a local time; an older one has no effect."""
+        """Apply a list that was valid at a local time; ignore it if the current list is newer."""
         updated_at = self._registry.updated_at
         if updated_at is not None and confirmed_at < updated_at:
             return
-        if records is self._taken_over and self._registry.is_as_listed:
+        if records is self._applied and self._registry.is_as_listed:
             self._registry.confirm(confirmed_at)
             return
-        self._taken_over = records
-        before = len(self._registry)
-        gone = self._registry.update(records, confirmed_at)
-        if gone or before != len(self._registry):
+        self._applied = records
+        count_before = len(self._registry)
+        removed = self._registry.update(records, confirmed_at)
+        if removed or count_before != len(self._registry):
             _log.info(
                 "backends_changed",
                 backends=len(self._registry),
-                gone=[record.incarnation for record in gone],
+                gone=[record.incarnation for record in removed],
                 age_s=round(anyio.current_time() - confirmed_at, 3),
             )
 
@@ -113,7 +110,7 @@
         started = anyio.current_time()
         records = await self._read()
         if records is None:
-            await anyio.sleep(RETRY_PAUSE_S)
+            await anyio.sleep(READ_RETRY_DELAY_S)
             return
         await self._report(records)
         await anyio.sleep(max(0.0, started + READ_PERIOD_S - anyio.current_time()))
@@ -126,23 +123,25 @@
             records = await self._read()
             period_s = own_period_s(self._node_count(), self._rate_per_s)
             if records is None:
-                period_s = max(RETRY_PAUSE_S, period_s / 2)
-            self._next_own_read_at = now + period_s * self._random.uniform(EARLIEST_READ_SHARE, 1.0)
-        await anyio.sleep(WATCH_PERIOD_S)
+                period_s = max(READ_RETRY_DELAY_S, period_s / 2)
+            self._next_own_read_at = now + period_s * self._random.uniform(
+                MIN_READ_INTERVAL_SHARE, 1.0
+            )
+        await anyio.sleep(STALENESS_CHECK_INTERVAL_S)
 
     async def _read(self) -> tuple[BackendRecord, ...] | None:
-        """Read the list and use it; ``None`` if it can't be had."""
+        """Read the list and apply it; return ``None`` if it is unavailable."""
         started = anyio.current_time()
         try:
             with anyio.fail_after(READ_TIMEOUT_S):
                 records = tuple(await self._source.read())
         except (PasslaneError, TimeoutError) as error:
-            if not self._is_lost:
+            if not self._is_unavailable:
                 _log.warning("backend_list_lost", reason=str(error))
-            self._is_lost = True
+            self._is_unavailable = True
             return None
-        if self._is_lost:
+        if self._is_unavailable:
             _log.info("backend_list_regained")
-        self._is_lost = False
+        self._is_unavailable = False
         self.take_over(records, started)
         return records
--- a/tests/relay/test_list_reader.py
+++ b/tests/relay/test_list_reader.py
@@ -1,4 +1,4 @@
-"""What a node makes of lists of back ends that others have read."""
+"""How a node applies lists of backends that other nodes have read."""
 
 import random
 import unittest
@@ -12,7 +12,7 @@
 
 class TakeOverTest(unittest.TestCase):
     def take_over(self, *steps):
-        """Take over lists at their times; return the registry."""
+        """Apply lists that were valid at given times; return the registry."""
         registry = BackendRegistry()
         reader = BackendListReader(
             None, registry, 40.0, lambda: 1, lambda: False, None, random.Random(0)
@@ -33,14 +33,14 @@
         registry = self.take_over((records, 1.0), (records, 2.0))
         self.assertEqual((len(registry), registry.updated_at), (2, 2.0))
 
-    def test_an_older_list_has_no_effect(self):
+    def test_an_older_list_is_ignored(self):
         registry = self.take_over(((backend("i-1"),), 2.0), ((), 1.0))
         self.assertEqual((len(registry), registry.updated_at), (1, 2.0))
 
-    def test_a_back_end_that_was_forgotten_is_back_when_a_list_names_it_again(self):
+    def test_a_removed_backend_is_restored_by_the_next_list_that_names_it(self):
         records = (backend("i-1"), backend("i-2"))
         registry = self.take_over(
-            (records, 1.0), (lambda held: held.remove("i-1"), 0.0), (records, 2.0)
+            (records, 1.0), (lambda current: current.remove("i-1"), 0.0), (records, 2.0)
         )
         self.assertEqual(len(registry), 2)
 
