--- a/src/passlane/relay/unread_answers.py
+++ b/src/passlane/relay/unread_answers.py
@@ -1,7 +1,7 @@
-"""Watches what a node's callers leave unread, and ends the connections of those that stopped.
+"""Monitors the answer bytes that callers leave unread, and closes connections that have stalled.
 
-Owns what was seen of each connection. ``decisions.admission.held_bytes`` decides; the line
-``answer_ended_unread`` tells.
+Owns the last sample of each connection. ``decisions.admission.held_bytes`` decides what to do. Log
+lines: ``answer_ended_unread``, ``more_answers_ended``.
 """
 
 from collections import Counter
@@ -13,19 +13,19 @@
 from passlane.observability.logging import get_logger
 from passlane.runtime.interfaces import WatchedConnection
 
-MOST_LOGGED_ENDINGS = 20
-"""Lines for the endings of one look; a line tells how many there were beyond. Not measured;
-chosen."""
+MAX_LOGGED_ENDINGS = 20
+"""Maximum number of log lines for the connections that one poll closes; one more line has the count
+of the others."""
 
-LONGEST_GAP_S = 1.0
-"""Seconds. After a longer time between two looks, this process was held up, not its callers. Not
-measured; chosen."""
+MAX_POLL_GAP_S = 1.0
+"""Seconds. After a longer gap between two polls this process itself was suspended, so the gap does
+not count as a stall of the callers."""
 
 _log = get_logger(__name__)
 
 
 class _Watched(msgspec.Struct):
-    """What was seen of a connection at the last look."""
+    """State of a connection at the last poll."""
 
     connection: WatchedConnection
     written: int = 0
@@ -34,70 +34,70 @@
 
 
 class UnreadAnswers:
-    """Implements ``runtime.interfaces.ConnectionWatch``.
+    """Monitors connections of callers; implements ``runtime.interfaces.ConnectionWatch``.
 
     Attributes
     ----------
     ended
-        Connections that were ended, by reason.
+        Number of connections that were closed, by reason.
     """
 
     def __init__(self, bounds: HeldBytesBounds) -> None:
-        self._held = HeldBytes(bounds)
+        self._buffered = HeldBytes(bounds)
         self._watched: dict[Hashable, _Watched] = {}
-        self._looked_at: float | None = None
+        self._polled_at: float | None = None
         self.ended: Counter[str] = Counter()
 
     @property
     def held_bytes(self) -> int:
-        """Bytes that all callers have left unread, by the last look."""
-        return self._held.total
+        """Unread bytes of all callers at the last poll."""
+        return self._buffered.total
 
     def replace_bounds(self, bounds: HeldBytesBounds) -> None:
-        """Decide by other bounds from the next look on."""
-        self._held.replace_bounds(bounds)
+        """Use other bounds from the next poll on."""
+        self._buffered.replace_bounds(bounds)
 
     def opened(self, connection: WatchedConnection) -> None:
-        """Watch a connection."""
+        """Start monitoring a connection."""
         self._watched[id(connection)] = _Watched(connection)
 
     def closed(self, connection: WatchedConnection) -> None:
-        """Watch a connection no longer."""
+        """Stop monitoring a connection."""
         self._watched.pop(id(connection), None)
-        self._held.closed(id(connection))
+        self._buffered.closed(id(connection))
 
     def look(self, now: float) -> None:
-        """Look at all connections once, and do what is decided."""
-        if self._looked_at is not None and now - self._looked_at > LONGEST_GAP_S:
-            self._held.skip(now - self._looked_at)
-        self._looked_at = now
+        """Poll all connections once and apply the decisions."""
+        if self._polled_at is not None and now - self._polled_at > MAX_POLL_GAP_S:
+            self._buffered.skip(now - self._polled_at)
+        self._polled_at = now
         for key, watched in self._watched.items():
-            self._look_at(key, watched, now)
-        endings = self._held.check(now)
-        for ending in endings[:MOST_LOGGED_ENDINGS]:
+            self._poll_connection(key, watched, now)
+        endings = self._buffered.check(now)
+        for ending in endings[:MAX_LOGGED_ENDINGS]:
             self._log_ending(ending)
-        if len(endings) > MOST_LOGGED_ENDINGS:
-            _log.warning("more_answers_ended", count=len(endings) - MOST_LOGGED_ENDINGS)
+        if len(endings) > MAX_LOGGED_ENDINGS:
+            _log.warning("more_answers_ended", count=len(endings) - MAX_LOGGED_ENDINGS)
         for ending in endings:
             self._end(ending)
 
-    def _look_at(self, key: Hashable, watched: _Watched, now: float) -> None:
+    def _poll_connection(self, key: Hashable, watched: _Watched, now: float) -> None:
         written = watched.connection.written_bytes
         unread = watched.connection.unread_bytes
         if unread == 0 and watched.unread == 0:
             watched.written = written
             return
-        taken = written - watched.written
-        passed_on = watched.unread + taken - unread
-        instruction = self._held.taken(key, taken, now)
-        if passed_on > 0:
-            instruction = self._held.passed_on(key, passed_on, now)
+        queued = written - watched.written
+        flushed = watched.unread + queued - unread
+        instruction = self._buffered.taken(key, queued, now)
+        if flushed > 0:
+            instruction = self._buffered.passed_on(key, flushed, now)
         watched.written = written
         watched.unread = unread
-        self._obey(instruction, watched)
+        self._apply(instruction, watched)
 
     @staticmethod
-    def _obey(instruction: Instruction, watched: _Watched) -> None:
+    def _apply(instruction: Instruction, watched: _Watched) -> None:
         must_wait = instruction is Instruction.WAIT
         if must_wait != watched.is_held:
             watched.is_held = must_wait
@@ -111,7 +111,7 @@
             caller=watched.connection.peer if watched is not None else "",
             unread_bytes=ending.held_bytes,
             stalled_s=round(ending.stalled_s, 3),
-            unread_bytes_of_all=self._held.total,
+            unread_bytes_of_all=self._buffered.total,
         )
 
     def _end(self, ending: Ending) -> None:
--- a/tests/relay/test_unread_answers.py
+++ b/tests/relay/test_unread_answers.py
@@ -1,17 +1,17 @@
-"""What is decided about slow readers is done to their connections, and to no others."""
+"""Connections of slow readers are paused or closed; other connections are not affected."""
 
 import unittest
 
 from structlog.testing import capture_logs
 
 from passlane.decisions.admission.held_bytes import LONGEST_STALL_S, HeldBytesBounds
-from passlane.relay.unread_answers import MOST_LOGGED_ENDINGS, UnreadAnswers
+from passlane.relay.unread_answers import MAX_LOGGED_ENDINGS, UnreadAnswers
 
 PERIOD_S = 0.25
 
 
 class FakeConnection:
-    """A connection to which a test writes, and whose reader a test plays."""
+    """A connection whose writer and reader are controlled by the test."""
 
     peer = "10.0.0.9:1"
 
@@ -42,41 +42,41 @@
     def setUp(self):
         self.watch = UnreadAnswers(HeldBytesBounds(for_one=100, for_all=250))
 
-    def look_until(self, end_s, between=lambda: None):
+    def poll_until(self, end_s, between_polls=lambda: None):
         now = 0.0
         while now <= end_s:
             self.watch.look(now)
-            between()
+            between_polls()
             now += PERIOD_S
 
-    def test_a_reader_that_stopped_is_ended_and_logged(self):
+    def test_the_connection_of_a_stalled_reader_is_closed_and_logged(self):
         stopped, reading = FakeConnection(self.watch), FakeConnection(self.watch)
         stopped.write(70)
 
-        def go_on():
+        def transfer():
             reading.write(30)
             reading.read(30)
 
         with capture_logs() as lines:
-            self.look_until(LONGEST_STALL_S, go_on)
+            self.poll_until(LONGEST_STALL_S, transfer)
         self.assertEqual((stopped.end_reason, reading.end_reason), ("reader_stopped", ""))
         (line,) = lines
         self.assertEqual((line["event"], line["caller"]), ("answer_ended_unread", "10.0.0.9:1"))
         self.assertEqual((line["unread_bytes"], line["stalled_s"]), (70, LONGEST_STALL_S))
         self.assertEqual(self.watch.ended, {"reader_stopped": 1})
 
-    def test_a_reader_slower_than_its_answer_is_not_taken_for_a_stopped_one(self):
+    def test_a_reader_slower_than_its_answer_is_not_considered_stalled(self):
         slow = FakeConnection(self.watch)
         slow.write(5)
 
-        def go_on():
+        def transfer():
             slow.write(3)
             slow.read(1)
 
-        self.look_until(5.0, go_on)
+        self.poll_until(5.0, transfer)
         self.assertEqual(slow.end_reason, "")
 
-    def test_all_wait_while_too_much_is_held_and_go_on_afterwards(self):
+    def test_all_writers_pause_while_too_much_is_buffered_and_resume_afterwards(self):
         slow = [FakeConnection(self.watch) for _ in range(3)]
         for connection in slow:
             connection.write(90)
@@ -90,17 +90,17 @@
         self.assertEqual([connection.is_held for connection in slow], [False] * 3)
         self.assertEqual([connection.end_reason for connection in slow], [""] * 3)
 
-    def test_a_closed_connection_is_forgotten(self):
-        left = FakeConnection(self.watch)
-        left.write(90)
+    def test_a_closed_connection_is_no_longer_monitored(self):
+        closed = FakeConnection(self.watch)
+        closed.write(90)
         self.watch.look(0.0)
         self.assertEqual(self.watch.held_bytes, 90)
-        self.watch.closed(left)
+        self.watch.closed(closed)
         self.assertEqual(self.watch.held_bytes, 0)
-        self.look_until(LONGEST_STALL_S)
-        self.assertEqual(left.end_reason, "")
+        self.poll_until(LONGEST_STALL_S)
+        self.assertEqual(closed.end_reason, "")
 
-    def test_the_time_in_which_the_process_was_frozen_is_no_stall(self):
+    def test_time_while_the_process_was_suspended_does_not_count_as_a_stall(self):
         connection = FakeConnection(self.watch)
         connection.write(10)
         self.watch.look(0.0)
@@ -110,12 +110,12 @@
             now += PERIOD_S
         self.assertEqual(connection.end_reason, "")
 
-    def test_many_endings_write_few_lines(self):
-        stopped = [FakeConnection(self.watch) for _ in range(MOST_LOGGED_ENDINGS + 5)]
+    def test_the_number_of_log_lines_for_closed_connections_is_bounded(self):
+        stopped = [FakeConnection(self.watch) for _ in range(MAX_LOGGED_ENDINGS + 5)]
         for connection in stopped:
             connection.write(1)
         with capture_logs() as lines:
-            self.look_until(LONGEST_STALL_S)
-        self.assertEqual(len(lines), MOST_LOGGED_ENDINGS + 1)
+            self.poll_until(LONGEST_STALL_S)
+        self.assertEqual(len(lines), MAX_LOGGED_ENDINGS + 1)
         self.assertEqual([line["count"] for line in lines if "count" in line], [5])
         self.assertEqual({each.end_reason for each in stopped}, {"reader_stopped"})
