--- a/tests/relay/test_request_metrics.py
+++ b/tests/relay/test_request_metrics.py
@@ -1,9 +1,9 @@
-"""Requests are counted when somebody asks, or when many have ended."""
+"""Ended requests are counted when metrics are exposed, or when many are buffered."""
 
 import unittest
 
 from passlane.observability.metrics import Metrics
-from passlane.relay.request_metrics import MOST_WAITING, RequestMetrics
+from passlane.relay.request_metrics import MAX_UNCOUNTED, RequestMetrics
 
 
 class RequestMetricsTest(unittest.TestCase):
@@ -23,7 +23,7 @@
             self.assertIn('relayed_requests_total{kind="stream",status="503"} 1.0', text)
             self.assertIn('relayed_request_seconds_count{kind="stream"} 2.0', text)
 
-    def test_waits_for_room_are_counted_by_how_they_ended(self):
+    def test_waits_for_capacity_are_counted_by_outcome(self):
         self.requests.note_end("repeatable", 200, 0.2, room_wait_s=0.05)
         self.requests.note_end("repeatable", 503, 0.9, room_wait_s=0.8)
         self.requests.note_end("repeatable", 200, 0.02)
@@ -32,11 +32,13 @@
         for outcome in ("served", "unserved"):
             self.assertIn(f'{name}{{kind="repeatable",outcome="{outcome}"}} 1.0', text)
 
-    def test_without_anybody_asking_no_more_than_a_bound_wait(self):
-        for _ in range(2 * MOST_WAITING + 7):
+    def test_without_exposure_the_number_of_buffered_requests_is_bounded(self):
+        for _ in range(2 * MAX_UNCOUNTED + 7):
             self.requests.note_end("repeatable", 200, 0.01)
-        self.assertEqual(len(self.requests._waiting), 7)
-        total = f'relayed_requests_total{{kind="repeatable",status="200"}} {2 * MOST_WAITING + 7}.0'
+        self.assertEqual(len(self.requests._uncounted), 7)
+        total = (
+            f'relayed_requests_total{{kind="repeatable",status="200"}} {2 * MAX_UNCOUNTED + 7}.0'
+        )
         self.assertIn(total, self.exposed())
 
 
