--- a/src/passlane/relay/__init__.py
+++ b/src/passlane/relay/__init__.py
@@ -1,4 +1,4 @@
-"""Relays requests to back ends; why each ended, and by which rule, is in ``end_reasons``.
+"""Relays requests to backends; ``end_reasons`` lists why a request ended and what decided it.
 
-Requests that can't be read, and faults, are answered by ``platform.client_ingress``.
+Unreadable requests and internal errors are answered by ``platform.client_ingress``.
 """
--- a/tests/relay/test_end_reasons.py
+++ b/tests/relay/test_end_reasons.py
@@ -1,4 +1,4 @@
-"""The reasons for which requests end: texts that callers and operators read, and their rules."""
+"""Reasons why requests end: texts that callers and operators rely on, and statuses."""
 
 import re
 import unittest
@@ -9,9 +9,9 @@
 from passlane.decisions.failure.answer_verdicts import NOT_RUN_STATUSES
 from passlane.relay.end_reasons import (
     BreakReason,
+    CallerResponse,
     RequestEnd,
     RequestEndReason,
-    Told,
     end_of_connection,
 )
 from passlane.relay.request_errors import Refusal, RequestFailedError, RequestRefusedError
@@ -46,7 +46,7 @@
         texts = {reason: RequestEnd(reason, "timeout").text for reason in RequestEndReason}
         self.assertEqual(texts, TEXTS)
 
-    def test_what_the_relay_takes_for_broken_has_its_text(self):
+    def test_each_break_reason_has_its_text(self):
         texts = {reason.name: reason.value for reason in BreakReason}
         self.assertEqual(
             texts,
@@ -57,25 +57,27 @@
             },
         )
 
-    def test_a_detail_with_braces_stays_as_it_is(self):
+    def test_a_detail_with_braces_is_unchanged(self):
         self.assertEqual(RequestEnd(RequestEndReason.BROKE_OFF, "{0} {x}").text, "{0} {x}")
 
-    def test_each_names_the_module_that_decides_it(self):
+    def test_each_reason_names_an_existing_module(self):
         for reason in RequestEndReason:
             self.assertIsNotNone(find_spec(f"passlane.{reason.decided_in}"), reason)
 
-    def test_refusals_alone_have_a_status(self):
+    def test_only_refusals_have_a_status(self):
         for reason in RequestEndReason:
-            self.assertEqual(reason.told is Told.REFUSAL, reason.status is not None, reason)
+            self.assertEqual(
+                reason.caller_response is CallerResponse.REFUSAL, reason.status is not None, reason
+            )
 
-    def test_statuses_that_promise_nothing_are_those_of_faulty_requests(self):
-        promising_nothing = {
+    def test_only_invalid_requests_get_statuses_that_do_not_promise_not_run(self):
+        without_promise = {
             reason
             for reason in RequestEndReason
             if reason.status is not None and reason.status not in NOT_RUN_STATUSES
         }
         self.assertEqual(
-            promising_nothing,
+            without_promise,
             {
                 RequestEndReason.NO_ROUTE,
                 RequestEndReason.NO_KNOWN_KEY,
@@ -87,19 +89,19 @@
 
 
 class PageTest(unittest.TestCase):
-    """The table by which operators find a rule names every reason, and modules that exist."""
+    """The operators' table lists every reason, and only modules that exist."""
 
     def setUp(self):
         page = (ROOT / "docs" / "OPERATIONS.md").read_text()
         self.section = page.split("## From a reason to its rule")[1].split("\n## ")[0]
 
-    def test_every_reason_has_its_row(self):
+    def test_every_reason_has_a_row(self):
         texts = [RequestEnd(reason, "...").text for reason in RequestEndReason]
-        texts += [ended_for.value for ended_for in held_bytes.EndReason]
+        texts += [end_reason.value for end_reason in held_bytes.EndReason]
         missing = [text for text in texts if text != "..." and f"`{text}`" not in self.section]
         self.assertEqual(missing, [])
 
-    def test_every_module_that_it_names_exists(self):
+    def test_every_listed_module_exists(self):
         names = set(re.findall(r"`([a-z_/]+\.py)`", self.section))
         self.assertGreater(len(names), 10)
         missing = [name for name in names if not (ROOT / "src" / "passlane" / name).exists()]
@@ -119,11 +121,11 @@
 
 
 class EndOfConnectionTest(unittest.TestCase):
-    def test_a_caller_that_left(self):
+    def test_a_caller_that_disconnected(self):
         self.assertEqual(end_of_connection("client_left").reason, RequestEndReason.CLIENT_LEFT)
 
-    def test_a_connection_that_was_ended_keeps_its_reason(self):
-        for ended_for in held_bytes.EndReason:
-            end = end_of_connection(ended_for.value)
+    def test_a_connection_closed_by_the_node_keeps_its_reason(self):
+        for end_reason in held_bytes.EndReason:
+            end = end_of_connection(end_reason.value)
             self.assertEqual(end.reason, RequestEndReason.CONNECTION_ENDED)
-            self.assertEqual(end.text, ended_for.value)
+            self.assertEqual(end.text, end_reason.value)
