--- a/src/passlane/relay/backends.py
+++ b/src/passlane/relay/backends.py
@@ -1,4 +1,4 @@
-"""The interfaces that the relay needs: back ends, their list, and the writer to its caller.
+"""The relay's interfaces to backends, to the platform's list of them, and to the caller.
 
 Owns nothing; ``passlane.platform`` implements them.
 """
@@ -15,7 +15,7 @@
 from passlane.relay.end_reasons import RequestEndReason
 
 CLIENT_LEFT = RequestEndReason.CLIENT_LEFT.text
-"""Reason of an answer that was abandoned because its caller closed the connection."""
+"""Abandon reason of an answer whose caller closed the connection."""
 
 
 class BackendAnswer(Protocol):
@@ -24,25 +24,25 @@
     head: AnswerHead
 
     def chunks(self) -> AsyncGenerator[bytes, None]:
-        """Return the body's parts as they arrive; raise ``OSError`` when it breaks off."""
+        """Return the chunks of the body as they arrive; raise ``OSError`` when it breaks off."""
         ...
 
 
 class BackendRequest(msgspec.Struct, frozen=True):
-    """A call together with what the relay has decided about it.
+    """A call with the relay's decisions about it.
 
     Attributes
     ----------
     body
-        What the back end is to get; differs from the call's for turns with a history.
+        The body to send; differs from the call's body for turns with a history.
     remaining_s
-        Time that the back end has left.
+        Seconds left for the backend.
     engine_priority
-        Its priority at a model engine, 0 first; ``None`` for other back ends.
+        Its priority at a model engine, 0 is the most urgent; ``None`` for other backends.
     last_event_id
-        The event after which a stream is to go on.
+        The event after which a stream resumes.
     tenant_name
-        On whose behalf the request comes; empty without a tenant.
+        Name of the tenant; empty without one.
     """
 
     call: RelayedCall
@@ -54,35 +54,35 @@
 
 
 class RelayBackends(Protocol):
-    """Sends requests to back ends."""
+    """Sends requests to backends."""
 
     def exchange(
         self, backend: BackendRecord, request: BackendRequest
     ) -> AbstractAsyncContextManager[BackendAnswer]:
-        """Send a request and give its answer; leaving early closes the connection.
+        """Send a request and yield its answer; leaving the context early closes the connection.
 
         Raises
         ------
         HttpConnectionError
-            On entry or while the body is read; ``bytes_left`` tells whether it may run.
+            On entry or while the body is read; with ``bytes_left`` the request may have run.
         """
         ...
 
     def has_idle_connection(self, backend: BackendRecord) -> bool:
-        """Whether a request could be sent without opening a connection."""
+        """Whether a request can be sent without opening a connection."""
         ...
 
 
 class BackendList(Protocol):
-    """The platform's list of back ends."""
+    """The platform's list of backends."""
 
     async def read(self) -> Sequence[BackendRecord]:
-        """Return the whole list.
+        """Return the complete list.
 
         Raises
         ------
         PasslaneError
-            ``UNAVAILABLE`` when it cannot be had; ``LIMIT_EXCEEDED`` over the call rate.
+            ``UNAVAILABLE`` when it cannot be read; ``LIMIT_EXCEEDED`` above the allowed call rate.
         """
         ...
 
@@ -97,36 +97,36 @@
 
     @property
     def status(self) -> int:
-        """Status that was written; 0 before the head."""
+        """The status that was written; 0 before the head."""
         ...
 
     @property
     def is_finished(self) -> bool:
-        """Whether the whole answer was written."""
+        """Whether the complete answer was written."""
         ...
 
     @property
     def is_abandoned(self) -> bool:
-        """Whether the caller's connection has ended."""
+        """Whether the caller's connection is closed."""
         ...
 
     @property
     def abandon_reason(self) -> str:
-        """Why it has, if it has."""
+        """Why the caller's connection was closed, if it was."""
         ...
 
     async def start(self, status: int, headers: Sequence[Header], length: int | None) -> None:
-        """Write the head; without a length the body ends with ``finish``."""
+        """Write the head; without a length, ``finish`` ends the body."""
         ...
 
     async def write(self, data: bytes) -> None:
-        """Write a part of the body."""
+        """Write a chunk of the body."""
         ...
 
     async def finish(self) -> None:
-        """End the body; the caller now knows that it is whole."""
+        """End the body; the caller then recognises it as complete."""
         ...
 
     async def refuse(self, status: int, reason: str, retry_after_s: float | None) -> None:
-        """Write a whole answer of this system's own."""
+        """Write a complete answer that this node generates."""
         ...
--- a/src/passlane/relay/request_errors.py
+++ b/src/passlane/relay/request_errors.py
@@ -1,4 +1,4 @@
-"""The errors that end a request without a back end's answer, each with its reason as code.
+"""Errors that end a request without a complete answer of a backend; their code is the reason.
 
 Relies on ``relay.end_reasons`` for the reasons.
 """
@@ -9,12 +9,12 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """An answer of this system's own.
+    """An answer that this node generates.
 
     Attributes
     ----------
     retry_after_s
-        Seconds after which the caller is to come back; ``None`` if that makes no sense.
+        Seconds after which the caller should retry; ``None`` if a retry is pointless.
     """
 
     end: RequestEnd
@@ -25,20 +25,20 @@
     def of(
         cls, reason: RequestEndReason, retry_after_s: float | None = None, detail: str = ""
     ) -> "Refusal":
-        """Return the refusal for a reason that has a status of its own."""
+        """Return the refusal for a reason with a fixed status."""
         assert reason.status is not None, reason
         return cls(RequestEnd(reason, detail), reason.status, retry_after_s)
 
 
 class RequestEndedError(Exception):
-    """A request ended without a back end's whole answer.
+    """A request ended without a complete answer of a backend.
 
     Attributes
     ----------
     code
-        Why.
+        The reason.
     end
-        The same with what only this case tells.
+        The reason with the detail of the case.
     """
 
     def __init__(self, end: RequestEnd) -> None:
@@ -48,7 +48,7 @@
 
 
 class RequestRefusedError(RequestEndedError):
-    """The request is refused: no back end has run it."""
+    """The request was refused: no backend ran it."""
 
     def __init__(self, refusal: Refusal) -> None:
         super().__init__(refusal.end)
@@ -56,11 +56,11 @@
 
 
 class RequestFailedError(RequestEndedError):
-    """The request may have run, and no whole answer came of it."""
+    """The request may have run, and there is no complete answer."""
 
     def __init__(self, reason: RequestEndReason, detail: str = "") -> None:
         super().__init__(RequestEnd(reason, detail))
 
 
 class AnswerAbortedError(RequestEndedError):
-    """An answer that had begun cannot be ended; its connection must be closed."""
+    """An answer that has begun cannot be completed; its connection must be closed."""
