--- a/src/passlane/relay/attempt.py
+++ b/src/passlane/relay/attempt.py
@@ -1,8 +1,8 @@
-"""Sends one request to one back end, and notes what that shows of it.
+"""Sends one request to one backend, and records what the attempt shows of that backend.
 
-Owns nothing beyond the attempt. ``decisions.failure.answer_verdicts`` judges the answer, and
-``decisions.failure.resending`` what follows a break; ``decisions.backends.health`` learns from
-both.
+Owns only the attempt. ``decisions.failure.answer_verdicts`` judges the answer,
+``decisions.failure.resending`` decides what follows a broken attempt, and
+``decisions.backends.health`` receives the results.
 """
 
 import math
@@ -22,7 +22,7 @@
 from passlane.decisions.placement.request_placement import note_failure, note_success
 from passlane.errors import Verdict
 from passlane.relay.attempt_history import AttemptHistory
-from passlane.relay.attempt_log import AttemptStamp, log_backend_refusal, log_untrusted_answer
+from passlane.relay.attempt_log import AttemptLabels, log_backend_refusal, log_untrusted_answer
 from passlane.relay.backends import BackendAnswer, BackendRequest
 from passlane.relay.context import RequestContext
 from passlane.relay.end_reasons import BreakReason, RequestEndReason
@@ -30,16 +30,16 @@
 from passlane.runtime.interfaces import HttpConnectionError
 
 Deliver = Callable[[BackendAnswer, AttemptWatch], Awaitable[None]]
-"""Passes an answer on; raises ``HttpConnectionError`` when the answer breaks off."""
+"""Forwards an answer; raises ``HttpConnectionError`` when the answer breaks off."""
 
 
 class AttemptSender:
-    """Sends one request, once for each attempt.
+    """Makes the attempts of one request.
 
     Parameters
     ----------
     body
-        What back ends are to get: the call's own body, behind the history of its turn.
+        The body for backends: the history of the turn, followed by the call's own body.
     """
 
     def __init__(self, context: RequestContext, body: bytes, history: AttemptHistory) -> None:
@@ -50,7 +50,7 @@
     async def send(
         self, load: BackendLoad, stalled_after_s: float, limit_at: float, deliver: Deliver
     ) -> bool:
-        """Send the request to one back end; return whether its answer was delivered.
+        """Send the request to one backend; return whether its answer was delivered.
 
         Raises
         ------
@@ -61,32 +61,32 @@
         load.in_flight += 1
         watch = load.health.watch(started_at)
         verdict_before = self._history.verdict
-        self._history.begin(load.record.incarnation, started_at)
-        silence_ends_at = self._silence_ends_at(started_at + stalled_after_s)
+        self._history.record_attempt(load.record.incarnation, started_at)
+        response_deadline_at = self._response_deadline_at(started_at + stalled_after_s)
         try:
-            with anyio.CancelScope(deadline=silence_ends_at) as silence:
+            with anyio.CancelScope(deadline=response_deadline_at) as response_wait:
                 request = self._request(limit_at)
                 async with self._context.backends.exchange(load.record, request) as answer:
-                    silence.deadline = math.inf
+                    response_wait.deadline = math.inf
                     watch.progressed(anyio.current_time())
-                    if await self._take(answer, load, deliver, watch):
+                    if await self._handle_answer(answer, load, deliver, watch):
                         return True
-                    # The proof holds, whatever becomes of the rest of the refusal.
+                    # The refusal is proof even if the rest of it is not received.
                     self._history.verdict = verdict_before
-            if silence.cancelled_caught:
+            if response_wait.cancelled_caught:
                 raise HttpConnectionError(BreakReason.NO_ANSWER.value, bytes_left=True)
         except HttpConnectionError as error:
             watch.failed(anyio.current_time())
-            self._note_broken(error, load, verdict_before)
+            self._record_broken(error, load, verdict_before)
         finally:
             watch.dropped(anyio.current_time(), stalled_after_s)
             load.in_flight -= 1
         return False
 
-    def _silence_ends_at(self, stalled_at: float) -> float:
-        """Return when to turn from a silent back end to another one, if that is allowed."""
-        leaves = leaves_silent_backend(self._context.route, self._history.runs)
-        return stalled_at if leaves else math.inf
+    def _response_deadline_at(self, stalled_at: float) -> float:
+        """Return when to switch from an unresponsive backend to another, if that is allowed."""
+        may_switch = leaves_silent_backend(self._context.route, self._history.runs)
+        return stalled_at if may_switch else math.inf
 
     def _request(self, limit_at: float) -> BackendRequest:
         return BackendRequest(
@@ -98,53 +98,53 @@
             tenant_name=self._context.identity.tenant_name,
         )
 
-    async def _take(
+    async def _handle_answer(
         self, answer: BackendAnswer, load: BackendLoad, deliver: Deliver, watch: AttemptWatch
     ) -> bool:
-        """Deliver an answer, or note a refusal; return whether it was delivered."""
+        """Deliver an answer or record a refusal; return whether it was delivered."""
         judgement = judge_answer(answer.head)
         if judgement is Judgement.NOT_RUN:
-            self._note_refused(answer, load)
+            self._record_refused(answer, load)
             return False
         if judgement is Judgement.UNTRUSTED:
-            log_untrusted_answer(answer, load, self._stamp())
+            log_untrusted_answer(answer, load, self._attempt_labels())
             raise HttpConnectionError(BreakReason.NOT_AN_ANSWER.value, bytes_left=True)
-        self._history.note_answering(load.record.incarnation, anyio.current_time())
+        self._history.record_answer_started(load.record.incarnation, anyio.current_time())
         await deliver(answer, watch)
         if is_client_error(answer.head):
-            self._history.note_rejected()
+            self._history.record_rejected()
         note_success(load)
         return True
 
-    def _note_refused(self, answer: BackendAnswer, load: BackendLoad) -> None:
-        log_backend_refusal(answer, load, self._stamp())
-        self._history.note_refused(load.record.incarnation)
+    def _record_refused(self, answer: BackendAnswer, load: BackendLoad) -> None:
+        log_backend_refusal(answer, load, self._attempt_labels())
+        self._history.record_refused(load.record.incarnation)
         if is_gone(answer.head):
             self._context.registry.remove(load.record.incarnation)
 
-    def _stamp(self) -> AttemptStamp:
-        """Return what names the attempt that is under way."""
-        return AttemptStamp(
+    def _attempt_labels(self) -> AttemptLabels:
+        """Return the labels of the current attempt."""
+        return AttemptLabels(
             request_id=self._context.call.request_id,
             service=self._context.service.name,
             attempt=len(self._history.tried),
         )
 
-    def _note_broken(
+    def _record_broken(
         self, error: HttpConnectionError, load: BackendLoad, verdict_before: Verdict
     ) -> None:
-        """Note a failed attempt; raise if the request must not be sent again."""
+        """Record a broken attempt; raise if the request must not be sent again."""
         note_failure(load, anyio.current_time())
-        self._history.note_broken(load.record.incarnation)
-        follows = after_break(
+        self._history.record_broken(load.record.incarnation)
+        next_step = after_break(
             self._context.route,
             self._history.runs,
             bytes_left=error.bytes_left,
             is_answer_final=self._history.is_answer_final,
         )
-        if follows is AfterBreak.NOT_SENT:
+        if next_step is AfterBreak.NOT_SENT:
             self._history.verdict = verdict_before
             return
         self._history.runs += 1
-        if follows is AfterBreak.FAIL:
+        if next_step is AfterBreak.FAIL:
             raise RequestFailedError(RequestEndReason.BROKE_OFF, str(error)) from error
--- a/src/passlane/relay/attempt_history.py
+++ b/src/passlane/relay/attempt_history.py
@@ -1,7 +1,7 @@
-"""What became of one request's attempts at back ends.
+"""Records the results of one request's attempts at backends.
 
-Owns the verdict (whether the request may have run), what was tried and what each attempt
-showed. Decides nothing.
+Owns the verdict (whether the request may have run), the tried instances and the result of each
+attempt. It makes no decisions.
 """
 
 import anyio
@@ -18,19 +18,20 @@
     verdict
         Whether the request may have run so far.
     runs
-        Attempts that may have run and broke off.
+        Number of attempts that may have run and broke off.
     is_sent
-        Whether an attempt may be running, or has answered with more than a refusal.
+        Whether an attempt may be running, or was answered with anything but a refusal.
     tried
         Instances that were tried, in order; for the log.
-    passed_over
-        Instances that refused or failed it, and are not chosen again in this round.
+    excluded
+        Instances that refused or failed the request, and are not chosen again in this round.
     served_by
-        The instance that answered last; empty if none did.
+        The instance whose answer was forwarded last; empty without one.
     is_answer_final
-        Set by whoever delivers: the caller has got a part that no other answer can go on with.
+        Whether the caller has received a part that no other answer can continue; set by the
+        delivery.
     last_event_id
-        The event after which a stream is to go on; set by whoever delivers.
+        The event after which a stream resumes; set by the delivery.
     """
 
     def __init__(self, last_event_id: str | None) -> None:
@@ -45,49 +46,49 @@
         self.runs = 0
         self.is_sent = False
         self.tried: list[str] = []
-        self.passed_over: set[str] = set()
+        self.excluded: set[str] = set()
         self.served_by = ""
 
     @property
-    def has_passed_on_events(self) -> bool:
-        """Whether the caller has got an event of the stream."""
+    def has_forwarded_events(self) -> bool:
+        """Whether the caller has received an event of the stream."""
         return self.last_event_id != self._first_event_id
 
     @property
     def possible_runs(self) -> int:
-        """Runs that engines may have begun, a whole one included."""
+        """Number of runs that engines may have started, including a complete one."""
         return self.runs + int(self.is_sent)
 
-    def begin(self, instance_id: str, now: float) -> None:
-        """Note an attempt; from here on a cancellation must not be taken for "not run"."""
+    def record_attempt(self, instance_id: str, now: float) -> None:
+        """Record that an attempt starts; if it is cancelled, the request may have run."""
         self.is_sent = True
         self.tried.append(instance_id)
         self._sent_at = now
         self.verdict = Verdict.MAY_HAVE_RUN
 
-    def note_refused(self, instance_id: str) -> None:
-        """Note that the back end proved that it did not run the request."""
+    def record_refused(self, instance_id: str) -> None:
+        """Record that the backend proved that it did not run the request."""
         self.is_sent = False
-        self.passed_over.add(instance_id)
+        self.excluded.add(instance_id)
         self._full_at.append(instance_id)
 
-    def note_broken(self, instance_id: str) -> None:
-        """Note that an attempt broke off."""
+    def record_broken(self, instance_id: str) -> None:
+        """Record that an attempt broke off."""
         self.is_sent = False
-        self.passed_over.add(instance_id)
+        self.excluded.add(instance_id)
         self._failed_at.append(instance_id)
 
-    def note_rejected(self) -> None:
-        """Note that the back end found the request itself wrong: nothing was generated for it."""
+    def record_rejected(self) -> None:
+        """Record that the backend rejected the request as invalid; it generated nothing."""
         self.is_sent = False
 
-    def note_answering(self, instance_id: str, now: float) -> None:
-        """Note that an answer that is passed on has begun."""
+    def record_answer_started(self, instance_id: str, now: float) -> None:
+        """Record that an answer is about to be forwarded."""
         self.served_by = instance_id
         self._first_part_s = now - self._sent_at
 
     def outcome(self, *, is_whole: bool, events: int) -> TurnOutcome:
-        """Return how the request went so far, for whoever places turns."""
+        """Return the outcome of the request so far, for the placement of later turns."""
         engine_s = anyio.current_time() - self._sent_at if is_whole else 0.0
         return TurnOutcome(
             engine_s=engine_s,
--- a/src/passlane/relay/attempt_log.py
+++ b/src/passlane/relay/attempt_log.py
@@ -1,4 +1,4 @@
-"""The log lines of one request's attempts: what decided each choice, and how old that was."""
+"""Writes the log lines of one request's attempts: the inputs of each choice, and their age."""
 
 import msgspec
 
@@ -12,15 +12,15 @@
 _log = get_logger(__name__)
 
 
-class AttemptStamp(msgspec.Struct, frozen=True):
-    """Which attempt of which request a line is about.
+class AttemptLabels(msgspec.Struct, frozen=True):
+    """The request and the attempt that a log line belongs to.
 
     Attributes
     ----------
     attempt
         Number of the attempt, from 1.
     list_age_s
-        Seconds since the list of back ends was last known to be right; ``None`` without one.
+        Seconds since the list of backends was last confirmed; ``None`` without a list.
     """
 
     request_id: str
@@ -30,7 +30,7 @@
 
 
 def log_outliers(judgement: ServiceJudgement, *, request_id: str, service: str) -> None:
-    """Log which back ends are outliers; decided in ``decisions.backends.health``."""
+    """Log which backends are outliers; decided in ``decisions.backends.health``."""
     _log.info(
         "outliers_changed",
         request_id=request_id,
@@ -40,14 +40,14 @@
     )
 
 
-def log_engine_choice(choice: PlacementChoice, key: PlacementKey, stamp: AttemptStamp) -> None:
-    """Log which back end was chosen; decided in ``decisions.placement.request_placement``."""
+def log_engine_choice(choice: PlacementChoice, key: PlacementKey, labels: AttemptLabels) -> None:
+    """Log which engine was chosen; decided in ``decisions.placement.request_placement``."""
     _log.info(
         "backend_chosen",
-        request_id=stamp.request_id,
-        service=stamp.service,
+        request_id=labels.request_id,
+        service=labels.service,
         instance=choice.load.record.incarnation,
-        attempt=stamp.attempt,
+        attempt=labels.attempt,
         candidates=choice.candidates,
         in_flight=choice.load.in_flight,
         is_outlier=choice.rank.is_outlier,
@@ -60,27 +60,29 @@
         used_last=key.used_last,
         assigned=key.assigned,
         typical_s=round(choice.typical_s, 4),
-        list_age_s=stamp.list_age_s,
+        list_age_s=labels.list_age_s,
     )
 
 
-def log_plain_choice(choice: PlainChoice, permit: RetryPermit | None, stamp: AttemptStamp) -> None:
-    """Log which plain back end was chosen; decided in ``decisions.placement.plain_placement``.
+def log_plain_choice(
+    choice: PlainChoice, permit: RetryPermit | None, labels: AttemptLabels
+) -> None:
+    """Log which plain backend was chosen; decided in ``decisions.placement.plain_placement``.
 
     Parameters
     ----------
     permit
-        The leave to try that the request waited for; ``None`` if it did not wait.
+        The retry permit of a request that has waited; ``None`` if it did not wait.
     """
     age_s = choice.refusal_age_s
     _log.info(
         "plain_backend_chosen",
-        request_id=stamp.request_id,
+        request_id=labels.request_id,
         service=choice.load.record.service,
         instance=choice.load.record.incarnation,
-        attempt=stamp.attempt,
+        attempt=labels.attempt,
         candidates=choice.candidates,
-        # Whether the request had waited and was given leave for this one try.
+        # Whether the request waited and received a permit for this attempt.
         has_turn=permit is not None,
         offered=permit.offered if permit is not None else None,
         in_flight=choice.load.in_flight,
@@ -91,30 +93,30 @@
         refusal_age_s=round(age_s, 4) if age_s is not None else None,
         slowness=round(choice.slowness, 2),
         typical_s=round(choice.typical_s, 4),
-        list_age_s=stamp.list_age_s,
+        list_age_s=labels.list_age_s,
     )
 
 
-def log_backend_refusal(answer: BackendAnswer, load: BackendLoad, stamp: AttemptStamp) -> None:
-    """Log how a back end said that it did not run the request."""
+def log_backend_refusal(answer: BackendAnswer, load: BackendLoad, labels: AttemptLabels) -> None:
+    """Log how a backend reported that it did not run the request."""
     refusal = answer.head.refusal
     _log.info(
         "backend_refused",
-        request_id=stamp.request_id,
+        request_id=labels.request_id,
         instance=load.record.incarnation,
-        attempt=stamp.attempt,
+        attempt=labels.attempt,
         status=answer.head.status,
         refusal=refusal.value if refusal is not None else None,
     )
 
 
-def log_untrusted_answer(answer: BackendAnswer, load: BackendLoad, stamp: AttemptStamp) -> None:
-    """Log an answer that does not prove to be one to this request."""
+def log_untrusted_answer(answer: BackendAnswer, load: BackendLoad, labels: AttemptLabels) -> None:
+    """Log an answer that is not trusted as one to this request."""
     _log.warning(
         "backend_answer_untrusted",
-        request_id=stamp.request_id,
+        request_id=labels.request_id,
         instance=load.record.incarnation,
-        attempt=stamp.attempt,
+        attempt=labels.attempt,
         status=answer.head.status,
         is_authentic=answer.head.is_authentic,
     )
--- a/src/passlane/relay/attempts.py
+++ b/src/passlane/relay/attempts.py
@@ -1,8 +1,8 @@
-"""Sends one request to back ends until one answers: choose, send, wait for room, send again.
+"""Sends one request to backends until one of them answers.
 
-Owns the order of these steps. Each is decided elsewhere: the choice in ``relay.backend_choice``,
-the wait in ``relay.request_wait``, one attempt and whether another may follow in
-``relay.attempt``.
+Owns the order of the steps: choose a backend, send, wait for capacity, retry. The steps are
+decided elsewhere: the choice in ``relay.backend_choice``, the wait in ``relay.request_wait``, and
+one attempt and whether another one may follow in ``relay.attempt``.
 """
 
 from collections.abc import Awaitable, Callable
@@ -14,29 +14,29 @@
 from passlane.decisions.order.room_queue import RetryPermit
 from passlane.relay.attempt import AttemptSender, Deliver
 from passlane.relay.attempt_history import AttemptHistory
-from passlane.relay.backend_choice import ChoiceMoment, backend_choice, judge_backends
+from passlane.relay.backend_choice import ChoiceInputs, backend_selector, judge_backends
 from passlane.relay.context import RequestContext
 from passlane.relay.request_wait import RequestWait
 
-AdmitRun = Callable[[float], Awaitable[None]]
-"""Admits another run within a time limit; raises ``RequestFailedError`` when there is none."""
+AdmitRerun = Callable[[float], Awaitable[None]]
+"""Admits another run before a deadline; raises ``RequestFailedError`` when it is refused."""
 
 
 class RequestAttempts:
-    """Sends one request to back ends until one answers.
+    """Sends one request to backends until one of them answers.
 
     Parameters
     ----------
     body
-        What back ends are to get: the call's own body, behind the history of its turn.
+        The body for backends: the history of the turn, followed by the call's own body.
     history
-        What became of the attempts; told as they go.
-    admit_another_run
+        Records the results of the attempts.
+    admit_rerun
         Called before the request is sent again after a run that broke off.
     used_last
         The instance that the request's program used last; empty if unknown.
     assigned
-        The instance at which the request has a place; empty if it has none.
+        The instance at which a slot is assigned to the request; empty without one.
     """
 
     def __init__(
@@ -44,20 +44,22 @@
         context: RequestContext,
         body: bytes,
         history: AttemptHistory,
-        admit_another_run: AdmitRun,
+        admit_rerun: AdmitRerun,
         used_last: str = "",
         assigned: str = "",
     ) -> None:
         self._context = context
         self._history = history
-        self._admit_another_run = admit_another_run
-        self._choice = backend_choice(context, history, used_last=used_last, assigned=assigned)
+        self._admit_rerun = admit_rerun
+        self._backend_selector = backend_selector(
+            context, history, used_last=used_last, assigned=assigned
+        )
         self._sender = AttemptSender(context, body, history)
         self._wait = RequestWait(context, history)
 
     @property
     def room_wait_s(self) -> float:
-        """Seconds that it has waited for room."""
+        """Seconds that the request has waited for backend capacity."""
         return self._wait.waited_s
 
     async def run(self, limit_at: float, deliver: Deliver) -> None:
@@ -66,7 +68,7 @@
         Raises
         ------
         RequestRefusedError
-            When no back end took the request.
+            When no backend accepted the request.
         RequestFailedError
             When it may have run and cannot be sent again.
         """
@@ -74,33 +76,33 @@
         while True:
             now = anyio.current_time()
             judgement = judge_backends(self._context, now)
-            load = self._choose(ChoiceMoment(judgement, permit, limit_at, now))
+            load = self._choose(ChoiceInputs(judgement, permit, limit_at, now))
             if load is None:
-                permit = await self._wait.for_permit(judgement, limit_at)
+                permit = await self._wait.wait_for_permit(judgement, limit_at)
                 continue
             permit = None
             runs_before = self._history.runs
             if await self._send(load, stall_limit_s(judgement.typical_s), limit_at, deliver):
                 return
             if self._history.runs > runs_before:
-                await self._admit_another_run(limit_at)
+                await self._admit_rerun(limit_at)
 
-    def _choose(self, moment: ChoiceMoment) -> BackendLoad | None:
-        """Choose the back end for the next attempt; ``None`` to wait for room.
+    def _choose(self, inputs: ChoiceInputs) -> BackendLoad | None:
+        """Choose the backend for the next attempt; ``None`` to wait for capacity.
 
-        A request that waits is sent to one back end for each leave to try.
+        A request that has waited makes one attempt for each retry permit.
         """
-        if moment.permit is None and self._wait.is_begun:
+        if inputs.permit is None and self._wait.has_waited:
             return None
-        load = self._choice.choose(moment)
-        if load is None and moment.permit is not None:
-            self._wait.note_refused()
+        load = self._backend_selector.choose(inputs)
+        if load is None and inputs.permit is not None:
+            self._wait.record_refused()
         return load
 
     async def _send(
         self, load: BackendLoad, stalled_after_s: float, limit_at: float, deliver: Deliver
     ) -> bool:
-        """Send the request to one back end, and note what that shows of its room."""
+        """Send the request to one backend, and record what the attempt shows of its capacity."""
         instance_id = load.record.incarnation
         avoided_before = load.avoid_until
         started_at = anyio.current_time()
@@ -109,26 +111,26 @@
             is_delivered = await self._sender.send(load, stalled_after_s, limit_at, deliver)
         finally:
             now = anyio.current_time()
-            # The mark is the back end's: another request's failure there counts as well.
+            # All requests to the backend share this mark: a failure of another one counts as well.
             is_broken = load.avoid_until > avoided_before
             if is_broken:
-                self._note_lost(instance_id, now)
+                self._record_lost_attempt(instance_id, now)
         if is_delivered:
-            self._wait.note_ended(now)
+            self._wait.record_end(now)
             waits, route = self._context.waits, self._context.route
-            waits.note_answered(instance_id, route.name, now - started_at)
+            waits.record_answer(instance_id, route.name, now - started_at)
         elif not is_broken:
-            self._note_refused(instance_id, now)
+            self._record_refused(instance_id, now)
         return is_delivered
 
-    def _note_lost(self, instance_id: str, now: float) -> None:
-        self._wait.note_lost()
-        plain = self._context.waits.room.plain
+    def _record_lost_attempt(self, instance_id: str, now: float) -> None:
+        self._wait.record_lost_attempt()
+        plain = self._context.waits.queue.plain
         if plain is not None:
             plain.note_broken(instance_id, now)
 
-    def _note_refused(self, instance_id: str, now: float) -> None:
-        self._wait.note_refused()
-        plain = self._context.waits.room.plain
+    def _record_refused(self, instance_id: str, now: float) -> None:
+        self._wait.record_refused()
+        plain = self._context.waits.queue.plain
         if plain is not None:
             plain.note_refused(instance_id, now)
--- a/src/passlane/relay/backend_choice.py
+++ b/src/passlane/relay/backend_choice.py
@@ -1,8 +1,8 @@
-"""Chooses the back end for each attempt of one request, and logs what decided.
+"""Chooses the backend for each attempt of one request, and logs the inputs of the choice.
 
-There are two ways: engines go by the memory of the request's program
-(``decisions.placement.request_placement``), plain back ends by soundness, room and expected end
-(``decisions.placement.plain_placement``). Relies on the node's registry of back ends.
+Engines are chosen by the prefix cache of the request's program and by load
+(``decisions.placement.request_placement``), plain backends by health, capacity and expected end
+(``decisions.placement.plain_placement``). Relies on the node's registry of backends.
 """
 
 from collections.abc import Sequence
@@ -16,7 +16,7 @@
 from passlane.decisions.placement.request_placement import PlacementChoice, choose_backend
 from passlane.relay.attempt_history import AttemptHistory
 from passlane.relay.attempt_log import (
-    AttemptStamp,
+    AttemptLabels,
     log_engine_choice,
     log_outliers,
     log_plain_choice,
@@ -24,15 +24,15 @@
 from passlane.relay.context import RequestContext
 
 
-class ChoiceMoment(msgspec.Struct, frozen=True):
-    """What a choice goes by, besides the request; times are local.
+class ChoiceInputs(msgspec.Struct, frozen=True):
+    """Inputs of a choice besides the request; times are local.
 
     Attributes
     ----------
     permit
-        The leave to try that the request waited for; ``None`` if it did not wait.
+        The retry permit of a request that has waited; ``None`` if it did not wait.
     limit_at
-        When the request's time ends.
+        Deadline of the request.
     """
 
     judgement: ServiceJudgement
@@ -41,33 +41,33 @@
     now: float
 
 
-class BackendChoice(Protocol):
-    """One way to choose."""
+class BackendSelector(Protocol):
+    """Chooses backends of one kind."""
 
-    def choose(self, moment: ChoiceMoment) -> BackendLoad | None:
-        """Choose the back end for the next attempt; ``None`` to wait for room."""
+    def choose(self, inputs: ChoiceInputs) -> BackendLoad | None:
+        """Choose the backend for the next attempt; ``None`` to wait for capacity."""
         ...
 
 
-def backend_choice(
+def backend_selector(
     context: RequestContext, history: AttemptHistory, *, used_last: str, assigned: str
-) -> BackendChoice:
-    """Return the way to choose for a request's service.
+) -> BackendSelector:
+    """Return the selector for a request's service.
 
     Parameters
     ----------
     used_last
         The instance that the request's program used last; empty if unknown.
     assigned
-        The instance at which the request has a place; empty if it has none.
+        The instance at which a slot is assigned to the request; empty without one.
     """
-    plain = context.waits.room.plain
+    plain = context.waits.queue.plain
     if plain is not None:
-        return PlainBackendChoice(context, history, plain)
-    return EngineBackendChoice(context, history, used_last=used_last, assigned=assigned)
+        return PlainSelector(context, history, plain)
+    return EngineSelector(context, history, used_last=used_last, assigned=assigned)
 
 
-class EngineBackendChoice:
+class EngineSelector:
     """Chooses a model engine."""
 
     def __init__(
@@ -77,35 +77,38 @@
         self._history = history
         self._key = context.placement_key(used_last, assigned)
 
-    def choose(self, moment: ChoiceMoment) -> BackendLoad | None:
-        """Choose the next engine in the request's own order.
+    def choose(self, inputs: ChoiceInputs) -> BackendLoad | None:
+        """Choose the next engine in the order of preference.
 
-        With leave to try, a request that has been to all engines begins its order anew.
+        1. Engines that were tried in this round are excluded.
+        2. If all were tried, a retry permit starts a new round; without a permit the request waits.
         """
-        choice = self._choose_untried(moment)
-        if choice is None and moment.permit is not None:
-            self._history.passed_over.clear()
-            choice = self._choose_untried(moment)
+        choice = self._choose_untried(inputs)
+        if choice is None and inputs.permit is not None:
+            self._history.excluded.clear()
+            choice = self._choose_untried(inputs)
         if choice is None:
             return None
-        log_engine_choice(choice, self._key, stamp_of(self._context, self._history, moment.now))
+        log_engine_choice(
+            choice, self._key, next_attempt_labels(self._context, self._history, inputs.now)
+        )
         return choice.load
 
-    def _choose_untried(self, moment: ChoiceMoment) -> PlacementChoice | None:
-        loads = moment.judgement.loads
+    def _choose_untried(self, inputs: ChoiceInputs) -> PlacementChoice | None:
+        loads = inputs.judgement.loads
         return choose_backend(
             loads,
             self._key,
-            self._history.passed_over,
-            moment.now,
-            moment.judgement.outliers,
-            moment.judgement.typical_s,
-            _connected(self._context, loads) if self._key.is_plain else frozenset(),
+            self._history.excluded,
+            inputs.now,
+            inputs.judgement.outliers,
+            inputs.judgement.typical_s,
+            _idle_connected(self._context, loads) if self._key.is_plain else frozenset(),
         )
 
 
-class PlainBackendChoice:
-    """Chooses a plain back end; a new request comes behind those that wait."""
+class PlainSelector:
+    """Chooses a plain backend, which is not a model engine."""
 
     def __init__(
         self, context: RequestContext, history: AttemptHistory, plain: PlainBackends
@@ -114,44 +117,53 @@
         self._history = history
         self._plain = plain
 
-    def choose(self, moment: ChoiceMoment) -> BackendLoad | None:
-        """Choose the back end with the soonest expected end."""
-        permit = moment.permit
-        if permit is None and len(self._context.waits.room):
+    def choose(self, inputs: ChoiceInputs) -> BackendLoad | None:
+        """Choose the backend with the earliest expected end.
+
+        1. A request without a permit waits behind the requests that already wait.
+        2. Without a permit, backends that were tried in this round are excluded, and the request
+           waits if the best of the others is probably full.
+        3. With a permit, the request tries the offered backend if it is healthy, else the best
+           one, even if that is probably full.
+        """
+        permit = inputs.permit
+        if permit is None and len(self._context.waits.queue):
             return None
         choice = self._plain.choose(
-            self._view(moment),
-            self._call(moment),
-            tried=self._history.passed_over if permit is None else (),
+            self._view(inputs),
+            self._call(inputs),
+            tried=self._history.excluded if permit is None else (),
             offered=permit.offered if permit is not None else "",
             must_try=permit is not None,
         )
         if choice is None:
             return None
-        log_plain_choice(choice, permit, stamp_of(self._context, self._history, moment.now))
+        log_plain_choice(
+            choice, permit, next_attempt_labels(self._context, self._history, inputs.now)
+        )
         return choice.load
 
-    def _call(self, moment: ChoiceMoment) -> PlainCall:
+    def _call(self, inputs: ChoiceInputs) -> PlainCall:
         route = self._context.route
-        gives_up_at = self._context.waits.room.gives_up_at(route.name, moment.limit_at)
+        abandon_at = self._context.waits.queue.gives_up_at(route.name, inputs.limit_at)
         return PlainCall(
             route=route.name,
             runs_once=not route.is_repeatable,
-            left_s=gives_up_at - moment.now,
+            left_s=abandon_at - inputs.now,
         )
 
-    def _view(self, moment: ChoiceMoment) -> PlainView:
-        # Only services without a model are plain here, and their requests have no affinity.
+    def _view(self, inputs: ChoiceInputs) -> PlainView:
+        # Plain services have no model, so their requests have no affinity.
         return PlainView(
-            loads=moment.judgement.loads,
-            now=moment.now,
-            connected=_connected(self._context, moment.judgement.loads),
-            outliers=moment.judgement.outliers,
+            loads=inputs.judgement.loads,
+            now=inputs.now,
+            connected=_idle_connected(self._context, inputs.judgement.loads),
+            outliers=inputs.judgement.outliers,
         )
 
 
 def judge_backends(context: RequestContext, now: float) -> ServiceJudgement:
-    """Judge the service's back ends, and log which ones are outliers if that has changed."""
+    """Judge the service's backends, and log the outliers if they have changed."""
     service = context.service.name
     judgement = context.registry.judge(service, now)
     if judgement.has_changed:
@@ -159,10 +171,12 @@
     return judgement
 
 
-def stamp_of(context: RequestContext, history: AttemptHistory, now: float) -> AttemptStamp:
-    """Return what names the attempt that is about to be made."""
+def next_attempt_labels(
+    context: RequestContext, history: AttemptHistory, now: float
+) -> AttemptLabels:
+    """Return the log labels of the next attempt."""
     updated_at = context.registry.updated_at
-    return AttemptStamp(
+    return AttemptLabels(
         request_id=context.call.request_id,
         service=context.service.name,
         attempt=len(history.tried) + 1,
@@ -170,7 +184,7 @@
     )
 
 
-def _connected(context: RequestContext, loads: Sequence[BackendLoad]) -> frozenset[str]:
-    """Return the instances to which a connection rests unused."""
+def _idle_connected(context: RequestContext, loads: Sequence[BackendLoad]) -> frozenset[str]:
+    """Return the instances with an idle connection."""
     has_idle_connection = context.backends.has_idle_connection
     return frozenset(load.record.incarnation for load in loads if has_idle_connection(load.record))
--- a/src/passlane/relay/context.py
+++ b/src/passlane/relay/context.py
@@ -1,6 +1,6 @@
-"""Gathers what one request is served with: the request, its route and tenant, and the node's parts.
+"""Bundles what one request is served with: call, route, tenant, and the node's components.
 
-Owns nothing; what it derives (where the request may go, what its turn demands) is plain.
+Owns nothing; it also derives the placement key and the demand of a turn from these.
 """
 
 import msgspec
@@ -13,12 +13,12 @@
 from passlane.messages.routes import Route, RoutedService
 from passlane.relay.backends import RelayBackends
 from passlane.relay.request_quota import RequestQuota
-from passlane.relay.room_waits import RoomWaits
+from passlane.relay.room_waits import CapacityWaits
 from passlane.routes.tenants import Identity
 
 
 class RequestContext(msgspec.Struct, frozen=True):
-    """One request, by whom and on which route, and what it may use."""
+    """One request with its route, its tenant and the components that serve it."""
 
     call: RelayedCall
     route: Route
@@ -28,7 +28,7 @@
     node: NodePlace
     registry: BackendRegistry
     backends: RelayBackends
-    waits: RoomWaits
+    waits: CapacityWaits
 
     @property
     def is_for_model(self) -> bool:
@@ -37,14 +37,14 @@
 
     @property
     def engine_priority(self) -> int | None:
-        """Its priority at an engine, 0 first; ``None`` for other back ends."""
+        """Its priority at an engine, 0 is the most urgent; ``None`` for other backends."""
         return self.identity.engine_priority_on(self.route) if self.is_for_model else None
 
     @property
     def turn_demand(self) -> TurnDemand:
-        """What decides when and where a turn runs; times are told when it asks."""
+        """Inputs for scheduling and placing a turn; the reservation adds the remaining times."""
         parts = self.call.prompt_parts
-        shares = len(parts) > 1
+        has_shared_prefix = len(parts) > 1
         return TurnDemand(
             service=self.service.name,
             route=self.route.name,
@@ -52,20 +52,20 @@
             zone=self.node.zone,
             tenant=self.identity.tenant_name,
             prompt_tokens=sum(part.tokens for part in parts),
-            shared_part=parts[0].part_id if shares else "",
-            shared_tokens=parts[0].tokens if shares else 0,
+            shared_part=parts[0].part_id if has_shared_prefix else "",
+            shared_tokens=parts[0].tokens if has_shared_prefix else 0,
             memory_tokens=self.service.memory_tokens,
         )
 
     def placement_key(self, used_last: str, assigned: str = "") -> PlacementKey:
-        """Return what decides where the request goes.
+        """Return the inputs for the choice of an engine.
 
         Parameters
         ----------
         used_last
             The engine that the request's program used last; empty if unknown.
         assigned
-            The engine at which it has a place; empty if it has none.
+            The engine at which a slot is assigned to the request; empty without one.
         """
         program = self.call.program
         return PlacementKey(
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -105,7 +105,7 @@
     def replace_configuration(self, configuration: RouteConfiguration) -> None:
         """Route by another configuration from the next request on."""
         self._table = RouteTable(configuration)
-        self._waits.keep(configuration.services)
+        self._waits.retain(configuration.services)
         self._has_table.set()
 
     async def wait_for_answer(self) -> None:
@@ -211,7 +211,7 @@
             node=self._node,
             registry=self._registry,
             backends=self._backends,
-            waits=self._waits.of(service),
+            waits=self._waits.for_service(service),
         )
 
     def _account_of(self, context: RequestContext) -> TurnAccount | None:
--- a/src/passlane/relay/service_waits.py
+++ b/src/passlane/relay/service_waits.py
@@ -1,6 +1,6 @@
-"""Knows who waits for room at which service of a node.
+"""Tracks the requests that wait for capacity, by service.
 
-Owns one ``RoomWaits`` for each service of the configuration.
+Owns one ``CapacityWaits`` for each service of the configuration.
 """
 
 from collections.abc import Callable, Iterable
@@ -10,11 +10,11 @@
 from passlane.decisions.order.service_room import ServiceRoom
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.routes import RoutedService
-from passlane.relay.room_waits import RoomWaits
+from passlane.relay.room_waits import CapacityWaits
 
 
 class _ServiceKey(msgspec.Struct, frozen=True):
-    """What a service's waits belong to; a service that becomes one of engines begins anew."""
+    """Identifies a service's waits; a service that changes between plain and model has new ones."""
 
     name: str
     is_for_model: bool
@@ -25,30 +25,30 @@
 
 
 class ServiceWaits:
-    """The waits of each service; bounded by the services of the configuration.
+    """The waits of each service; bounded by the number of services in the configuration.
 
     Parameters
     ----------
     draw
-        Gives a uniform number from 0 to 1; spreads pauses.
+        Returns a uniform random number from 0 to 1, for jitter.
     """
 
     def __init__(self, node: NodePlace, draw: Callable[[], float]) -> None:
         self._node = node
         self._draw = draw
-        self._by_service: dict[_ServiceKey, RoomWaits] = {}
+        self._by_service: dict[_ServiceKey, CapacityWaits] = {}
 
-    def of(self, service: RoutedService) -> RoomWaits:
+    def for_service(self, service: RoutedService) -> CapacityWaits:
         """Return the waits of a service."""
         key = _ServiceKey.of(service)
         waits = self._by_service.get(key)
         if waits is None:
-            room = ServiceRoom(self._node, is_for_model=key.is_for_model)
-            waits = RoomWaits(room, self._draw)
+            queue = ServiceRoom(self._node, is_for_model=key.is_for_model)
+            waits = CapacityWaits(queue, self._draw)
             self._by_service[key] = waits
         return waits
 
-    def keep(self, services: Iterable[RoutedService]) -> None:
-        """Forget all services but these; requests that wait there go on by themselves."""
-        kept = {_ServiceKey.of(service) for service in services}
-        self._by_service = {key: self._by_service[key] for key in kept & set(self._by_service)}
+    def retain(self, services: Iterable[RoutedService]) -> None:
+        """Drop all services but these; requests that already wait there are not affected."""
+        retained = {_ServiceKey.of(service) for service in services}
+        self._by_service = {key: self._by_service[key] for key in retained & set(self._by_service)}
