--- a/src/passlane/relay/another_run.py
+++ b/src/passlane/relay/another_run.py
@@ -1,7 +1,7 @@
-"""Admits one more run of a request after one that may have run: limits hold for what runs.
+"""Admits a further run of a request after one that may have run, so that limits apply to each run.
 
-Owns nothing. The tenant's limit is decided by ``decisions.limits.quota_ledger``, the program's
-budget by ``turns.state``; both are asked with one reservation where the request is a turn.
+Owns nothing. The tenant's limit is decided by ``decisions.limits.quota_ledger`` and the program's
+budget by ``turns.state``; a turn needs one reservation for both.
 """
 
 from collections.abc import Callable
@@ -17,26 +17,27 @@
 from passlane.relay.turn_account import TurnAccount
 
 
-class AnotherRun:
+class RerunAdmission:
     """Admits further runs of one request.
 
     Parameters
     ----------
     account
         The turn's account in the store group; ``None`` for requests without one.
-    passed_on_tokens
-        Returns what the caller has got so far: a further run goes on behind it.
+    forwarded_tokens
+        Returns the number of tokens that the caller has received; a further run continues after
+        them.
     """
 
     def __init__(
         self,
         context: RequestContext,
         account: TurnAccount | None,
-        passed_on_tokens: Callable[[], int],
+        forwarded_tokens: Callable[[], int],
     ) -> None:
         self._context = context
         self._account = account
-        self._passed_on_tokens = passed_on_tokens
+        self._forwarded_tokens = forwarded_tokens
 
     async def admit(self, limit_at: float) -> None:
         """Return when another run may be sent.
@@ -44,7 +45,7 @@
         Raises
         ------
         RequestFailedError
-            When a limit leaves no room for it, or nobody answered for it.
+            When a limit is exhausted, or the store group did not answer.
         """
         try:
             answer = await self._ask(limit_at)
@@ -59,13 +60,13 @@
             case BudgetSpent():
                 raise RequestFailedError(RequestEndReason.BUDGET_SPENT)
             case _:
-                # Only a reservation that names a turn or asks for a slot is answered otherwise.
+                # Other answers follow only reservations that name a turn or request a slot.
                 reason = RequestEndReason.STORE_DID_NOT_ANSWER
                 raise RequestFailedError(reason, ErrorCode.PROTOCOL_ERROR.value)
 
     async def _ask(self, limit_at: float) -> QuotaAnswer | ReserveAnswer:
         if self._account is not None and self._account.has_budget:
-            return await self._account.reserve_another_run(self._passed_on_tokens(), limit_at)
+            return await self._account.reserve_rerun(self._forwarded_tokens(), limit_at)
         if self._context.quota.limit is None:
             return QuotaGranted()
         is_in_program = self._context.call.program is not None
--- a/src/passlane/relay/answer_delivery.py
+++ b/src/passlane/relay/answer_delivery.py
@@ -1,7 +1,7 @@
-"""Passes the answer to one request on to its caller, and makes a whole turn durable first.
+"""Forwards the answer of one request to its caller, and first makes a completed turn durable.
 
-Owns the state of the stream that the caller gets, over several attempts. Relies on
-``relay.delivery`` for the writing and on ``relay.turn_account`` for the store group.
+Owns the state of the caller's stream over several attempts. Relies on ``relay.delivery`` to write
+and on ``relay.turn_account`` to settle the turn in the store group.
 """
 
 import anyio
@@ -12,16 +12,16 @@
 from passlane.relay.attempt_history import AttemptHistory
 from passlane.relay.backends import AnswerWriter, BackendAnswer
 from passlane.relay.context import RequestContext
-from passlane.relay.delivery import StreamDelivery, WholeDelivery
+from passlane.relay.delivery import BufferedDelivery, StreamDelivery
 from passlane.relay.end_reasons import RequestEnd, RequestEndReason
 from passlane.relay.progress import RequestProgress
 from passlane.relay.request_errors import AnswerAbortedError
 from passlane.relay.turn_account import TurnAccount, TurnSpending
 
 FIRST_FAILURE_STATUS = 300
-"""From this status on, an answer of a route of streams is no event stream."""
+"""From this status on, an answer on a stream route is not an event stream."""
 TURN_SETTLE_TIMEOUT_S = 3.0
-"""Seconds for which the end of a stream waits for the store group. Not measured; chosen."""
+"""Seconds that the end of a stream waits for the store group."""
 
 
 class AnswerDelivery:
@@ -56,45 +56,45 @@
 
     @property
     def tokens(self) -> int:
-        """Tokens of these events, as far as the service counts them."""
+        """Tokens of these events; 0 for services without a token count."""
         return self.events * self._context.service.tokens_per_event
 
     @property
     def is_whole(self) -> bool:
-        """Whether a stream came to its end."""
+        """Whether a stream is complete."""
         return self._stream is not None and self._stream.is_whole
 
     @property
     def spending(self) -> TurnSpending:
-        """What the runs have shown of the tokens that they generated."""
+        """Token counts of the runs so far."""
         return TurnSpending(
             possible_runs=self._history.possible_runs,
             passed_on_tokens=self.tokens,
-            whole_run_tokens=self._whole_run_tokens(),
+            whole_run_tokens=self._completed_run_tokens(),
             served_by=self._history.served_by,
         )
 
-    def _whole_run_tokens(self) -> int | None:
-        """Return what the last run generated; ``None`` if it isn't whole or tokens aren't told."""
+    def _completed_run_tokens(self) -> int | None:
+        """Return the tokens of the last run; ``None`` if it is incomplete or not counted."""
         tokens_per_event = self._context.service.tokens_per_event
         if not self.is_whole or not tokens_per_event:
             return None
         return (self.events - self._events_before_run) * tokens_per_event
 
     async def deliver(self, answer: BackendAnswer, watch: AttemptWatch) -> None:
-        """Pass an answer on.
+        """Forward an answer.
 
         Raises
         ------
         HttpConnectionError
             When the answer breaks off.
         AnswerAbortedError
-            When it is whole, and its turn is not durable.
+            When the answer is complete, but its turn is not durable.
         """
         self._progress.first_part_s = anyio.current_time() - self._context.call.arrived_at
         is_event_stream = answer.head.status < FIRST_FAILURE_STATUS or self._stream is not None
         if self._context.route.kind is not RouteKind.STREAM or not is_event_stream:
-            await self._deliver_whole(answer, watch)
+            await self._deliver_buffered(answer, watch)
         else:
             await self._deliver_stream(answer, watch)
 
@@ -110,20 +110,20 @@
             if self._stream.last_event_id is not None:
                 self._history.last_event_id = self._stream.last_event_id
 
-    async def _deliver_whole(self, answer: BackendAnswer, watch: AttemptWatch) -> None:
+    async def _deliver_buffered(self, answer: BackendAnswer, watch: AttemptWatch) -> None:
         try:
-            await WholeDelivery(self._writer).deliver(answer, watch)
+            await BufferedDelivery(self._writer).deliver(answer, watch)
         finally:
             self._history.is_answer_final = self._writer.has_started
 
     async def _before_end(self, stream: StreamDelivery) -> None:
-        """Make a whole turn durable before its caller learns that it has ended."""
+        """Make a completed turn durable before the caller receives the end of the stream."""
         if self._account is None:
             return
         self._account.outcome = self._history.outcome(is_whole=self.is_whole, events=self.events)
         output = bytes(stream.output)
         try:
-            await self._account.settle_whole(self.spending, output, TURN_SETTLE_TIMEOUT_S)
+            await self._account.settle_completed(self.spending, output, TURN_SETTLE_TIMEOUT_S)
         except PasslaneError as error:
             end = RequestEnd(RequestEndReason.TURN_NOT_DURABLE, error.code.value)
             self._progress.end = end
--- a/src/passlane/relay/delivery.py
+++ b/src/passlane/relay/delivery.py
@@ -1,7 +1,7 @@
-"""Passes a back end's answer on to the caller, whole or event by event.
+"""Forwards a backend's answer to the caller, either buffered or event by event.
 
-Owns what was written of one answer, or of one stream over several attempts. Whether an answer is
-to be passed on at all is decided before (``decisions.failure.answer_verdicts``).
+Owns the state of one answer, or of one stream over several attempts. Whether an answer is
+forwarded at all is decided earlier (``decisions.failure.answer_verdicts``).
 """
 
 from collections.abc import Awaitable, Callable
@@ -17,21 +17,24 @@
 from passlane.runtime.interfaces import HttpConnectionError
 
 MAX_BUFFERED_BYTES = 256_000
-"""Bytes. Longer bodies are passed on as they arrive. Not measured; chosen."""
+"""Bytes; longer bodies are forwarded as they arrive."""
 
 BeforeEnd = Callable[["StreamDelivery"], Awaitable[None]]
-"""Called when a stream is whole, before the caller learns that it is."""
+"""Called when a stream is complete, before the caller receives its end."""
 
 
-class WholeDelivery:
-    """Passes on an answer once all of it has arrived, so that a broken one is never begun."""
+class BufferedDelivery:
+    """Buffers an answer until it is complete, so that a broken one can still be retried."""
 
     def __init__(self, writer: AnswerWriter) -> None:
         self._writer = writer
         self.status: int | None = None
 
     async def deliver(self, answer: BackendAnswer, watch: AttemptWatch) -> None:
-        """Read an answer and write it; raise ``HttpConnectionError`` when it breaks off."""
+        """Read an answer and write it; raise ``HttpConnectionError`` when it breaks off.
+
+        An answer that exceeds ``MAX_BUFFERED_BYTES`` is forwarded as it arrives.
+        """
         body = bytearray()
         has_started = False
         async with aclosing(answer.chunks()) as chunks:
@@ -44,7 +47,7 @@
                 if has_started:
                     await self._writer.write(bytes(body))
                     body.clear()
-        _note_whole(answer, watch)
+        _record_complete(answer, watch)
         if not has_started:
             await self._start(answer, len(body))
             await self._writer.write(bytes(body))
@@ -56,16 +59,16 @@
 
 
 class StreamDelivery:
-    """Passes on the whole events of a stream as they arrive.
+    """Forwards the complete events of a stream as they arrive.
 
     Attributes
     ----------
     events
-        Events written to the caller.
+        Number of events written to the caller.
     output
-        The data of each event, with a line feed behind each; empty unless it is kept.
+        The data of each event, each followed by a line feed; empty unless ``keeps_output``.
     is_whole
-        Whether the stream came to its end.
+        Whether the stream is complete.
 
     Parameters
     ----------
@@ -88,8 +91,7 @@
     async def deliver(self, answer: BackendAnswer, watch: AttemptWatch) -> None:
         """Read a stream and write it; raise ``HttpConnectionError`` when it breaks off.
 
-        The answer of a second engine that goes on with the stream keeps the head of the
-        first.
+        When a second engine resumes the stream, the head of the first answer stays in effect.
         """
         if not self._writer.has_started:
             self.status = answer.head.status
@@ -100,15 +102,15 @@
         async with aclosing(answer.chunks()) as chunks:
             async for chunk in chunks:
                 watch.progressed(anyio.current_time())
-                await self._pass_on(splitter, chunk)
-        _note_whole(answer, watch)
+                await self._forward(splitter, chunk)
+        _record_complete(answer, watch)
         if splitter.pending:
             await self._writer.write(splitter.pending)
         self.is_whole = True
         await self._before_end(self)
         await self._writer.finish()
 
-    async def _pass_on(self, splitter: EventSplitter, chunk: bytes) -> None:
+    async def _forward(self, splitter: EventSplitter, chunk: bytes) -> None:
         events = splitter.feed(chunk)
         if not events:
             return
@@ -121,8 +123,8 @@
         await self._writer.write(b"".join(event.raw for event in events))
 
 
-def _note_whole(answer: BackendAnswer, watch: AttemptWatch) -> None:
-    """Note the end of an answer; what follows takes time of other parts of the system."""
+def _record_complete(answer: BackendAnswer, watch: AttemptWatch) -> None:
+    """Record the end of an answer before later steps add time of other components."""
     now = anyio.current_time()
     if answer.head.status >= FIRST_SERVER_ERROR:
         watch.failed(now)
--- a/src/passlane/relay/request.py
+++ b/src/passlane/relay/request.py
@@ -9,7 +9,7 @@
 from passlane.decisions.failure.answer_verdicts import UNAVAILABLE, status_when_given_up
 from passlane.decisions.failure.retry_after import retry_after_outage_s
 from passlane.errors import Verdict
-from passlane.relay.another_run import AnotherRun
+from passlane.relay.another_run import RerunAdmission
 from passlane.relay.answer_delivery import AnswerDelivery
 from passlane.relay.attempt_history import AttemptHistory
 from passlane.relay.attempts import RequestAttempts
@@ -82,7 +82,7 @@
         admission = RequestAdmission(self._context, self._account, self._progress)
         reserved = await admission.admit(limit_at)
         body = reserved.history + self._context.call.body
-        another_run = AnotherRun(self._context, self._account, lambda: self._delivery.tokens)
+        another_run = RerunAdmission(self._context, self._account, lambda: self._delivery.tokens)
         self._attempts = RequestAttempts(
             self._context,
             body,
--- a/src/passlane/relay/request_quota.py
+++ b/src/passlane/relay/request_quota.py
@@ -1,7 +1,7 @@
-"""Counts one request against its tenant's limit over all nodes.
+"""Counts one request against its tenant's limit, which applies to all nodes together.
 
-Owns nothing: the node's part of a limit is in ``decisions.limits.allowances``, the limit itself is
-kept by the store group (``decisions.limits.quota_ledger``).
+Owns nothing: the node's share of a limit is in ``decisions.limits.allowances``, and the store
+group stores the limit itself (``decisions.limits.quota_ledger``).
 """
 
 import anyio
@@ -14,7 +14,7 @@
 
 
 def limit_of(identity: Identity, version: int) -> QuotaLimit | None:
-    """Return the limit that a request counts against; ``None`` without one."""
+    """Return the limit that applies to a request; ``None`` without one."""
     tenant = identity.tenant
     if tenant is None or not tenant.is_limited:
         return None
@@ -26,15 +26,16 @@
 class RequestQuota:
     """What one request draws from its tenant's limit.
 
-    Turns draw with their reservation, and with their settlement for the tool calls that are
-    likely to follow. Other requests use what the node holds, and ask if it holds nothing.
+    1. A turn draws with its reservation.
+    2. The settlement of a turn also draws for the tool calls that are likely to follow.
+    3. Any other request uses the node's allowance, and draws from the store group if that is empty.
 
     Parameters
     ----------
     limit
-        ``None`` if the request counts against no limit.
+        ``None`` if no limit applies to the request.
     allowances
-        What this node holds, of all tenants.
+        The node's allowances for all tenants.
     """
 
     def __init__(
@@ -46,16 +47,16 @@
 
     @property
     def store_outage_s(self) -> float:
-        """For how long whoever grants has been in doubt; 0 while it is not."""
+        """Seconds for which the store group's leader has been in doubt; 0 while it is not."""
         return self._store.outage_s
 
     async def admit(self, *, is_in_program: bool, limit_at: float) -> QuotaAnswer:
-        """Draw for a request that is no turn.
+        """Draw for a request that is not a turn.
 
         Raises
         ------
         PasslaneError
-            When whoever grants did not answer; the request must not be sent.
+            When the store group did not answer; the request must not be sent.
         """
         now = anyio.current_time()
         if self.limit is None or self._allowances.take(self.limit.tenant, now):
@@ -67,22 +68,22 @@
         )
 
     def draw_for_turn(self, route: str) -> QuotaDraw | None:
-        """Return the draw that goes with the reservation of a turn on a route.
+        """Return the draw for the reservation of a turn on a route.
 
-        Whether the turn begins its program is known to the store group alone.
+        Only the store group can tell whether the turn is the first of its program.
         """
         if self.limit is None:
             return None
         return QuotaDraw(limit=self.limit, use=QuotaUse.BEGIN_PROGRAM, route=route)
 
     def draw_after_turn(self) -> QuotaDraw | None:
-        """Return the draw that goes with the settlement of a whole turn, if any is wanted."""
+        """Return the draw for the settlement of a completed turn; ``None`` if none is needed."""
         if self.limit is None:
             return None
         ahead = self._allowances.wanted_after_turn(self.limit.tenant, anyio.current_time())
         return QuotaDraw(limit=self.limit, use=None, ahead=ahead) if ahead else None
 
-    def note_settled(self, settled: TurnSettled, asked_at: float) -> None:
-        """Hold what was granted with a settlement that was asked for at ``asked_at``."""
+    def record_settlement(self, settled: TurnSettled, asked_at: float) -> None:
+        """Add what was granted with a settlement, which was requested at ``asked_at``."""
         if self.limit is not None:
             self._allowances.hold(self.limit.tenant, settled.ahead, asked_at)
--- a/src/passlane/relay/turn_account.py
+++ b/src/passlane/relay/turn_account.py
@@ -1,8 +1,8 @@
 """One turn's account in the store group: reservation of each run, history, settlement.
 
-Owns whether reservations may stand and whether they were settled. What each run counts is decided
-by ``decisions.limits.turn_runs``, whether the budget holds it by the store group (``turns.state``);
-``turns.client`` finds its leader and asks again. Log lines: ``budget_refused``,
+Owns whether reservations may exist and whether they were settled. The tokens that each run counts
+are decided by ``decisions.limits.turn_runs``, and whether the budget covers them by the store group
+(``turns.state``); ``turns.client`` finds its leader and retries. Log lines: ``budget_refused``,
 ``turn_counted_in_full``.
 """
 
@@ -29,26 +29,25 @@
 from passlane.relay.context import RequestContext
 from passlane.turns.client import TurnStoreClient
 
-BACKGROUND_SETTLE_S = 30.0
-"""Seconds; longer than a node is usually cut off; what is not settled by then stays reserved. Not
-measured; chosen."""
+BACKGROUND_SETTLE_TIMEOUT_S = 30.0
+"""Seconds; above the usual duration of a partition. A turn not settled by then remains reserved."""
 
 _log = get_logger(__name__)
 
 
 class TurnSpending(msgspec.Struct, frozen=True, kw_only=True):
-    """What a turn's runs have shown when it is settled.
+    """Token counts of a turn's runs at its settlement.
 
     Attributes
     ----------
     possible_runs
-        Runs that engines may have begun.
+        Number of runs that engines may have started.
     passed_on_tokens
-        What the caller has got, of all runs.
+        Tokens that the caller has received, of all runs.
     whole_run_tokens
-        What the last run generated, if it ended whole; else ``None``.
+        Tokens of the last run, if it completed; else ``None``.
     served_by
-        Instance that holds what the turn has read; empty if none.
+        Instance whose prefix cache has the turn's tokens; empty if none.
     """
 
     possible_runs: int
@@ -58,25 +57,25 @@
 
 
 def needs_account(call: RelayedCall, route: Route) -> bool:
-    """Whether a call is a turn whose budget or history the store group keeps."""
+    """Whether a call is a turn whose budget or history the store group stores."""
     has_budget = call.program is not None and call.program.budget_tokens is not None
     return has_budget or route.keeps_turns
 
 
 class TurnAccount:
-    """Reserves each run of a turn before it is sent, and settles all after, exactly once.
+    """Reserves each run of a turn before it is sent, and settles all of them exactly once.
 
     Parameters
     ----------
     tasks
-        Where settlements that nobody waits for go on.
+        Task group for settlements in the background.
     demand
-        What decides when and where the turn runs; ``None`` if this node chooses an engine.
+        Inputs for scheduling and placing the turn; ``None`` if this node chooses an engine.
 
     Attributes
     ----------
     outcome
-        How the turn went at engines; told with its settlement.
+        How the turn went at engines; sent with its settlement.
     """
 
     def __init__(
@@ -100,7 +99,7 @@
 
     @property
     def has_budget(self) -> bool:
-        """Whether the turn's program may only spend so much."""
+        """Whether the turn's program has a token budget."""
         return self._budget_tokens is not None
 
     @property
@@ -120,7 +119,7 @@
         return self._identity.scoped(previous) if previous is not None else None
 
     async def reserve(self, limit_at: float) -> ReserveAnswer:
-        """Reserve the most that the turn may generate; see ``TurnStoreClient.reserve``."""
+        """Reserve the maximum number of tokens of the turn; see ``TurnStoreClient.reserve``."""
         now = anyio.current_time()
         run = self._runs.add()
         request = msgspec.structs.replace(
@@ -128,29 +127,29 @@
             previous=self._previous_id if self._route.keeps_turns else None,
             demand=self._demand_at(now, limit_at),
         )
-        # Whatever becomes of the answer, the reservation may stand from here on.
+        # From here on the reservation may exist, even if no answer is received.
         self._is_reserved = True
         reservation = await self._store.reserve(request, timeout_s=limit_at - now)
         self._is_reserved = reservation.may_stand
         self._log_refusal(run, reservation.answer)
         return reservation.answer
 
-    async def reserve_another_run(self, passed_on_tokens: int, limit_at: float) -> ReserveAnswer:
-        """Reserve what a further run may generate, after one that may have run.
+    async def reserve_rerun(self, forwarded_tokens: int, limit_at: float) -> ReserveAnswer:
+        """Reserve the tokens of a further run, after one that may have run.
 
         Raises
         ------
         PasslaneError
             When no leader answered in time; the run must not be sent.
         """
-        run = self._runs.add(passed_on_tokens)
+        run = self._runs.add(forwarded_tokens)
         timeout_s = limit_at - anyio.current_time()
         reservation = await self._store.reserve(self._reservation_of(run), timeout_s=timeout_s)
         self._log_refusal(run, reservation.answer)
         return reservation.answer
 
     def _log_refusal(self, run: ReservedRun, answer: ReserveAnswer) -> None:
-        """Log what decided that the budget does not hold a run."""
+        """Log why the budget does not cover a run."""
         if not isinstance(answer, BudgetSpent):
             return
         _log.info(
@@ -175,7 +174,7 @@
         )
 
     def _demand_at(self, now: float, limit_at: float) -> TurnDemand | None:
-        """Return what the turn demands, with the times that are left at this moment."""
+        """Return the turn's demand with the remaining times at ``now``."""
         if self._demand is None:
             return None
         program = self._call.program
@@ -186,13 +185,15 @@
             program_time_left_s=deadline_at - now if deadline_at is not None else None,
         )
 
-    async def settle_whole(self, spending: TurnSpending, output: bytes, timeout_s: float) -> None:
-        """Settle a turn that ended whole and keep it if its route says so.
+    async def settle_completed(
+        self, spending: TurnSpending, output: bytes, timeout_s: float
+    ) -> None:
+        """Settle a completed turn, and store it if its route keeps turns.
 
         Raises
         ------
         PasslaneError
-            When it is not certain that the turn is durable.
+            When the turn may not be durable.
         """
         draw = self._quota.draw_after_turn()
         if not self._route.keeps_turns:
@@ -204,24 +205,24 @@
             content=self._call.body + output,
             retention_s=self._route.retention_s,
         )
-        first, *further = self._spent(spending)
+        first, *remaining = self._spent(spending)
         settlement = self._settlement(first, spending.served_by, draw)
         await self._send(msgspec.structs.replace(settlement, turn=turn), timeout_s)
         self._is_settled = True
-        self._settle_further(further)
+        self._settle_remaining(remaining)
 
     def settle_in_background(self, spending: TurnSpending, draw: QuotaDraw | None = None) -> None:
-        """Settle a turn without waiting; does nothing if it was settled or never reserved."""
+        """Settle a turn without waiting; no effect if it was already settled or never reserved."""
         if self._is_settled or not self._is_reserved:
             return
         self._is_settled = True
-        first, *further = self._spent(spending)
+        first, *remaining = self._spent(spending)
         settlement = self._settlement(first, spending.served_by, draw)
         self._tasks.start_soon(self._settle_later, settlement)
-        self._settle_further(further)
+        self._settle_remaining(remaining)
 
-    def _settle_further(self, runs: Iterable[SpentRun]) -> None:
-        """Settle the runs after the first, which has told all that is known of the turn."""
+    def _settle_remaining(self, runs: Iterable[SpentRun]) -> None:
+        """Settle the runs after the first, whose settlement has the data of the whole turn."""
         for run in runs:
             settlement = SettleTurn(
                 program_id=self._program_id, attempt_id=run.reservation_id, tokens=run.tokens
@@ -229,12 +230,12 @@
             self._tasks.start_soon(self._settle_later, settlement)
 
     def _spent(self, spending: TurnSpending) -> tuple[SpentRun, ...]:
-        """Return what each run counts; log it where a run counts though it did not end whole."""
+        """Return the tokens that each run counts; log counted runs that did not complete."""
         spent = self._runs.spent(
             spending.possible_runs, spending.passed_on_tokens, spending.whole_run_tokens
         )
-        whole_runs = int(spending.whole_run_tokens is not None)
-        if self.has_budget and spending.possible_runs > whole_runs:
+        completed_runs = int(spending.whole_run_tokens is not None)
+        if self.has_budget and spending.possible_runs > completed_runs:
             _log.info(
                 "turn_counted_in_full",
                 request_id=self._call.request_id,
@@ -257,16 +258,16 @@
         )
 
     async def _send(self, settlement: SettleTurn, timeout_s: float) -> None:
-        """Settle, and hold what was granted ahead with it."""
+        """Send a settlement, and add the quota that is granted with it to the node's allowance."""
         asked_at = anyio.current_time()
         settled = await self._store.settle(settlement, timeout_s=timeout_s)
-        self._quota.note_settled(settled, asked_at)
+        self._quota.record_settlement(settled, asked_at)
 
     async def _settle_later(self, settlement: SettleTurn) -> None:
         try:
-            await self._send(settlement, BACKGROUND_SETTLE_S)
+            await self._send(settlement, BACKGROUND_SETTLE_TIMEOUT_S)
         except PasslaneError as error:
-            # The reservation stays: the program may spend less, never more.
+            # The reservation remains, so that the program can only spend less, never more.
             _log.warning(
                 "turn_not_settled", request_id=settlement.attempt_id, code=error.code.value
             )
--- a/tests/relay/fakes.py
+++ b/tests/relay/fakes.py
@@ -1,4 +1,4 @@
-"""Back ends, a store and a writer that tests script."""
+"""Scripted backends, a scripted store and a recording writer for tests."""
 
 from collections import deque
 from contextlib import asynccontextmanager
@@ -19,7 +19,7 @@
 
 
 def choose(*arguments, **more):
-    """Return the back end that is chosen; ``None`` if there is none."""
+    """Return the chosen backend; ``None`` without one."""
     choice = choose_backend(*arguments, **more)
     return choice.load if choice is not None else None
 
@@ -31,7 +31,7 @@
     return BackendRecord(instance_id, service, Address("10.0.0.1", 80), zone, slots, state)
 
 
-def call(request_id="r-1", *, body=b"new", path="/first/x", budget=None, most=10, **changes):
+def call(request_id="r-1", *, body=b"new", path="/first/x", budget=None, max_tokens=10, **changes):
     program = ProgramContext("p", None, budget) if budget is not None else None
     values = {
         "request_id": request_id,
@@ -43,7 +43,7 @@
         "arrived_at": anyio.current_time(),
         "deadline_at": anyio.current_time() + 5.0,
         "program": program,
-        "most_tokens": most,
+        "most_tokens": max_tokens,
     }
     return RelayedCall(**(values | changes))
 
@@ -52,19 +52,19 @@
     return AnswerHead(status, (SIGNATURE,), refusal, is_authentic, length)
 
 
-FULL = head(503, refusal=Refusal.NOT_EXECUTED)
-MOVED = head(421, refusal=Refusal.WRONG_INSTANCE)
+AT_CAPACITY = head(503, refusal=Refusal.NOT_EXECUTED)
+WRONG_INSTANCE = head(421, refusal=Refusal.WRONG_INSTANCE)
 
 
 class Script:
-    """One answer of a back end.
+    """One answer of a backend.
 
-    ``broken`` ends the body early; ``unreachable`` fails before any byte has left;
-    ``delay_s`` passes before each part, and ``leave_s`` when the answer is left.
+    ``broken`` ends the body early; ``delay_s`` passes before each part, and ``close_delay_s``
+    when the answer is closed.
     """
 
-    def __init__(self, head, *parts, broken=False, delay_s=0.0, leave_s=0.0):
-        self.leave_s = leave_s
+    def __init__(self, head, *parts, broken=False, delay_s=0.0, close_delay_s=0.0):
+        self.close_delay_s = close_delay_s
         self.head = head
         self.parts = parts
         self.broken = broken
@@ -79,25 +79,25 @@
 
 
 class Unreachable:
-    """A back end whose machine takes no connection."""
+    """A backend whose machine accepts no connection."""
 
 
-class Mute:
-    """A back end that takes the request and never answers."""
+class Unresponsive:
+    """A backend that accepts the request and never answers."""
 
 
 class Reset:
-    """A back end that resets the connection before it answers."""
+    """A backend that resets the connection before it answers."""
 
 
 class ScriptedBackends:
-    """Gives the scripts in order, whichever back end is asked."""
+    """Plays the scripts in order, regardless of the backend."""
 
     def __init__(self, *scripts, connected=()):
         self.connected = connected
         self.scripts = deque(scripts)
         self.requests = []
-        self.asked = []
+        self.requested = []
 
     def has_idle_connection(self, record):
         return record.instance_id in self.connected
@@ -105,21 +105,21 @@
     @asynccontextmanager
     async def exchange(self, record, request):
         self.requests.append(request)
-        self.asked.append(record.instance_id)
+        self.requested.append(record.instance_id)
         script = self.scripts.popleft()
         await anyio.lowlevel.checkpoint()
         if isinstance(script, Unreachable):
             raise HttpConnectionError("no connection", bytes_left=False)
-        if isinstance(script, Mute):
+        if isinstance(script, Unresponsive):
             await anyio.sleep_forever()
         if isinstance(script, Reset):
             raise HttpConnectionError("reset", bytes_left=True)
         yield script
-        await anyio.sleep(script.leave_s)
+        await anyio.sleep(script.close_delay_s)
 
 
 class RecordingWriter:
-    """Keeps what was written."""
+    """Records what was written."""
 
     def __init__(self):
         self.status = 0
@@ -154,9 +154,9 @@
 
 
 class ScriptedStore:
-    """Answers reservations as told; keeps settlements.
+    """Answers reservations with a given answer; records requests and settlements.
 
-    With ``answer_was_lost`` the answer is that to a repeat, after a first one was lost.
+    With ``answer_was_lost`` the answer is the one to a retry, after the first answer was lost.
     """
 
     def __init__(
@@ -164,14 +164,14 @@
         answer=None,
         *,
         quota=None,
-        is_lost=False,
+        is_unavailable=False,
         outage_s=0.0,
         settle_fails=False,
         answer_was_lost=False,
     ):
         self.answer_was_lost = answer_was_lost
         self.answer = answer or TurnReserved()
-        self.is_lost = is_lost
+        self.is_unavailable = is_unavailable
         self.outage_s = outage_s
         self.settle_fails = settle_fails
         self.quota = quota or QuotaGranted()
@@ -181,7 +181,7 @@
 
     async def reserve(self, request, *, timeout_s):
         self.reserved.append(request)
-        if self.is_lost:
+        if self.is_unavailable:
             raise PasslaneError(ErrorCode.UNAVAILABLE, "no leader")
         may_stand = isinstance(self.answer, TurnReserved) or self.answer_was_lost
         return Reservation(self.answer, may_stand)
@@ -194,6 +194,6 @@
 
     async def draw_quota(self, draw, *, timeout_s):
         self.drawn.append(draw)
-        if self.is_lost:
+        if self.is_unavailable:
             raise PasslaneError(ErrorCode.UNAVAILABLE, "no leader")
         return self.quota
--- a/tests/relay/test_delivery.py
+++ b/tests/relay/test_delivery.py
@@ -1,4 +1,4 @@
-"""What is kept of an answer while it is passed on."""
+"""Memory use of an answer while it is forwarded."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 class StreamDeliveryTest(unittest.TestCase):
     def deliver(self, **options):
-        """Pass a stream on; return its delivery and what the caller got."""
+        """Forward a stream; return its delivery and the writer."""
         writer = RecordingWriter()
 
         async def before_end(_delivery):
@@ -28,9 +28,9 @@
 
         return anyio.run(main), writer
 
-    def test_the_output_of_a_stream_is_kept_only_where_it_is_needed(self):
-        kept, writer = self.deliver(keeps_output=True)
-        self.assertEqual(len(kept.output), EVENTS * 4_001)
-        dropped, other_writer = self.deliver(keeps_output=False)
-        self.assertEqual((len(dropped.output), dropped.events), (0, EVENTS))
+    def test_the_output_of_a_stream_is_buffered_only_if_it_is_needed(self):
+        buffered, writer = self.deliver(keeps_output=True)
+        self.assertEqual(len(buffered.output), EVENTS * 4_001)
+        unbuffered, other_writer = self.deliver(keeps_output=False)
+        self.assertEqual((len(unbuffered.output), unbuffered.events), (0, EVENTS))
         self.assertEqual(other_writer.body, writer.body)
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -37,9 +37,9 @@
 from passlane.routes.tenants import Identity, digest_of_key
 from passlane.simulation.replacement import Replacement, replaced
 from relay.fakes import (
-    FULL,
-    MOVED,
-    Mute,
+    AT_CAPACITY,
+    WRONG_INSTANCE,
+    Unresponsive,
     RecordingWriter,
     Reset,
     Script,
@@ -124,35 +124,35 @@
         self.assertTrue(self.writer.is_finished)
 
     def test_a_full_back_end_is_passed_over(self):
-        self.relay([Script(FULL), Script(head(), b"ok")])
+        self.relay([Script(AT_CAPACITY), Script(head(), b"ok")])
         self.assertEqual(self.writer.body, b"ok")
-        self.assertEqual(len(set(self.backends.asked)), 2)
+        self.assertEqual(len(set(self.backends.requested)), 2)
 
     def test_when_all_stay_full_it_waits_while_there_is_time_for_an_answer(self):
-        self.relay([Script(FULL)] * 400)
+        self.relay([Script(AT_CAPACITY)] * 400)
         self.assertEqual(self.writer.status, 503)
         self.assertAlmostEqual(self.elapsed_s, 1.0 - UNKNOWN_ANSWER_S, places=3)
-        self.assertLess(len(self.backends.asked), 100)
+        self.assertLess(len(self.backends.requested), 100)
 
     def test_whoever_is_refused_after_a_long_wait_is_told_the_longest_time_to_come_back(self):
-        self.relay([Script(FULL)] * 400)
+        self.relay([Script(AT_CAPACITY)] * 400)
         spread = self.writer.retry_after_s / LONGEST_ROOM_RETRY_S
         self.assertTrue(1.0 <= spread <= 1.0 + ROOM_RETRY_SPREAD)
 
     def test_a_place_that_gets_free_late_still_serves(self):
-        self.relay([*[Script(FULL)] * 20, Script(head(), b"ok")])
+        self.relay([*[Script(AT_CAPACITY)] * 20, Script(head(), b"ok")])
         self.assertEqual((self.writer.status, self.writer.body), (200, b"ok"))
         self.assertGreater(self.elapsed_s, 0.25 * 0.2)
 
     def test_plain_back_ends_are_waited_for_by_the_same_rule(self):
         tools = {"shares": (ServiceShare("tools", 1),)}
         records = [backend("i-1", service="tools"), backend("i-2", service="tools")]
-        self.relay([*[Script(FULL)] * 20, Script(head(), b"ok")], records=records, **tools)
+        self.relay([*[Script(AT_CAPACITY)] * 20, Script(head(), b"ok")], records=records, **tools)
         self.assertEqual((self.writer.status, self.writer.body), (200, b"ok"))
-        self.relay([Script(FULL)] * 400, records=records, **tools)
+        self.relay([Script(AT_CAPACITY)] * 400, records=records, **tools)
         self.assertEqual(self.writer.status, 503)
         self.assertAlmostEqual(self.elapsed_s, 1.0 - UNKNOWN_ANSWER_S, places=3)
-        self.assertLess(len(self.backends.asked), 100)
+        self.assertLess(len(self.backends.requested), 100)
 
     def test_a_broken_answer_is_asked_for_again_within_the_most_attempts(self):
         self.relay([Script(head(), b"ha", broken=True), Script(head(), b"ok")], max_attempts=2)
@@ -161,17 +161,17 @@
     def test_no_more_back_ends_run_it_than_allowed(self):
         self.relay([Reset(), Reset(), Script(head(), b"ok")], max_attempts=2)
         self.assertEqual(self.writer.status, 502)
-        self.assertEqual(len(self.backends.asked), 2)
+        self.assertEqual(len(self.backends.requested), 2)
 
     def test_a_silent_back_end_is_left_for_another_one(self):
-        self.relay([Mute(), Script(head(), b"ok")], max_attempts=2)
+        self.relay([Unresponsive(), Script(head(), b"ok")], max_attempts=2)
         self.assertEqual((self.writer.status, self.writer.body), (200, b"ok"))
         self.assertLess(self.elapsed_s, 0.5)
 
     def test_silence_is_borne_when_no_other_back_end_may_run_it(self):
-        self.relay([Mute()], max_attempts=1)
+        self.relay([Unresponsive()], max_attempts=1)
         self.assertEqual(self.writer.status, 504)
-        self.assertEqual(len(self.backends.asked), 1)
+        self.assertEqual(len(self.backends.requested), 1)
 
     def test_silence_ends_with_the_routes_time(self):
         self.relay([Script(head(), b"late", delay_s=60.0)])
@@ -193,10 +193,10 @@
         self.assertEqual((self.writer.status, self.writer.body), (200, long_part))
         self.assertFalse(self.writer.is_finished)
         self.assertIsNotNone(self.error)
-        self.assertEqual(len(self.backends.asked), 1)
+        self.assertEqual(len(self.backends.requested), 1)
 
     def test_after_its_first_event_a_stream_gets_no_other_head(self):
-        for later in (head(500), FULL):
+        for later in (head(500), AT_CAPACITY):
             scripts = [Script(head(), EVENT_1, broken=True)] + [Script(later, b"sorry")] * 200
             self.relay(scripts, is_resumable=True, max_attempts=2, **STREAM)
             self.assertEqual((self.writer.status, self.writer.body), (200, EVENT_1))
@@ -213,15 +213,15 @@
         waiting = {"tenants": tenants, "call_changes": WITH_KEY, "store": limited}
         self.relay([], stops_after_s=0.1, **waiting)
         self.assertEqual(self.writer.status, 503)
-        self.assertEqual(self.backends.asked, [])
+        self.assertEqual(self.backends.requested, [])
         self.assertAlmostEqual(self.elapsed_s, 0.1, places=3)
 
     def test_one_that_was_sent_is_promised_nothing(self):
-        self.relay([Mute()], kind=RouteKind.AT_MOST_ONCE, stops_after_s=0.1)
+        self.relay([Unresponsive()], kind=RouteKind.AT_MOST_ONCE, stops_after_s=0.1)
         self.assertEqual(self.writer.status, 0)
 
     def test_one_whose_refusal_is_read_to_its_end_did_not_run(self):
-        scripts = [Script(FULL, leave_s=60.0)]
+        scripts = [Script(AT_CAPACITY, close_delay_s=60.0)]
         self.relay(scripts, kind=RouteKind.AT_MOST_ONCE, stops_after_s=0.1)
         self.assertEqual(self.writer.status, 503)
 
@@ -263,22 +263,22 @@
 
 class AtMostOnceTest(RelayCase):
     def test_a_refusal_after_an_attempt_that_may_have_run_promises_nothing(self):
-        self.relay([Reset()] + [Script(FULL)] * 40, max_attempts=3)
+        self.relay([Reset()] + [Script(AT_CAPACITY)] * 40, max_attempts=3)
         self.assertEqual(self.writer.status, 502)
 
     def test_a_refusal_is_proof_though_the_time_ends_before_it_is_left(self):
-        self.relay([Script(FULL, leave_s=60.0)], kind=RouteKind.AT_MOST_ONCE)
+        self.relay([Script(AT_CAPACITY, close_delay_s=60.0)], kind=RouteKind.AT_MOST_ONCE)
         self.assertEqual(self.writer.status, 503)
 
     def test_silence_is_borne_by_what_may_run_once(self):
-        self.relay([Mute()], kind=RouteKind.AT_MOST_ONCE, max_attempts=3)
+        self.relay([Unresponsive()], kind=RouteKind.AT_MOST_ONCE, max_attempts=3)
         self.assertEqual(self.writer.status, 504)
-        self.assertEqual(len(self.backends.asked), 1)
+        self.assertEqual(len(self.backends.requested), 1)
 
     def test_an_answer_that_was_lost_promises_nothing(self):
         self.relay([Reset()], kind=RouteKind.AT_MOST_ONCE, max_attempts=3)
         self.assertEqual(self.writer.status, 502)
-        self.assertEqual(len(self.backends.asked), 1)
+        self.assertEqual(len(self.backends.requested), 1)
 
     def test_a_back_end_without_a_connection_ran_nothing(self):
         scripts = [Unreachable(), Script(head(), b"ok")]
@@ -286,7 +286,7 @@
         self.assertEqual(self.writer.body, b"ok")
 
     def test_another_instance_at_the_address_ran_nothing(self):
-        scripts = [Script(MOVED), Script(head(), b"ok")]
+        scripts = [Script(WRONG_INSTANCE), Script(head(), b"ok")]
         self.relay(scripts, kind=RouteKind.AT_MOST_ONCE)
         self.assertEqual(self.writer.body, b"ok")
         self.assertEqual(len(self.registry), 1)
@@ -359,7 +359,7 @@
         self.relay([], tenants=[LIMITED], call_changes=WITH_KEY, store=ScriptedStore(quota=REFUSED))
         self.assertEqual((self.writer.status, self.writer.retry_after_s), (429, 0.71))
         self.assertEqual(self.elapsed_s, 0.0)
-        self.assertEqual(self.backends.asked, [])
+        self.assertEqual(self.backends.requested, [])
 
     def test_a_turn_beyond_the_limit_is_refused_and_leaves_nothing_reserved(self):
         store = ScriptedStore(REFUSED)
@@ -376,7 +376,7 @@
 
     def test_the_wait_for_its_moment_takes_nothing_of_the_wait_for_room(self):
         store = ScriptedStore(quota=QuotaGranted(start_after_s=0.3))
-        scripts = [*[Script(FULL)] * 6, Script(head(), b"ok")]
+        scripts = [*[Script(AT_CAPACITY)] * 6, Script(head(), b"ok")]
         self.relay(scripts, tenants=[LIMITED], call_changes=WITH_KEY, store=store)
         self.assertEqual((self.writer.status, self.writer.body), (200, b"ok"))
 
@@ -395,10 +395,10 @@
         self.assertGreater(settled.quota.ahead, 0)
 
     def test_without_whoever_grants_a_limited_call_is_not_sent(self):
-        store = ScriptedStore(is_lost=True)
+        store = ScriptedStore(is_unavailable=True)
         self.relay([], tenants=[LIMITED], call_changes=WITH_KEY, store=store)
         self.assertEqual(self.writer.status, 503)
-        self.assertEqual(self.backends.asked, [])
+        self.assertEqual(self.backends.requested, [])
 
     def test_no_limit_no_draw(self):
         self.relay([Script(head(), b"ok")], tenants=[CORNER], call_changes=WITH_KEY)
@@ -486,7 +486,7 @@
                 self.assertEqual(second.status, 409)
                 await anyio.sleep(0.2)
             self.assertEqual((first.status, first.body), (200, b"ok"))
-            self.assertEqual(len(backends.asked), 1)
+            self.assertEqual(len(backends.requested), 1)
 
         clock = trio.testing.MockClock(autojump_threshold=0)
         anyio.run(main, backend="trio", backend_options={"clock": clock})
@@ -508,7 +508,7 @@
         await anyio.sleep(0.001)
         if record.instance_id in self.busy:
             self.refusals += 1
-            yield Script(FULL)
+            yield Script(AT_CAPACITY)
             return
         self.order.append(request.call.request_id)
         self.busy.add(record.instance_id)
@@ -573,7 +573,7 @@
     def test_a_stream_waits_for_room_no_longer_than_its_caller_bears_silence(self):
         for target_latency_s, patience_s in ((0.25, 2.0), (0.75, 3.0)):
             changes = STREAM | {"target_latency_s": target_latency_s}
-            self.relay([Script(FULL)] * 400, **changes)
+            self.relay([Script(AT_CAPACITY)] * 400, **changes)
             self.assertEqual(self.writer.status, 503)
             self.assertAlmostEqual(self.elapsed_s, patience_s, places=3)
 
@@ -611,7 +611,7 @@
         for used_last in ("i-1", "i-2"):
             store = ScriptedStore(TurnReserved(used_last=used_last))
             self.relay([Script(head(), EVENT_1)], call_changes=self.changes, store=store, **TURNS)
-            self.assertEqual(self.backends.asked, [used_last])
+            self.assertEqual(self.backends.requested, [used_last])
             self.assertEqual(store.settled[0].served_by, used_last)
 
     def test_a_turn_that_may_not_last_does_not_end(self):
@@ -635,7 +635,7 @@
             self.assertEqual(store.settled, [])
 
     def test_without_the_store_nothing_is_said_about_turns_and_the_reservation_is_undone(self):
-        store = ScriptedStore(is_lost=True)
+        store = ScriptedStore(is_unavailable=True)
         self.relay([], call_changes=self.changes, store=store, **TURNS)
         self.assertEqual(self.writer.status, 503)
         self.assertIsNotNone(self.writer.retry_after_s)
@@ -644,13 +644,13 @@
     def test_the_longer_the_store_is_lost_the_later_callers_are_told_to_return(self):
         pauses = []
         for outage_s in (0.0, 0.4, 60.0):
-            store = ScriptedStore(is_lost=True, outage_s=outage_s)
+            store = ScriptedStore(is_unavailable=True, outage_s=outage_s)
             self.relay([], call_changes=self.changes, store=store, **TURNS)
             pauses.append(self.writer.retry_after_s)
         self.assertEqual(pauses, [SHORTEST_OUTAGE_RETRY_S, 0.4, LONGEST_OUTAGE_RETRY_S])
 
     def test_a_turn_that_did_not_run_gives_its_reservation_back(self):
-        self.relay([Script(FULL)] * 400, call_changes=self.changes, **TURNS)
+        self.relay([Script(AT_CAPACITY)] * 400, call_changes=self.changes, **TURNS)
         self.assertEqual(self.writer.status, 503)
         self.assertEqual([(s.tokens, s.turn) for s in self.store.settled], [(0, None)])
 
@@ -699,11 +699,11 @@
     def test_a_turn_goes_to_the_engine_where_it_has_a_place(self):
         for engine in ("i-1", "i-2"):
             self.place([Script(head(), EVENT_1)], TurnReserved(engine=engine, used_last="i-1"))
-            self.assertEqual(self.backends.asked, [engine])
+            self.assertEqual(self.backends.requested, [engine])
 
     def test_an_engine_that_refuses_it_after_all_is_told_and_passed_over(self):
-        store = self.place([Script(FULL), Script(head(), EVENT_1)], TurnReserved(engine="i-2"))
-        self.assertEqual(self.backends.asked, ["i-2", "i-1"])
+        store = self.place([Script(AT_CAPACITY), Script(head(), EVENT_1)], TurnReserved(engine="i-2"))
+        self.assertEqual(self.backends.requested, ["i-2", "i-1"])
         outcome = store.settled[0].outcome
         self.assertEqual((outcome.full_at, store.settled[0].served_by), (("i-2",), "i-1"))
 
@@ -728,5 +728,5 @@
         refused = TurnRefused(retry_after_s=0.7, waiting=9, busy_share=1.0)
         store = self.place([], refused)
         self.assertEqual((self.writer.status, self.writer.retry_after_s), (503, 0.7))
-        self.assertEqual((self.backends.asked, store.settled), ([], []))
+        self.assertEqual((self.backends.requested, store.settled), ([], []))
         self.assertEqual(self.elapsed_s, 0.0)
