--- a/src/passlane/relay/admission.py
+++ b/src/passlane/relay/admission.py
@@ -1,6 +1,6 @@
-"""Takes requests on, or refuses them, by how the node fares.
+"""Admits or refuses requests by the load of the node.
 
-Owns the counts of what is under way. ``decisions.admission.node_load`` decides what is taken on,
+Owns the counts of requests in flight. ``decisions.admission.node_load`` decides what is admitted,
 ``decisions.admission.known_programs`` which program is new.
 """
 
@@ -19,21 +19,21 @@
 
 
 class NodeAdmission:
-    """Decides for each request, and counts those under way.
+    """Decides for each request, and counts the requests in flight.
 
     Attributes
     ----------
     under_way
-        Requests that were taken on and haven't ended.
+        Number of admitted requests that have not ended.
     body_bytes
         Bytes of their bodies.
     refused
-        Requests that were refused, by the state of the node.
+        Number of refused requests, by the state of the node.
 
     Parameters
     ----------
     is_enabled
-        Whether requests are refused; the load is known either way.
+        Whether requests are refused; the load is tracked either way.
     """
 
     def __init__(self, capacity: NodeCapacity, *, is_enabled: bool) -> None:
@@ -46,16 +46,16 @@
 
     @classmethod
     def unbounded(cls) -> "NodeAdmission":
-        """Return one that takes all on."""
+        """Return an instance that admits all requests."""
         return cls(NodeCapacity(), is_enabled=False)
 
     @property
     def state(self) -> Admission:
-        """What the node takes on, or would if that were enabled."""
+        """What the node admits, or would admit if refusals were enabled."""
         return self._load.admission
 
     def observe(self, reading: NodeReading, now: float) -> None:
-        """Decide anew by a reading."""
+        """Update the state from a reading."""
         change = self._load.observe(reading, now)
         if change is None:
             return
@@ -73,7 +73,7 @@
         )
 
     def refusal(self, call: RelayedCall, now: float) -> Refusal | None:
-        """Return how to refuse a request; ``None`` if it is taken on."""
+        """Return how to refuse a request; ``None`` if it is admitted."""
         if not self._is_enabled or self._load.admission is Admission.ALL:
             return None
         is_new_program = self._programs.is_new(call, now)
@@ -84,8 +84,8 @@
         return Refusal.of(RequestEndReason.NODE_AT_ITS_BOUNDS, retry_after_s)
 
     @contextmanager
-    def taken_on(self, call: RelayedCall, now: float) -> Iterator[None]:
-        """Count a request as under way."""
+    def track(self, call: RelayedCall, now: float) -> Iterator[None]:
+        """Count a request as in flight."""
         size = len(call.body)
         if self._is_enabled:
             self._programs.note(call, now)
--- a/src/passlane/relay/own_answers.py
+++ b/src/passlane/relay/own_answers.py
@@ -1,9 +1,7 @@
-"""Answers callers with this system's own words once their request was read and understood.
+"""Answers callers with responses that this node generates.
 
-What can't be read is refused by ``platform.client_ingress``, before a request is relayed.
-
-Keeps the promise that a refusal never says more than the attempts of its request prove
-(``decisions.failure.answer_verdicts``).
+Unreadable requests are refused earlier, by ``platform.client_ingress``. A refusal never promises
+more than the attempts of its request prove (``decisions.failure.answer_verdicts``).
 """
 
 from passlane.decisions.failure.answer_verdicts import truthful_status
@@ -16,15 +14,15 @@
 _log = get_logger(__name__)
 
 
-class OwnAnswers:
-    """Refuses one request, and notes it for the request's log line."""
+class LocalResponses:
+    """Refuses one request, and records the refusal for the request's log line."""
 
     def __init__(self, writer: AnswerWriter, progress: RequestProgress) -> None:
         self._writer = writer
         self._progress = progress
 
     async def refuse(self, refusal: Refusal, verdict: Verdict = Verdict.NOT_RUN) -> None:
-        """Give a final answer of this system's own, which is never more than is known.
+        """Send a final answer that this node generates, with a status that the verdict allows.
 
         Parameters
         ----------
@@ -34,18 +32,18 @@
         Raises
         ------
         AnswerAbortedError
-            When a back end's answer has begun.
+            When a backend's answer has already begun.
         """
         self._progress.end = refusal.end
         if self._writer.has_started:
             raise AnswerAbortedError(refusal.end)
-        status = self._truthful(refusal, verdict)
+        status = self._provable_status(refusal, verdict)
         self._progress.status = status
         await self._writer.refuse(status, refusal.end.text, refusal.retry_after_s)
 
-    def _truthful(self, refusal: Refusal, verdict: Verdict) -> int:
-        truthful = truthful_status(refusal.status, verdict)
-        if truthful != refusal.status:
+    def _provable_status(self, refusal: Refusal, verdict: Verdict) -> int:
+        provable = truthful_status(refusal.status, verdict)
+        if provable != refusal.status:
             _log.error(
                 "refusal_withheld",
                 request_id=self._progress.request_id,
@@ -53,4 +51,4 @@
                 reason=refusal.end.text,
                 verdict=verdict.value,
             )
-        return truthful
+        return provable
--- a/src/passlane/relay/progress.py
+++ b/src/passlane/relay/progress.py
@@ -1,6 +1,6 @@
-"""What became of one request: the facts of its line ``request_ended`` and of its metrics.
+"""Records what one request's log line ``request_ended`` and its metrics report.
 
-Owns these facts; whoever serves the request notes them.
+Owns these records; the modules that serve the request fill them in.
 """
 
 import msgspec
@@ -11,36 +11,36 @@
 
 
 class RequestProgress(msgspec.Struct):
-    """Facts gathered while a request is served.
+    """Facts recorded while a request is served.
 
     Attributes
     ----------
     version
-        Version of the configuration that the request was served by.
+        Version of the configuration that applies to the request.
     route, service
         Names, once they are chosen.
     tenant
-        Name of the tenant on whose behalf it came; empty without one.
+        Name of the tenant; empty without one.
     priority
         The tenant's, or else the route's.
     target_latency_s
-        Of the route.
+        Target latency of the route.
     status
-        Status told to the caller; 0 for none.
+        Status of an answer that this node generated; 0 without one.
     end
-        Why the request ended as it did.
+        Why the request ended.
     tried
         Instances that it was sent to, in order.
     reserved_s
         Seconds from its arrival until its turn was reserved.
     quota_wait_s
-        Seconds that its tenant's limit made it wait; ``None`` without a limit.
+        Seconds that it waited for its tenant's limit; ``None`` without a limit.
     place_wait_s
-        Seconds that its turn waited for a place at an engine.
+        Seconds that its turn waited for a slot of an engine.
     room_wait_s
-        Seconds that it waited for room at its back ends; 0 without such a wait.
+        Seconds that it waited for backend capacity; 0 without such a wait.
     events
-        Events of a stream that were written to the caller.
+        Number of stream events written to the caller.
     """
 
     request_id: str
@@ -62,16 +62,16 @@
     first_part_s: float | None = None
     room_wait_s: float = 0.0
 
-    def note_route(self, route: Route) -> None:
-        """Note the route that was found."""
+    def record_route(self, route: Route) -> None:
+        """Record the matching route."""
         self.route = route.name
         self.kind = route.kind.value
         self.target_latency_s = route.target_latency_s
 
     def is_in_time(self, elapsed_s: float) -> bool | None:
-        """Whether the answer came within the route's target; ``None`` without an answer.
+        """Whether the answer met the route's target latency; ``None`` without an answer.
 
-        A stream's time counts to its first part, any other answer's to its end.
+        The time of a stream ends with its first part, that of any other answer with its end.
         """
         if self.first_part_s is None:
             return None
--- a/src/passlane/relay/request.py
+++ b/src/passlane/relay/request.py
@@ -1,7 +1,7 @@
 """Serves one request whose route is known: admission, attempts, delivery, final answer.
 
-Owns the request's time limit and its end. ``relay.request_admission`` counts it or reserves its
-turn, ``relay.attempts`` finds a back end, ``relay.answer_delivery`` passes the answer on.
+Owns the request's deadline and its end. ``relay.request_admission`` counts the request or reserves
+its turn, ``relay.attempts`` finds a backend, ``relay.answer_delivery`` forwards the answer.
 """
 
 import anyio
@@ -16,7 +16,7 @@
 from passlane.relay.backends import AnswerWriter
 from passlane.relay.context import RequestContext
 from passlane.relay.end_reasons import RequestEnd, RequestEndReason
-from passlane.relay.own_answers import OwnAnswers
+from passlane.relay.own_answers import LocalResponses
 from passlane.relay.progress import RequestProgress
 from passlane.relay.request_admission import RequestAdmission
 from passlane.relay.request_errors import Refusal, RequestFailedError, RequestRefusedError
@@ -43,18 +43,18 @@
         self._writer = writer
         self._account = account
         self._progress = progress
-        self._own_answers = OwnAnswers(writer, progress)
+        self._local_responses = LocalResponses(writer, progress)
         self._history = AttemptHistory(context.call.last_event_id)
         self._delivery = AnswerDelivery(context, writer, account, self._history, progress)
         self._attempts: RequestAttempts | None = None
 
     async def run(self) -> None:
-        """Serve the request until it is answered or its time is over.
+        """Serve the request until it is answered or its deadline passes.
 
         Raises
         ------
         AnswerAbortedError
-            When the answer had begun and cannot be ended.
+            When the answer had begun and cannot be completed.
         """
         call = self._context.call
         limit_at = min(call.deadline_at, call.arrived_at + self._context.route.timeout_s)
@@ -62,63 +62,67 @@
             with anyio.CancelScope(deadline=limit_at) as scope:
                 await self._run_within(limit_at)
             if scope.cancelled_caught:
-                await self._give_up(RequestEnd(RequestEndReason.OUT_OF_TIME), is_late=True)
+                await self._answer_failure(
+                    RequestEnd(RequestEndReason.OUT_OF_TIME), is_overdue=True
+                )
         except anyio.get_cancelled_exc_class():
             await self._refuse_if_stopped()
             raise
         finally:
-            self._note_progress()
+            self._record_progress()
             self._settle()
 
     async def _run_within(self, limit_at: float) -> None:
         try:
             await self._admit_and_attempt(limit_at)
         except RequestRefusedError as error:
-            await self._own_answers.refuse(error.refusal, self._history.verdict)
+            await self._local_responses.refuse(error.refusal, self._history.verdict)
         except RequestFailedError as error:
-            await self._give_up(error.end, is_late=False)
+            await self._answer_failure(error.end, is_overdue=False)
 
     async def _admit_and_attempt(self, limit_at: float) -> None:
         admission = RequestAdmission(self._context, self._account, self._progress)
         reserved = await admission.admit(limit_at)
         body = reserved.history + self._context.call.body
-        another_run = RerunAdmission(self._context, self._account, lambda: self._delivery.tokens)
+        rerun_admission = RerunAdmission(
+            self._context, self._account, lambda: self._delivery.tokens
+        )
         self._attempts = RequestAttempts(
             self._context,
             body,
             self._history,
-            another_run.admit,
+            rerun_admission.admit,
             reserved.used_last,
             reserved.engine,
         )
         await self._attempts.run(limit_at, self._delivery.deliver)
 
-    async def _give_up(self, end: RequestEnd, *, is_late: bool) -> None:
-        """Give the final answer of a request that has none from a back end."""
-        status = status_when_given_up(self._history.verdict, is_late=is_late)
+    async def _answer_failure(self, end: RequestEnd, *, is_overdue: bool) -> None:
+        """Send the final answer of a request that has none from a backend."""
+        status = status_when_given_up(self._history.verdict, is_late=is_overdue)
         retry_after_s = self._retry_after_s() if status == UNAVAILABLE else None
         refusal = Refusal(end, status, retry_after_s)
-        await self._own_answers.refuse(refusal, self._history.verdict)
+        await self._local_responses.refuse(refusal, self._history.verdict)
 
     def _retry_after_s(self) -> float:
-        """Return when the caller of a request that did not run is to come back, in seconds."""
+        """Return the seconds after which the caller of a request that did not run should retry."""
         if self._attempts is None:
             return retry_after_outage_s(self._context.quota.store_outage_s)
         return self._context.waits.retry_after_s()
 
     async def _refuse_if_stopped(self) -> None:
-        """Tell a caller whose request this node will not send any more that it did not run.
+        """When the node stops, refuse a request that did not run and will not be sent.
 
-        Without an answer the server library would give a status that promises nothing.
+        Without an answer, the HTTP server would send a status that does not rule out that it ran.
         """
         is_answered = self._writer.has_started or self._writer.is_abandoned
         if is_answered or self._history.verdict is not Verdict.NOT_RUN:
             return
         with anyio.CancelScope(shield=True):
             refusal = Refusal.of(RequestEndReason.STOPPED, self._retry_after_s())
-            await self._own_answers.refuse(refusal, self._history.verdict)
+            await self._local_responses.refuse(refusal, self._history.verdict)
 
-    def _note_progress(self) -> None:
+    def _record_progress(self) -> None:
         self._progress.verdict = self._history.verdict
         self._progress.tried = self._history.tried
         self._progress.events = self._delivery.events
@@ -126,7 +130,7 @@
             self._progress.room_wait_s = self._attempts.room_wait_s
 
     def _settle(self) -> None:
-        """Settle a turn that was not settled when its answer was whole."""
+        """Settle a turn that was not settled at the end of its answer."""
         if self._account is None:
             return
         self._account.outcome = None
--- a/src/passlane/relay/request_admission.py
+++ b/src/passlane/relay/request_admission.py
@@ -1,8 +1,8 @@
-"""Has one request counted, or its turn reserved, before anything is sent to a back end.
+"""Counts one request or reserves its turn before anything is sent to a backend.
 
 Owns nothing: the tenant's limit and the program's budget are decided in the store group
-(``decisions.limits.quota_ledger``, ``turns.state``), as is room for a new program
-(``decisions.admission.program_admission``). Here their answers become what the caller is told.
+(``decisions.limits.quota_ledger``, ``turns.state``), as is capacity for a new program
+(``decisions.admission.program_admission``). Converts their answers to refusals for the caller.
 """
 
 import anyio
@@ -23,7 +23,7 @@
 
 
 class RequestAdmission:
-    """Admits one request by its tenant's limit, its program's budget and the room for it.
+    """Admits one request by its tenant's limit, its program's budget and engine capacity.
 
     Parameters
     ----------
@@ -39,18 +39,18 @@
         self._progress = progress
 
     async def admit(self, limit_at: float) -> TurnReserved:
-        """Reserve a turn, or count another request, and wait until it may start.
+        """Reserve a turn or count another request, and wait until it may start.
 
         Raises
         ------
         RequestRefusedError
-            When it is refused, or nobody answered.
+            When it is refused, or the store group did not answer.
         """
         try:
             if self._account is not None:
                 admitted = await self._reserve(self._account, limit_at)
             else:
-                admitted = await self._count(limit_at)
+                admitted = await self._draw_quota(limit_at)
         except PasslaneError as error:
             retry_after_s = retry_after_outage_s(self._context.quota.store_outage_s)
             reason = RequestEndReason.STORE_DID_NOT_ANSWER
@@ -61,12 +61,12 @@
             await anyio.sleep(admitted.start_after_s)
         return admitted
 
-    async def _count(self, limit_at: float) -> TurnReserved:
-        """Count a request without an account."""
+    async def _draw_quota(self, limit_at: float) -> TurnReserved:
+        """Count a request without an account against its tenant's limit."""
         is_in_program = self._context.call.program is not None
         answer = await self._context.quota.admit(is_in_program=is_in_program, limit_at=limit_at)
         if isinstance(answer, QuotaRefused):
-            raise self._refused_by_limit(answer)
+            raise self._quota_refusal(answer)
         return TurnReserved(start_after_s=answer.start_after_s)
 
     async def _reserve(self, account: TurnAccount, limit_at: float) -> TurnReserved:
@@ -74,9 +74,9 @@
         self._progress.reserved_s = self._elapsed_s()
         match answer:
             case QuotaRefused():
-                raise self._refused_by_limit(answer)
+                raise self._quota_refusal(answer)
             case TurnRefused():
-                raise self._refused_for_room(answer)
+                raise self._capacity_refusal(answer)
             case BudgetSpent():
                 raise RequestRefusedError(Refusal.of(RequestEndReason.BUDGET_SPENT))
             case TurnUnknown():
@@ -87,8 +87,8 @@
     def _elapsed_s(self) -> float:
         return anyio.current_time() - self._context.call.arrived_at
 
-    def _refused_by_limit(self, refused: QuotaRefused) -> RequestRefusedError:
-        """Log what decided that a request is beyond its tenant's limit; return the refusal."""
+    def _quota_refusal(self, refused: QuotaRefused) -> RequestRefusedError:
+        """Log why a request exceeds its tenant's limit; return the refusal."""
         _log.info(
             "quota_refused",
             request_id=self._context.call.request_id,
@@ -102,8 +102,8 @@
         retry_after_s = round(refused.retry_after_s, 3)
         return RequestRefusedError(Refusal.of(RequestEndReason.QUOTA_SPENT, retry_after_s))
 
-    def _refused_for_room(self, refused: TurnRefused) -> RequestRefusedError:
-        """Log what decided that a new program finds no room; return the refusal."""
+    def _capacity_refusal(self, refused: TurnRefused) -> RequestRefusedError:
+        """Log why there is no capacity for a new program; return the refusal."""
         _log.info(
             "room_refused",
             request_id=self._context.call.request_id,
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -1,6 +1,6 @@
-"""Takes requests to be relayed: finds their route, serves them, logs what became of them.
+"""Accepts requests to be relayed: matches their routes, serves them and logs how they ended.
 
-Owns the configuration in force, which requests are under way, and the line ``request_ended``,
+Owns the current configuration, the set of requests in flight, and the line ``request_ended``,
 whose field ``reason`` is explained in ``relay.end_reasons``. Relies on ``relay.request`` to serve.
 """
 
@@ -22,7 +22,7 @@
 from passlane.relay.backends import AnswerWriter, RelayBackends
 from passlane.relay.context import RequestContext
 from passlane.relay.end_reasons import RequestEnd, RequestEndReason, end_of_connection
-from passlane.relay.own_answers import OwnAnswers
+from passlane.relay.own_answers import LocalResponses
 from passlane.relay.progress import RequestProgress
 from passlane.relay.request import RequestRelay
 from passlane.relay.request_errors import Refusal, RequestRefusedError
@@ -34,16 +34,15 @@
 from passlane.routes.tenants import Identity
 from passlane.turns.client import TurnStoreClient
 
-START_WAIT_S = 1.0
-"""Seconds. A node that has started so lately expects its first configuration any moment: requests
-wait for it, since a refusal would cost their callers one of few tries. Measured only together with
-the times to come back (``docs/measurements/further-deployment.md``, "early listening, waiting")."""
+FIRST_CONFIGURATION_TIMEOUT_S = 1.0
+"""Seconds after the start during which requests wait for the node's first configuration; a refusal
+would cost their callers one of few retries."""
 
 _log = get_logger(__name__)
 
 
 class _AcceptedRequest(msgspec.Struct, frozen=True):
-    """A request that this node takes on, and the configuration that it is served by."""
+    """An admitted request, and the configuration that applies to it."""
 
     call: RelayedCall
     route: Route
@@ -52,19 +51,18 @@
 
 
 class RelayService:
-    """Relays requests by the newest configuration.
+    """Relays requests according to the current configuration.
 
-    Its parts come one by one from the composition root, which owns them; so there are more
-    parameters than elsewhere.
+    The composition root creates and owns the components that are passed in.
 
     Parameters
     ----------
     tasks
-        Where work goes on that outlives a request.
+        Task group for work that outlives a request.
     admission
-        Which requests the node takes on; without it, all.
+        Decides which requests the node admits; without it, all are admitted.
     asks_for_places
-        Whether the store group's leader orders and places turns.
+        Whether the leader of the store group orders and places turns.
     """
 
     def __init__(
@@ -80,37 +78,37 @@
         *,
         asks_for_places: bool = False,
     ) -> None:
-        self._asks_for_places = asks_for_places
+        self._requests_placement = asks_for_places
         self._node = node
         self._registry = registry
         self._backends = backends
         self._store = store
         self._tasks = tasks
         self._table: RouteTable | None = None
-        self._has_table = anyio.Event()
+        self._table_received = anyio.Event()
         self._started_at = anyio.current_time()
         self._selector = ShareSelector(random)
         self._waits = ServiceWaits(node, random.random)
         self._allowances = Allowances()
-        self._under_way: set[str] = set()
-        self._has_answered = anyio.Event()
+        self._in_flight: set[str] = set()
+        self._first_answer = anyio.Event()
         self._metrics = RequestMetrics(metrics)
         self._admission = admission or NodeAdmission.unbounded()
 
     @property
     def configuration(self) -> RouteConfiguration | None:
-        """The configuration in force."""
+        """The current configuration."""
         return self._table.configuration if self._table is not None else None
 
     def replace_configuration(self, configuration: RouteConfiguration) -> None:
-        """Route by another configuration from the next request on."""
+        """Apply a configuration from the next request on."""
         self._table = RouteTable(configuration)
         self._waits.retain(configuration.services)
-        self._has_table.set()
+        self._table_received.set()
 
     async def wait_for_answer(self) -> None:
-        """Return once an answer of a back end was passed on."""
-        await self._has_answered.wait()
+        """Return once the first answer of a backend was forwarded."""
+        await self._first_answer.wait()
 
     async def handle(self, call: RelayedCall, writer: AnswerWriter) -> None:
         """Answer one request.
@@ -118,7 +116,7 @@
         Raises
         ------
         AnswerAbortedError
-            When the answer had begun and cannot be ended.
+            When the answer had begun and cannot be completed.
         """
         progress = RequestProgress(call.request_id)
         try:
@@ -130,7 +128,7 @@
                 progress.end = RequestEnd(RequestEndReason.STOPPED)
             raise
         finally:
-            self._note_end(call, writer, progress)
+            self._record_end(call, writer, progress)
 
     async def _accept_and_serve(
         self, call: RelayedCall, writer: AnswerWriter, progress: RequestProgress
@@ -138,35 +136,35 @@
         try:
             accepted = await self._accept(call, progress)
         except RequestRefusedError as error:
-            await OwnAnswers(writer, progress).refuse(error.refusal)
+            await LocalResponses(writer, progress).refuse(error.refusal)
             return
-        self._under_way.add(call.request_id)
+        self._in_flight.add(call.request_id)
         try:
-            with self._admission.taken_on(call, anyio.current_time()):
+            with self._admission.track(call, anyio.current_time()):
                 await self._serve(accepted, writer, progress)
         finally:
-            self._under_way.discard(call.request_id)
+            self._in_flight.discard(call.request_id)
 
     async def _accept(self, call: RelayedCall, progress: RequestProgress) -> _AcceptedRequest:
-        """Find the route and the tenant of a request, and check that the node takes it on.
+        """Find the route and the tenant of a request, and check that the node admits it.
 
         Raises
         ------
         RequestRefusedError
-            When it has no route, no known key, or is not taken on.
+            When it has no route or no valid key, or is not admitted.
         """
         table = await self._wait_for_table()
         progress.version = table.version
         route = table.find(call.host, call.path)
         if route is None:
             raise RequestRefusedError(Refusal.of(RequestEndReason.NO_ROUTE))
-        progress.note_route(route)
+        progress.record_route(route)
         identity = table.tenants.identify(route, call.key_digests)
         if identity is None:
             raise RequestRefusedError(Refusal.of(RequestEndReason.NO_KNOWN_KEY))
         progress.tenant = identity.tenant_name
         progress.priority = identity.priority_on(route)
-        if call.request_id in self._under_way:
+        if call.request_id in self._in_flight:
             raise RequestRefusedError(Refusal.of(RequestEndReason.REQUEST_UNDER_WAY))
         refusal = self._admission.refusal(call, anyio.current_time())
         if refusal is not None:
@@ -174,16 +172,16 @@
         return _AcceptedRequest(call, route, identity, table)
 
     async def _wait_for_table(self) -> RouteTable:
-        """Return the routes; right after the start, once they are known.
+        """Return the route table; shortly after the start, wait for it.
 
         Raises
         ------
         RequestRefusedError
-            When they have not become known in time.
+            When no configuration was received in time.
         """
         if self._table is None:
-            with anyio.CancelScope(deadline=self._started_at + START_WAIT_S):
-                await self._has_table.wait()
+            with anyio.CancelScope(deadline=self._started_at + FIRST_CONFIGURATION_TIMEOUT_S):
+                await self._table_received.wait()
         if self._table is None:
             outage_s = anyio.current_time() - self._started_at
             retry_after_s = retry_after_outage_s(outage_s)
@@ -193,13 +191,13 @@
     async def _serve(
         self, accepted: _AcceptedRequest, writer: AnswerWriter, progress: RequestProgress
     ) -> None:
-        context = self._context_of(accepted)
+        context = self._build_context(accepted)
         progress.service = context.service.name
-        account = self._account_of(context)
+        account = self._build_account(context)
         await RequestRelay(context, writer, account, progress).run()
 
-    def _context_of(self, accepted: _AcceptedRequest) -> RequestContext:
-        """Choose the service of a request, and gather what the request may use."""
+    def _build_context(self, accepted: _AcceptedRequest) -> RequestContext:
+        """Choose the service of a request, and bundle what the request needs."""
         service = accepted.table.service(self._selector.choose(accepted.route))
         limit = limit_of(accepted.identity, accepted.table.version)
         return RequestContext(
@@ -214,20 +212,22 @@
             waits=self._waits.for_service(service),
         )
 
-    def _account_of(self, context: RequestContext) -> TurnAccount | None:
+    def _build_account(self, context: RequestContext) -> TurnAccount | None:
         """Return the account of a turn in the store group; ``None`` for other requests."""
         is_stream = context.route.kind is RouteKind.STREAM
         if not is_stream or not needs_account(context.call, context.route):
             return None
-        demand = context.turn_demand if self._asks_for_places else None
+        demand = context.turn_demand if self._requests_placement else None
         return TurnAccount(context, self._store, self._tasks, demand)
 
-    def _note_end(self, call: RelayedCall, writer: AnswerWriter, progress: RequestProgress) -> None:
-        """Count the request and write its one line."""
+    def _record_end(
+        self, call: RelayedCall, writer: AnswerWriter, progress: RequestProgress
+    ) -> None:
+        """Count the request and write its log line."""
         elapsed_s = anyio.current_time() - call.arrived_at
         status = progress.status or (writer.status if writer.has_started else 0)
         if writer.is_finished and progress.tried:
-            self._has_answered.set()
+            self._first_answer.set()
         self._metrics.note_end(progress.kind, status, elapsed_s, progress.room_wait_s)
         _log.info(
             "request_ended",
@@ -261,7 +261,7 @@
 
 
 def _program_time_left_s(call: RelayedCall) -> float | None:
-    """Return the time until a call's program should be over; ``None`` if that is unknown."""
+    """Return the seconds until the deadline of a call's program; ``None`` without one."""
     if call.program is None or call.program.deadline_at is None:
         return None
     return _rounded(call.program.deadline_at - anyio.current_time())
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -1,4 +1,4 @@
-"""A node at its bounds refuses before it sends or reserves anything, and only new work."""
+"""An overloaded node refuses new programs before it sends or reserves anything."""
 
 import anyio
 from structlog.testing import capture_logs
@@ -11,11 +11,11 @@
 
 
 def admission_at(state, *, is_enabled=True):
-    """Return the admission of a node that has come to a state."""
-    made = NodeAdmission(NodeCapacity(under_way=100), is_enabled=is_enabled)
+    """Return the admission of a node in a given state."""
+    admission = NodeAdmission(NodeCapacity(under_way=100), is_enabled=is_enabled)
     under_way = {Admission.ALL: 0, Admission.KNOWN_PROGRAMS: 80, Admission.NOTHING: 100}[state]
-    made.observe(NodeReading(under_way=under_way), 0.0)
-    return made
+    admission.observe(NodeReading(under_way=under_way), 0.0)
+    return admission
 
 
 class AdmissionTest(RelayCase):
@@ -29,7 +29,7 @@
         )
         return self.writer.status
 
-    def test_a_new_program_is_refused_before_anything_was_sent_or_reserved(self):
+    def test_a_new_program_is_refused_before_anything_is_sent_or_reserved(self):
         with capture_logs() as lines:
             self.assertEqual(self.send(Admission.KNOWN_PROGRAMS), 503)
         self.assertEqual((self.backends.requests, self.store.reserved), ([], []))
@@ -38,30 +38,30 @@
         self.assertEqual((ended["reason"], ended["verdict"]), ("node_at_its_bounds", "not_run"))
         self.assertEqual(self.admission.refused, {"known_programs": 1})
 
-    def test_a_turn_that_goes_on_is_taken_until_nothing_is(self):
+    def test_a_continued_program_is_admitted_until_nothing_is(self):
         self.assertEqual(self.send(Admission.KNOWN_PROGRAMS, previous_turn="before"), 200)
         self.assertEqual(self.send(Admission.NOTHING, previous_turn="before"), 503)
 
-    def test_a_node_that_fares_well_or_must_not_refuse_takes_all(self):
+    def test_a_healthy_node_or_one_with_disabled_refusals_admits_all(self):
         self.assertEqual(self.send(Admission.ALL), 200)
         self.assertEqual(self.send(Admission.NOTHING, is_enabled=False), 200)
 
-    def test_what_is_under_way_is_counted_until_its_end(self):
-        made = admission_at(Admission.ALL)
+    def test_a_request_in_flight_is_counted_until_its_end(self):
+        admission = admission_at(Admission.ALL)
 
         async def main():
-            taken = call(body=b"12345", budget=1)
-            with self.assertRaises(ZeroDivisionError), made.taken_on(taken, 0.0):
-                self.assertEqual((made.under_way, made.body_bytes), (1, 5))
+            admitted = call(body=b"12345", budget=1)
+            with self.assertRaises(ZeroDivisionError), admission.track(admitted, 0.0):
+                self.assertEqual((admission.under_way, admission.body_bytes), (1, 5))
                 raise ZeroDivisionError
-            self.assertEqual((made.under_way, made.body_bytes), (0, 0))
+            self.assertEqual((admission.under_way, admission.body_bytes), (0, 0))
 
         anyio.run(main)
 
-    def test_each_change_is_logged_once_with_what_decided(self):
+    def test_each_change_is_logged_once_with_its_cause(self):
         with capture_logs() as lines:
-            made = admission_at(Admission.KNOWN_PROGRAMS)
-            made.observe(NodeReading(under_way=81), 1.0)
+            admission = admission_at(Admission.KNOWN_PROGRAMS)
+            admission.observe(NodeReading(under_way=81), 1.0)
         (line,) = lines
         self.assertEqual(
             (line["event"], line["before"], line["now"], line["cause"]),
