--- a/src/passlane/decisions/limits/rate_limit.py
+++ b/src/passlane/decisions/limits/rate_limit.py
@@ -1,4 +1,7 @@
-"""Limits of a tenant: a token bucket for its rate and a count for its concurrency."""
+"""Per-node limits of a tenant: a token bucket for its rate and a cap on concurrent calls.
+
+``TenantLimiter`` owns both for one tenant. Times are local monotonic seconds.
+"""
 
 from dataclasses import dataclass
 
@@ -6,7 +9,7 @@
 
 
 class TokenBucket:
-    """Lets ``rate_per_s`` requests a second through, and up to ``burst`` at once."""
+    """Token bucket that admits ``rate_per_s`` requests per second and bursts of ``burst``."""
 
     def __init__(self, rate_per_s: float, burst: float) -> None:
         self._rate_per_s = rate_per_s
@@ -15,13 +18,13 @@
         self._updated_at: float | None = None
 
     def change(self, rate_per_s: float, burst: float) -> None:
-        """Use another rate and burst from now on; what was saved up is kept."""
+        """Set another rate and burst; the tokens stay, up to the new burst."""
         self._rate_per_s = rate_per_s
         self._burst = max(burst, 1.0)
         self._tokens = min(self._tokens, self._burst)
 
     def try_take(self, now: float) -> float | None:
-        """Take one request; return ``None``, or the seconds after which to come back."""
+        """Take one token; return ``None``, or the seconds after which to retry."""
         self._refill(now)
         if self._tokens >= 1.0:
             self._tokens -= 1.0
@@ -31,7 +34,7 @@
         return max((1.0 - self._tokens) / self._rate_per_s, MIN_RETRY_AFTER_S)
 
     def is_full(self, now: float) -> bool:
-        """Return whether as much is saved up as may be, so that a new bucket is the same."""
+        """Return whether the bucket is full, that is, the same as a new one."""
         self._refill(now)
         return self._tokens >= self._burst
 
@@ -44,7 +47,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantLimits:
-    """What a tenant may do at one node; one second's worth of calls may come at once."""
+    """Limits of a tenant at one node; the burst is one second's worth of calls."""
 
     calls_per_second: float
     max_calls_in_flight: int
@@ -52,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admission:
-    """Whether a call may go on; ``retry_after_s`` tells a refused one when to come back."""
+    """Whether a call is admitted; if not, it may be retried after ``retry_after_s``."""
 
     admitted: bool
     reason: str = ""
@@ -60,9 +63,9 @@
 
 
 class TenantLimiter:
-    """Rate and concurrency of one tenant.
+    """Rate and concurrency limits of one tenant.
 
-    Each call that was admitted must be given back with ``release`` when it has ended.
+    Call ``release`` once for each admitted call when it has ended.
     """
 
     def __init__(self, limits: TenantLimits) -> None:
@@ -71,11 +74,11 @@
         self._in_flight = 0
 
     def is_idle(self, now: float) -> bool:
-        """Return whether the limiter remembers nothing that a new one would not know."""
+        """Return whether the limiter is in the same state as a new one."""
         return self._in_flight == 0 and self._bucket.is_full(now)
 
     def change(self, limits: TenantLimits) -> None:
-        """Use other limits from now on."""
+        """Set other limits."""
         if limits == self._limits:
             return
         self._limits = limits
@@ -98,5 +101,5 @@
         return Admission(admitted=True)
 
     def release(self) -> None:
-        """Note that an admitted call has ended."""
+        """Record the end of an admitted call."""
         self._in_flight = max(self._in_flight - 1, 0)
--- a/tests/decisions/limits/test_rate_limit.py
+++ b/tests/decisions/limits/test_rate_limit.py
@@ -1,4 +1,4 @@
-"""A tenant's rate and its calls in flight."""
+"""Tests of the per-node rate and concurrency limits."""
 
 import unittest
 
--- a/tests/decisions/limits/test_turn_runs.py
+++ b/tests/decisions/limits/test_turn_runs.py
@@ -1,4 +1,4 @@
-"""What the runs of a turn count: never less than engines may have generated."""
+"""Tests that a turn settles at least the tokens that engines may have generated."""
 
 import unittest
 
@@ -16,7 +16,7 @@
         self.assertEqual(len({run.reservation_id for run in reserved}), 3)
         self.assertEqual(reserved[0].reservation_id, "r")
 
-    def test_nothing_is_settled_that_was_not_reserved(self):
+    def test_runs_without_a_reservation_are_not_settled(self):
         self.assertEqual(TurnRuns("r", 50).spent(0, 0, None), ())
 
     @given(
@@ -26,7 +26,7 @@
         is_last_sent=st.booleans(),
         data=st.data(),
     )
-    def test_no_less_counts_than_may_have_been_generated(
+    def test_at_least_the_possibly_generated_tokens_count(
         self, most, generated, is_whole, is_last_sent, data
     ):
         runs = TurnRuns("r", most)
