--- a/src/passlane/decisions/limits/program_needs.py
+++ b/src/passlane/decisions/limits/program_needs.py
@@ -1,71 +1,70 @@
-"""Answers how many requests a program needs, learnt by the route on which it begins.
+"""Estimates how many requests a program needs, by the route on which it begins.
 
-It is for ``quota_ledger``, which lets programs begin only while their needs fit a limit. It owns
-counts of programs, turns and calls, the older the less they weigh, and relies on being told of
-each request that is asked for. Amounts are requests.
+``quota_ledger`` uses it to admit new programs only while their needs fit the tenant's limit. It
+owns exponentially decayed counts of programs, turns and tool calls, and must be given each
+request that is drawn. Amounts are requests.
 """
 
 import msgspec
 
 from passlane.messages.quotas import QuotaUse
 
-EXPECTED_TURNS = 5.0
-"""Turns of a program before any were seen: known programs take 3 to 11. Not measured; chosen."""
-EXPECTED_PROGRAMS = 10.0
-"""Weight of that expectation, in programs. Not measured; chosen."""
-FORGET_SHARE = 0.99
-"""Share of what was seen that still counts after one more program has begun. Programs that
-have just begun have taken few of their turns, so some hundred are looked back on. Not measured;
-chosen."""
+PRIOR_TURNS_PER_PROGRAM = 5.0
+"""Turns per program that are assumed at the start; known programs take 3 to 11."""
+PRIOR_PROGRAMS = 10.0
+"""Weight of ``PRIOR_TURNS_PER_PROGRAM``, in programs."""
+DECAY_FACTOR = 0.99
+"""Factor by which the counts decay with each new program. It averages over about a hundred
+programs, because recent ones have taken only a few of their turns."""
 
 
-class _Seen(msgspec.Struct):
-    """Programs and turns on one route; the older the less they count."""
+class _TurnCounts(msgspec.Struct):
+    """Decayed counts of programs and turns on one route."""
 
-    programs: float = EXPECTED_PROGRAMS
-    turns: float = EXPECTED_PROGRAMS * EXPECTED_TURNS
+    programs: float = PRIOR_PROGRAMS
+    turns: float = PRIOR_PROGRAMS * PRIOR_TURNS_PER_PROGRAM
 
 
 class ProgramNeeds:
-    """Turns of a program by route, and tool calls for each turn over all routes.
+    """Mean turns per program by route, and mean tool calls per turn over all routes.
 
-    Routes of turns are few: those that a configuration has.
+    The number of routes is bounded by the configuration.
     """
 
     def __init__(self) -> None:
-        self._seen: dict[str, _Seen] = {}
-        self._all = _Seen()
-        self._calls = 0.0
+        self._by_route: dict[str, _TurnCounts] = {}
+        self._all_routes = _TurnCounts()
+        self._tool_calls = 0.0
 
-    def note(self, route: str, use: QuotaUse) -> None:
-        """Note a request that was asked for; ``route`` is empty for calls that are no turns."""
+    def record(self, route: str, use: QuotaUse) -> None:
+        """Record a requested draw; ``route`` is empty for tool calls."""
         if use is QuotaUse.ALONE:
             return
         if not route:
-            self._calls += 1
+            self._tool_calls += 1
             return
-        for seen in (self._seen.setdefault(route, _Seen()), self._all):
+        for counts in (self._by_route.setdefault(route, _TurnCounts()), self._all_routes):
             if use is QuotaUse.BEGIN_PROGRAM:
-                seen.programs = seen.programs * FORGET_SHARE + 1
-                seen.turns *= FORGET_SHARE
-            seen.turns += 1
+                counts.programs = counts.programs * DECAY_FACTOR + 1
+                counts.turns *= DECAY_FACTOR
+            counts.turns += 1
         if use is QuotaUse.BEGIN_PROGRAM:
-            self._calls *= FORGET_SHARE
+            self._tool_calls *= DECAY_FACTOR
 
-    def forget_begun(self, route: str) -> None:
-        """Take out a program that was noted as begun and had none of its turns."""
+    def undo_begin(self, route: str) -> None:
+        """Remove a program that was recorded as begun and then did not start."""
         if not route:
             return
-        for seen in (self._seen.setdefault(route, _Seen()), self._all):
-            seen.programs -= 1
-            seen.turns -= 1
+        for counts in (self._by_route.setdefault(route, _TurnCounts()), self._all_routes):
+            counts.programs -= 1
+            counts.turns -= 1
 
-    def note_calls(self, count: int) -> None:
-        """Note tool calls that were granted ahead."""
-        self._calls += count
+    def record_advance_calls(self, count: int) -> None:
+        """Record tool calls that were granted in advance."""
+        self._tool_calls += count
 
-    def of(self, route: str) -> float:
-        """Return the requests, turns and calls, of a program that begins on a route."""
-        seen = self._seen.get(route, self._all)
-        calls_per_turn = self._calls / self._all.turns
-        return seen.turns / seen.programs * (1 + calls_per_turn)
+    def estimate(self, route: str) -> float:
+        """Return the expected turns and tool calls of a program that begins on a route."""
+        counts = self._by_route.get(route, self._all_routes)
+        calls_per_turn = self._tool_calls / self._all_routes.turns
+        return counts.turns / counts.programs * (1 + calls_per_turn)
--- a/src/passlane/decisions/limits/quota_ledger.py
+++ b/src/passlane/decisions/limits/quota_ledger.py
@@ -1,25 +1,18 @@
-"""Answers whether a tenant's request may be sent, over all nodes together, and from when on.
+"""Enforces the tenants' rate limits over all nodes; kept by the leader of the store group.
 
-It is kept by the leader of the store group, without I/O or clock. What is granted in any window
-is at most the rate times the window, plus the burst. A request that must wait for its moment is
-granted with that moment, so that nobody has to ask again.
+It owns the grants of each tenant (``tenant_accounts``) and the usage that replicas have received
+(``usage_history``), without I/O or clock. The rules:
 
-A program that is refused midway has cost engines' time, and its caller gets nothing. So the
-limit is met where programs begin: a new one is granted only while the programs begun within the
-window, at what such a program is seen to need, stay within the limit. Requests of programs
-under way may use a part of what the operator lets a limit be exceeded by.
+1. Any window holds at most the rate times the window, plus the burst. A request that must wait is
+   granted with its start time, so it need not ask again.
+2. A new program is granted only while the expected requests (``program_needs``) of the programs
+   that began within the window fit the limit, because refusing a running program wastes its work.
+3. Requests of running programs may use a part of the excess that the operator allows.
+4. A new leader continues from the replicated usage, so a failover or a restart gives a tenant no
+   second burst. Grants that are not yet replicated (``unreported_grants``) are bounded.
 
-Replicas that follow note what the leader has granted (``usage_history``). A new leader goes
-on from there: no change of leader and no restart gives a tenant its burst anew.
-
-It owns, for each tenant, two windows (``tenant_accounts``): requests granted, and the needs of the
-programs begun. It relies on ``program_needs`` for what a program needs by its route, on
-``untold_grants`` for what replicas don't know, and on nodes to send each request at its moment.
-
-The fields of the log line ``quota_refused`` come from here: ``window_used`` and
-``window_capacity`` are ``used`` and ``capacity`` of ``QuotaLedger._refuse``.
-
-Times are local monotonic seconds, amounts are requests.
+In the log line ``quota_refused``, ``window_used`` and ``window_capacity`` are ``used`` and
+``capacity`` of ``QuotaLedger._refuse``. Times are local monotonic seconds, amounts are requests.
 """
 
 from collections.abc import Iterable
@@ -29,7 +22,7 @@
 from passlane.decisions.limits.allowances import AHEAD_VALID_S
 from passlane.decisions.limits.program_needs import ProgramNeeds
 from passlane.decisions.limits.tenant_accounts import TenantAccount, TenantAccounts
-from passlane.decisions.limits.untold_grants import UntoldGrants
+from passlane.decisions.limits.unreported_grants import UnreportedGrants
 from passlane.decisions.limits.usage_history import UsageHistory
 from passlane.messages.quotas import (
     QuotaAnswer,
@@ -41,63 +34,50 @@
     TenantUsage,
 )
 
-LONGEST_WAIT_S = {
+MAX_WAIT_S = {
     QuotaUse.BEGIN_PROGRAM: 0.25,
     QuotaUse.CONTINUE_PROGRAM: 0.8,
     QuotaUse.ALONE: 0.1,
 }
-"""Seconds; a request whose moment lies further ahead is refused. A program of some seconds that is
-to end within 1.3 times its own length bears a wait of 0.25 s; once under way, to be late is
-better than to be lost. Not measured; chosen."""
-SHORTEST_RETRY_S = 0.05
-"""Seconds that a refused caller is told at least: it needs about as long for a retry. Not
-measured; chosen."""
+"""Seconds; a request that would have to wait longer is refused. A running program may wait longest,
+because a refusal would waste its work."""
+MIN_RETRY_AFTER_S = 0.05
+"""Minimum retry interval of a refused request, in seconds."""
 EXCESS_SHARE = 0.5
-"""Share of the allowed excess that programs under way may use. The rest covers grants that
-were not replicated when a leader was lost, and requests that reach an engine late.
-
-With 0.75 tenants had 121 requests where 119 are allowed and 109 where 106 are, on a day with lost
-leaders, together with two faults (docs/incidents/shifted-quota-leaders.md)."""
-UNTOLD_SHARE = 0.2
-"""Share of the allowed excess that may be granted before the replicas are told of it. So two
-leaders may be lost within a window, and what they took along stays within the excess.
-
-Without a bound a leader that was cut off let 711 and 742 requests through where 570 are allowed
-(docs/incidents/shifted-quota-leaders.md); other shares were not measured."""
-FEWEST_UNTOLD = 1.0
-"""Requests that may always be untold: without an allowed excess each grant but one is told at
-once. Not measured; chosen."""
-AHEAD_SHARE = 0.5
-"""Share of the limit up to whose use requests are granted ahead. Not measured; chosen."""
-SMALLEST_AHEAD_CAPACITY = 200
-"""Requests in a window. Of smaller limits nothing is granted ahead: a third of it is never sent,
-and would be missed. Such tenants make few calls, so that asking for each costs the leader little.
-
-On a calm day 2.9% of the requests were refused with it, 4.6 and 8.1% without, together with a
-larger ``EXCESS_SHARE`` (docs/design/tenant-quotas.md); other sizes were not measured."""
-BEGIN_SHARE = 1.0
-"""New programs are refused once those begun within the window need this multiple of the limit.
-With 1.5 more were begun than the limit lets go on, and each turn of a program under way waited
-0.8 s (docs/measurements/demands.md)."""
-TRAVEL_S = 0.1
-"""Seconds by which requests differ in the time from their grant to the engine: a way between zones
-is 1.4 ms, the rest is waiting at a busy node. Windows are counted longer by it. Not measured;
-chosen."""
+"""Share of the allowed excess that running programs may use. The rest covers grants that were not
+replicated when a leader failed, and requests that reach an engine late."""
+UNREPORTED_SHARE = 0.2
+"""Share of the allowed excess that may be granted before it is reported to the replicas. The grants
+lost with two failed leaders in one window stay within the excess."""
+MIN_UNREPORTED = 1.0
+"""Requests that may be unreported even if no excess is allowed."""
+ADVANCE_SHARE = 0.5
+"""Share of the limit up to which requests are granted in advance."""
+MIN_ADVANCE_CAPACITY = 200
+"""Requests in a window; smaller limits get no advance grants, because about a third of those is
+never sent."""
+NEW_PROGRAM_FACTOR = 1.0
+"""Multiple of the limit that the programs begun within a window may be expected to need. Above 1,
+running programs have to wait."""
+DELIVERY_JITTER_S = 0.1
+"""Seconds; variation of the delay from a grant to the request's arrival at the engine, mostly the
+queueing at a busy node. Windows are extended by it."""
 
 
 class QuotaRules(msgspec.Struct, frozen=True, kw_only=True):
-    """How an operator measures limits.
+    """The operator's rules for limits.
 
     Attributes
     ----------
     window_s
-        A limit holds within any span of so many seconds.
+        Length in seconds of the sliding window to which a limit applies.
     overage
-        Share by which a limit may be exceeded.
+        Share of the limit by which it may be exceeded.
     slack
-        Requests by which it may be exceeded on top.
+        Requests by which it may be exceeded in addition.
     puts_programs_first
-        Whether new programs give way to those under way; else the order of arrival decides.
+        Whether running programs have priority over new ones; otherwise requests are granted in
+        order of arrival.
     """
 
     window_s: float = 5.0
@@ -106,25 +86,25 @@
     puts_programs_first: bool = True
 
     def capacity(self, limit: QuotaLimit) -> float:
-        """Return the requests that a limit holds within a window; at least one."""
+        """Return how many requests a limit allows within a window; at least one."""
         return max(1.0, limit.rate_per_s * self.window_s + limit.burst)
 
     def excess(self, capacity: float) -> float:
-        """Return the requests by which a limit may be exceeded within a window."""
+        """Return by how many requests a limit may be exceeded within a window."""
         return capacity * self.overage + self.slack
 
 
 class QuotaLedger:
-    """Grants and refusals of a leader; knowledge of both at its followers."""
+    """Grants or refuses draws on the leader, and tracks the replicated usage on followers."""
 
     def __init__(self, rules: QuotaRules) -> None:
         self._rules = rules
-        self._accounts = TenantAccounts(rules.window_s + TRAVEL_S)
-        self._history = UsageHistory(rules.window_s + TRAVEL_S)
+        self._accounts = TenantAccounts(rules.window_s + DELIVERY_JITTER_S)
+        self._history = UsageHistory(rules.window_s + DELIVERY_JITTER_S)
         self._needs = ProgramNeeds()
-        self._untold = UntoldGrants()
-        self._began_at = 0.0
-        self._group_began_s = 0.0
+        self._unreported = UnreportedGrants()
+        self._term_started_at = 0.0
+        self._term_started_group_s = 0.0
         self._term = -1
 
     def __len__(self) -> int:
@@ -132,130 +112,130 @@
 
     @property
     def history(self) -> UsageHistory:
-        """What replicas were told of grants; goes into the group's snapshots."""
+        """The replicated usage, for the group's snapshots."""
         return self._history
 
     def enter_term(self, term: int, now: float) -> None:
-        """Go on from what was noted as a follower, if this is another term than the last."""
+        """Rebuild the accounts from the replicated usage, if the term has changed."""
         if term == self._term:
             return
         self._term = term
         self._accounts.forget_all()
-        self._untold = UntoldGrants()
-        self._began_at, self._group_began_s = now, self._history.newest_s
+        self._unreported = UnreportedGrants()
+        self._term_started_at, self._term_started_group_s = now, self._history.newest_s
         for grant in self._history.grants(now):
-            self._accounts.of(grant.tenant).sent.add(grant.granted, grant.at)
+            self._accounts.get_or_create(grant.tenant).sent.add(grant.granted, grant.at)
 
     def note_replicated(self, usages: Iterable[TenantUsage], group_s: float) -> None:
-        """Note what a leader has granted, as of a moment on the group's clock."""
-        self._history.note(usages, group_s)
+        """Apply the usage that a leader has replicated, as of a time on the group's clock."""
+        self._history.record(usages, group_s)
 
     def group_s(self, now: float) -> float:
-        """Return the moment on the group's clock, which a leader lets go on."""
-        return self._group_began_s + now - self._began_at
+        """Return the time on the group's clock, which the leader advances."""
+        return self._term_started_group_s + now - self._term_started_at
 
     def usages_to_tell(self, now: float) -> tuple[TenantUsage, ...]:
-        """Return what was granted since the last call, for all replicas to note.
+        """Return the usage since the last call, to be replicated.
 
-        It counts as untold until ``note_told``.
+        It stays unreported until ``note_told``.
         """
-        return self._untold.take(now)
+        return self._unreported.take(now)
 
     def note_told(self, usages: Iterable[TenantUsage], *, is_told: bool) -> None:
-        """Note whether a majority of replicas holds what was to be told; else it is untold."""
-        self._untold.note_told(usages, is_told=is_told)
+        """Record whether a majority has recorded the usage; if not, it is unreported again."""
+        self._unreported.record_report(usages, is_reported=is_told)
 
     def must_tell(self, limit: QuotaLimit) -> bool:
-        """Whether so much of a tenant's grants is untold that no more may be sent before."""
-        capacity = self._rules.capacity(self._accounts.under(limit).known_limit)
-        most_untold = max(FEWEST_UNTOLD, UNTOLD_SHARE * self._rules.excess(capacity))
-        return self._untold.granted(limit.tenant) > most_untold
+        """Whether a tenant's unreported grants exceed their bound and must be reported first."""
+        capacity = self._rules.capacity(self._accounts.with_limit(limit).active_limit)
+        max_unreported = max(MIN_UNREPORTED, UNREPORTED_SHARE * self._rules.excess(capacity))
+        return self._unreported.outstanding(limit.tenant) > max_unreported
 
     def draw(self, draw: QuotaDraw, now: float) -> QuotaAnswer:
-        """Grant what is asked for, or refuse it with the time to retry."""
-        self._accounts.forget_idle(now)
-        account = self._accounts.under(draw.limit)
+        """Grant a draw, or refuse it with the time after which to retry."""
+        self._accounts.remove_idle(now)
+        account = self._accounts.with_limit(draw.limit)
         start_after_s = 0.0
         if draw.use is not None:
-            self._needs.note(draw.route, draw.use)
+            self._needs.record(draw.route, draw.use)
             start_after_s = self._wait_s(account, draw, draw.use, now)
-            if start_after_s > LONGEST_WAIT_S[draw.use]:
+            if start_after_s > MAX_WAIT_S[draw.use]:
                 return self._refuse(account, start_after_s, now)
-            self._take(account, draw, now + start_after_s)
-        return QuotaGranted(start_after_s, self._take_ahead(account, draw, now))
+            self._grant_request(account, draw, now + start_after_s)
+        return QuotaGranted(start_after_s, self._grant_in_advance(account, draw, now))
 
-    def note_sent(self, draw: QuotaDraw, granted_for: float, now: float) -> None:
-        """Note that a request is sent now only, for it had to wait for something else.
+    def note_sent(self, draw: QuotaDraw, scheduled_at: float, now: float) -> None:
+        """Record that a granted request was delayed, such as by queueing, and is sent only now.
 
-        It counts from now on, at the replicas too once they are told. Such waits are shorter than
-        a window, so it counted all the time.
+        It counts from ``now`` here, and on the replicas after the next report. Such delays are
+        shorter than a window, so the request has counted without a gap.
         """
         account = self._accounts.get(draw.limit.tenant)
-        if account is not None and now - granted_for > TRAVEL_S:
-            account.sent.move(granted_for, now)
-            self._untold.note_moved(draw.limit.tenant)
+        if account is not None and now - scheduled_at > DELIVERY_JITTER_S:
+            account.sent.move(scheduled_at, now)
+            self._unreported.record_delayed(draw.limit.tenant)
 
     def give_back(self, draw: QuotaDraw) -> None:
-        """Take back one request that was granted and will never be sent.
+        """Return the grant of one request that will not be sent.
 
-        If it was to begin a program, nothing is needed for that program either.
+        If it was to begin a program, the program's expected requests are returned too.
         """
         account = self._accounts.get(draw.limit.tenant)
         if account is None:
             return
-        account.sent.take_back(1)
+        account.sent.remove_newest(1)
         if draw.use is QuotaUse.BEGIN_PROGRAM:
-            account.programs.take_back(self._needs.of(draw.route))
-            self._needs.forget_begun(draw.route)
+            account.programs.remove_newest(self._needs.estimate(draw.route))
+            self._needs.undo_begin(draw.route)
 
     def _wait_s(self, account: TenantAccount, draw: QuotaDraw, use: QuotaUse, now: float) -> float:
-        """Return the seconds until a request's moment."""
-        capacity = self._rules.capacity(account.known_limit)
+        """Return the seconds until a request may be sent."""
+        capacity = self._rules.capacity(account.active_limit)
         if use is QuotaUse.CONTINUE_PROGRAM:
             with_excess = capacity + EXCESS_SHARE * self._rules.excess(capacity)
             return account.sent.wait_s(1, with_excess, now)
         wait_s = account.sent.wait_s(1, capacity, now)
         if use is QuotaUse.BEGIN_PROGRAM and self._rules.puts_programs_first:
-            wait_s = max(wait_s, self._wait_to_begin_s(account, draw.route, now))
+            wait_s = max(wait_s, self._program_wait_s(account, draw.route, now))
         return wait_s
 
-    def _wait_to_begin_s(self, account: TenantAccount, route: str, now: float) -> float:
-        """Return the seconds until the programs begun within the window leave room for one more.
+    def _program_wait_s(self, account: TenantAccount, route: str, now: float) -> float:
+        """Return the seconds until the expected requests of one more program fit the limit.
 
-        A program that needs more than a whole window holds may begin when it is alone.
+        A program that needs more than the whole limit may begin when no other one counts.
         """
-        capacity = self._rules.capacity(account.known_limit)
-        need = min(self._needs.of(route), capacity)
-        return account.programs.wait_s(need, BEGIN_SHARE * capacity, now)
+        capacity = self._rules.capacity(account.active_limit)
+        need = min(self._needs.estimate(route), capacity)
+        return account.programs.wait_s(need, NEW_PROGRAM_FACTOR * capacity, now)
 
-    def _take(self, account: TenantAccount, draw: QuotaDraw, at: float) -> None:
+    def _grant_request(self, account: TenantAccount, draw: QuotaDraw, at: float) -> None:
         self._grant(account, draw.limit.tenant, 1, at)
         if draw.use is QuotaUse.BEGIN_PROGRAM:
-            account.programs.add(self._needs.of(draw.route), at)
+            account.programs.add(self._needs.estimate(draw.route), at)
 
-    def _take_ahead(self, account: TenantAccount, draw: QuotaDraw, now: float) -> int:
-        """Grant requests ahead as long as enough is left for those that come without.
+    def _grant_in_advance(self, account: TenantAccount, draw: QuotaDraw, now: float) -> int:
+        """Grant requests in advance while enough capacity is left for individual draws.
 
-        They count until a window after the last moment at which they may be sent.
+        They count until one window after they expire.
         """
-        capacity = self._rules.capacity(account.known_limit)
-        if capacity < SMALLEST_AHEAD_CAPACITY:
+        capacity = self._rules.capacity(account.active_limit)
+        if capacity < MIN_ADVANCE_CAPACITY:
             return 0
-        spare = AHEAD_SHARE * capacity - account.sent.total(now)
+        spare = ADVANCE_SHARE * capacity - account.sent.total(now)
         granted = max(0, min(draw.ahead, int(spare)))
         if granted:
-            self._needs.note_calls(granted)
+            self._needs.record_advance_calls(granted)
             self._grant(account, draw.limit.tenant, granted, now + AHEAD_VALID_S)
         return granted
 
     def _grant(self, account: TenantAccount, tenant: str, count: int, at: float) -> None:
         account.sent.add(count, at)
-        self._untold.note(tenant, count, at)
+        self._unreported.record(tenant, count, at)
 
     def _refuse(self, account: TenantAccount, wait_s: float, now: float) -> QuotaRefused:
         return QuotaRefused(
-            retry_after_s=max(wait_s, SHORTEST_RETRY_S),
+            retry_after_s=max(wait_s, MIN_RETRY_AFTER_S),
             used=account.sent.total(now),
-            capacity=self._rules.capacity(account.known_limit),
-            version=account.known_limit.version,
+            capacity=self._rules.capacity(account.active_limit),
+            version=account.active_limit.version,
         )
--- a/src/passlane/decisions/limits/sliding_window.py
+++ b/src/passlane/decisions/limits/sliding_window.py
@@ -1,7 +1,7 @@
-"""Answers how much was granted within the last seconds, and from when on more may be.
+"""Sliding-window counter of grants, with the wait until more of them fit.
 
-It is for ``quota_ledger``. It owns the grants of one window, in short buckets of time, and relies
-on moments of one clock: local monotonic seconds. Amounts are requests, or needs of programs.
+``quota_ledger`` uses it. It owns the grants of one window in short time buckets. Times are local
+monotonic seconds; amounts are requests or the expected requests of programs.
 """
 
 import math
@@ -10,22 +10,21 @@
 import msgspec
 
 BUCKET_S = 0.05
-"""Seconds; grants of so short a time are counted as one, as of its end: a hundredth of the usual
-window. Not measured; chosen."""
+"""Seconds; length of a bucket, whose grants count as of its end."""
 
 
 class _Bucket(msgspec.Struct):
-    """Grants that count as made at one moment."""
+    """Grants that count as made at the time ``at``."""
 
     at: float
     count: float
 
 
 class SlidingWindow:
-    """What was granted in any span of ``span_s``; moments may lie a little ahead.
+    """Grants within the last ``span_s`` seconds.
 
-    What counts at a moment to come counts already now, so that whoever asks later does
-    not take its place.
+    A grant for a time in the future counts at once, so that a later request can't use its
+    capacity.
     """
 
     def __init__(self, span_s: float) -> None:
@@ -34,12 +33,12 @@
         self._total = 0.0
 
     def total(self, now: float) -> float:
-        """Return what was granted within the span that ends now, and ahead."""
-        self._forget_before(now - self._span_s)
+        """Return the count within the span that ends at ``now``, future grants included."""
+        self._remove_expired(now - self._span_s)
         return self._total
 
     def wait_s(self, count: float, capacity: float, now: float) -> float:
-        """Return the seconds until ``count`` more stay within ``capacity``; 0 if they do."""
+        """Return the seconds until ``count`` more fit ``capacity``; infinity if they never do."""
         excess = self.total(now) + count - capacity
         if excess <= 0:
             return 0.0
@@ -50,20 +49,20 @@
         return math.inf
 
     def add(self, count: float, at: float) -> None:
-        """Count what was granted for the moment ``at``."""
+        """Add a grant for the time ``at``."""
         at = math.ceil(at / BUCKET_S) * BUCKET_S
-        index = bisect_left(self._buckets, at, key=_moment)
+        index = bisect_left(self._buckets, at, key=_bucket_time)
         if index < len(self._buckets) and self._buckets[index].at == at:
             self._buckets[index].count += count
         else:
             self._buckets.insert(index, _Bucket(at, count))
         self._total += count
 
-    def move(self, granted_for: float, at: float) -> None:
-        """Count one that was granted for a moment as of a later one, if it still counts."""
-        granted_for = math.ceil(granted_for / BUCKET_S) * BUCKET_S
-        index = bisect_left(self._buckets, granted_for, key=_moment)
-        if index == len(self._buckets) or self._buckets[index].at != granted_for:
+    def move(self, scheduled_at: float, at: float) -> None:
+        """Move one request from its scheduled time to ``at``, if it is still in the window."""
+        scheduled_at = math.ceil(scheduled_at / BUCKET_S) * BUCKET_S
+        index = bisect_left(self._buckets, scheduled_at, key=_bucket_time)
+        if index == len(self._buckets) or self._buckets[index].at != scheduled_at:
             return
         bucket = self._buckets[index]
         if bucket.count < 1:
@@ -74,18 +73,18 @@
             del self._buckets[index]
         self.add(1, at)
 
-    def take_back(self, count: float) -> None:
-        """Count so much less, from the newest on; never less than nothing."""
+    def remove_newest(self, count: float) -> None:
+        """Subtract ``count``, beginning with the newest bucket; the total stays at least 0."""
         while count > 0 and self._buckets:
             newest = self._buckets[-1]
-            taken = min(count, newest.count)
-            newest.count -= taken
-            self._total -= taken
-            count -= taken
+            removed = min(count, newest.count)
+            newest.count -= removed
+            self._total -= removed
+            count -= removed
             if newest.count <= 0:
                 self._buckets.pop()
 
-    def _forget_before(self, horizon: float) -> None:
+    def _remove_expired(self, horizon: float) -> None:
         index = 0
         while index < len(self._buckets) and self._buckets[index].at <= horizon:
             self._total -= self._buckets[index].count
@@ -94,5 +93,5 @@
             del self._buckets[:index]
 
 
-def _moment(bucket: _Bucket) -> float:
+def _bucket_time(bucket: _Bucket) -> float:
     return bucket.at
--- a/src/passlane/decisions/limits/tenant_accounts.py
+++ b/src/passlane/decisions/limits/tenant_accounts.py
@@ -1,8 +1,7 @@
-"""What each tenant was granted within the window, and under which limit.
+"""Usage and limit of each tenant within the window.
 
-It is for ``quota_ledger``. It owns one account for each tenant with anything in its window and
-forgets the others. It relies on nodes to tell a limit with each draw: the newest version that any
-node has told counts.
+``quota_ledger`` uses it. It owns one account for each tenant with grants in its window and removes
+idle accounts. Nodes send a limit with each draw; the newest version received applies.
 
 Times are local monotonic seconds, amounts are requests.
 """
@@ -13,21 +12,20 @@
 from passlane.messages.quotas import QuotaLimit
 
 SWEEP_PERIOD_S = 10.0
-"""Seconds between two looks for tenants with nothing in their window, which are forgotten. Not
-measured; chosen."""
+"""Seconds between two sweeps that remove idle accounts."""
 
 
 class TenantAccount(msgspec.Struct):
-    """What one tenant was granted within the window.
+    """Grants and limit of one tenant.
 
     Attributes
     ----------
     sent
-        Requests granted.
+        Requests granted within the window.
     programs
-        When a program begins, all that it is expected to need.
+        Expected requests of the programs that began within the window.
     limit
-        The newest that a node has told; ``None`` while none has.
+        The newest version received; ``None`` before the first.
     """
 
     sent: SlidingWindow
@@ -35,8 +33,8 @@
     limit: QuotaLimit | None = None
 
     @property
-    def known_limit(self) -> QuotaLimit:
-        """The limit of an account on which somebody draws."""
+    def active_limit(self) -> QuotaLimit:
+        """The limit; it must have been received."""
         assert self.limit is not None
         return self.limit
 
@@ -66,27 +64,27 @@
         """Return a tenant's account; ``None`` if it has none."""
         return self._accounts.get(tenant)
 
-    def of(self, tenant: str) -> TenantAccount:
-        """Return a tenant's account, a new one if it has none."""
+    def get_or_create(self, tenant: str) -> TenantAccount:
+        """Return a tenant's account; create it if there is none."""
         account = self._accounts.get(tenant)
         if account is None:
             account = TenantAccount(SlidingWindow(self._span_s), SlidingWindow(self._span_s))
             self._accounts[tenant] = account
         return account
 
-    def under(self, limit: QuotaLimit) -> TenantAccount:
-        """Return a tenant's account under the newest limit that any node has told."""
-        account = self.of(limit.tenant)
+    def with_limit(self, limit: QuotaLimit) -> TenantAccount:
+        """Return the account of a limit's tenant, with the limit updated if it is newer."""
+        account = self.get_or_create(limit.tenant)
         if account.limit is None or limit.version > account.limit.version:
             account.limit = limit
         return account
 
     def forget_all(self) -> None:
-        """Begin without any account."""
+        """Remove all accounts."""
         self._accounts = {}
 
-    def forget_idle(self, now: float) -> None:
-        """Forget, now and then, tenants that were granted nothing within the window."""
+    def remove_idle(self, now: float) -> None:
+        """Remove the accounts without grants in the window, once per sweep period."""
         if now - self._swept_at < SWEEP_PERIOD_S:
             return
         self._swept_at = now
--- a/src/passlane/decisions/limits/usage_history.py
+++ b/src/passlane/decisions/limits/usage_history.py
@@ -1,15 +1,12 @@
-"""What every replica of the store group knows of grants, so that a new leader goes on from it.
-
-It is for ``quota_ledger``. It owns the grants of the last window that a leader told of, and relies
-on the replicated log for every replica to hear the same. Moments are seconds on the group's own
-clock unless said to be local; amounts are requests.
-
-The leader tells by replicated commands, some times a second, what it has granted since the
-last one. Moments are told on the group's own clock: each leader lets it go on from the newest
-moment that it has heard of. The time between two leaders is left out, so that clock never
-runs ahead of real time, and what a replica reads from its files, or hears from a leader
-before, counts for as long as it must, or longer. A snapshot of the group stands for the commands
-before it, so it carries what they told.
+"""Grants of the last window as replicated to every replica, from which a new leader continues.
+
+``quota_ledger`` uses it. It owns the usage reported by the replicated commands of the leader and
+carried in the group's snapshots. Times are seconds on the group's clock unless said to be local;
+amounts are requests.
+
+Each leader continues the group's clock from the newest time that it has received. The time
+without a leader is not counted, so the clock never runs ahead of real time and no grant expires
+too early.
 """
 
 from collections import deque
@@ -21,7 +18,7 @@
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """Requests that were granted to a tenant for the local moment ``at`` or before."""
+    """Requests that were granted to a tenant for the local time ``at`` or earlier."""
 
     tenant: str
     granted: int
@@ -33,72 +30,71 @@
 
     def __init__(self, span_s: float) -> None:
         self._span_s = span_s
-        self._noted: deque[NotedUsage] = deque()
+        self._entries: deque[NotedUsage] = deque()
         self._newest_s = 0.0
         self._shift_s = 0.0
 
     def __len__(self) -> int:
-        return len(self._noted)
+        return len(self._entries)
 
-    def note(self, usages: Iterable[TenantUsage], group_s: float) -> None:
-        """Note what a command tells as of ``group_s`` on the group's clock.
+    def record(self, usages: Iterable[TenantUsage], group_s: float) -> None:
+        """Record the usage that a command reports for the time ``group_s``.
 
-        A leader that has heard less than this replica lags; its moments go on from the newest
-        one here.
+        The clock of a leader that lags behind this replica is shifted to the newest time here.
         """
         self._shift_s += max(0.0, self._newest_s - (group_s + self._shift_s))
         self._newest_s = group_s + self._shift_s
         for usage in usages:
-            self._note_one(usage)
-        while self._noted and self._noted[0].group_s <= self._newest_s - self._span_s:
-            self._noted.popleft()
-
-    def _note_one(self, usage: TenantUsage) -> None:
-        """Note what is told of one tenant; what is sent only now counts from now on."""
-        found = self._take_oldest(usage.tenant, usage.moved)
-        counted = TenantUsage(usage.tenant, usage.granted + found, usage.last_in_s)
+            self._record_usage(usage)
+        while self._entries and self._entries[0].group_s <= self._newest_s - self._span_s:
+            self._entries.popleft()
+
+    def _record_usage(self, usage: TenantUsage) -> None:
+        """Record the usage of one tenant; delayed requests count from the time of the report."""
+        removed = self._remove_oldest(usage.tenant, usage.moved)
+        counted = TenantUsage(usage.tenant, usage.granted + removed, usage.last_in_s)
         if counted.granted:
-            self._noted.append(NotedUsage(counted, self._newest_s))
+            self._entries.append(NotedUsage(counted, self._newest_s))
 
-    def _take_oldest(self, tenant: str, wanted: int) -> int:
-        """Take out that many of a tenant's oldest grants; return how many were found."""
-        left = wanted
-        if not left:
+    def _remove_oldest(self, tenant: str, count: int) -> int:
+        """Remove up to ``count`` of a tenant's oldest grants; return how many were removed."""
+        remaining = count
+        if not remaining:
             return 0
         kept: deque[NotedUsage] = deque()
-        for noted in self._noted:
-            taken = min(left, noted.usage.granted) if noted.usage.tenant == tenant else 0
-            left -= taken
-            if noted.usage.granted > taken:
-                rest = msgspec.structs.replace(noted.usage, granted=noted.usage.granted - taken)
-                kept.append(NotedUsage(rest, noted.group_s) if taken else noted)
-        self._noted = kept
-        return wanted - left
+        for entry in self._entries:
+            taken = min(remaining, entry.usage.granted) if entry.usage.tenant == tenant else 0
+            remaining -= taken
+            if entry.usage.granted > taken:
+                rest = msgspec.structs.replace(entry.usage, granted=entry.usage.granted - taken)
+                kept.append(NotedUsage(rest, entry.group_s) if taken else entry)
+        self._entries = kept
+        return count - remaining
 
     def snapshot(self) -> UsageSnapshot | None:
-        """Return what is known as it goes into a snapshot; ``None`` if nothing was heard of."""
-        if not self._noted:
+        """Return the state for the group's snapshot; ``None`` if there are no grants."""
+        if not self._entries:
             return None
-        return UsageSnapshot(tuple(self._noted), self._newest_s, self._shift_s)
+        return UsageSnapshot(tuple(self._entries), self._newest_s, self._shift_s)
 
     def restore(self, snapshot: UsageSnapshot) -> None:
-        """Know what another replica knew at the same place of the log."""
-        self._noted = deque(snapshot.noted)
+        """Replace the state by that of a snapshot."""
+        self._entries = deque(snapshot.noted)
         self._newest_s = snapshot.newest_s
         self._shift_s = snapshot.shift_s
 
     @property
     def newest_s(self) -> float:
-        """The newest moment heard of, on the group's clock."""
+        """The newest time received, on the group's clock."""
         return self._newest_s
 
     def grants(self, now: float) -> list[Grant]:
-        """Return what was noted, with local moments; the newest command counts as of now."""
+        """Return the recorded grants with local times; the newest report counts as of now."""
         return [
             Grant(
-                noted.usage.tenant,
-                noted.usage.granted,
-                now - (self._newest_s - noted.group_s) + noted.usage.last_in_s,
+                entry.usage.tenant,
+                entry.usage.granted,
+                now - (self._newest_s - entry.group_s) + entry.usage.last_in_s,
             )
-            for noted in self._noted
+            for entry in self._entries
         ]
--- a/tests/decisions/limits/test_sliding_window.py
+++ b/tests/decisions/limits/test_sliding_window.py
@@ -1,4 +1,4 @@
-"""Counts of what was granted within the last seconds."""
+"""Tests of the sliding-window counter."""
 
 import math
 import random
@@ -8,7 +8,7 @@
 
 
 class SlidingWindowTest(unittest.TestCase):
-    def test_what_is_older_than_the_span_no_longer_counts(self):
+    def test_grants_older_than_the_span_do_not_count(self):
         window = SlidingWindow(5.0)
         window.add(3, 10.0)
         window.add(2, 12.0)
@@ -16,7 +16,7 @@
         self.assertEqual(window.total(15.0 + BUCKET_S), 2)
         self.assertEqual(window.total(17.0 + BUCKET_S), 0)
 
-    def test_what_is_sent_later_than_granted_counts_from_then_on(self):
+    def test_a_moved_grant_counts_from_its_new_time(self):
         window = SlidingWindow(5.0)
         window.add(2, 10.0)
         window.move(10.0, 12.0)
@@ -24,15 +24,15 @@
         self.assertEqual(window.total(15.0 + BUCKET_S), 1)
         self.assertEqual(window.total(17.0 + BUCKET_S), 0)
 
-    def test_what_counts_no_longer_is_not_moved(self):
+    def test_an_expired_grant_is_not_moved(self):
         window = SlidingWindow(5.0)
         window.move(10.0, 12.0)
         window.add(1, 10.0)
-        window.take_back(1)
+        window.remove_newest(1)
         window.move(10.0, 12.0)
         self.assertEqual(window.total(12.0), 0)
 
-    def test_the_wait_ends_when_enough_has_left_the_span(self):
+    def test_the_wait_ends_when_enough_grants_have_expired(self):
         window = SlidingWindow(5.0)
         window.add(3, 10.0)
         window.add(2, 12.0)
@@ -41,18 +41,18 @@
         self.assertAlmostEqual(window.wait_s(4, 5, 13.0), 4.0)
         self.assertEqual(window.wait_s(6, 5, 13.0), math.inf)
 
-    def test_what_counts_at_a_moment_to_come_counts_now(self):
+    def test_a_grant_for_the_future_counts_at_once(self):
         window = SlidingWindow(5.0)
         window.add(5, 10.4)
         window.add(1, 10.0)
         self.assertEqual(window.total(10.0), 6)
         self.assertEqual(window.total(15.2), 5)
 
-    def test_a_count_that_is_taken_back_never_falls_below_nothing(self):
+    def test_the_count_never_becomes_negative(self):
         window = SlidingWindow(5.0)
         window.add(1, 10.0)
         window.add(1, 11.0)
-        window.take_back(3)
+        window.remove_newest(3)
         self.assertEqual(window.total(11.0), 0)
 
     def test_memory_is_bounded_by_the_span(self):
