--- a/src/passlane/decisions/inputs/__init__.py
+++ b/src/passlane/decisions/inputs/__init__.py
@@ -1,1 +1,1 @@
-"""What the decisions are told, and what they answer, as types."""
+"""Types of the events that the decisions receive and of the instructions that they return."""
--- a/src/passlane/decisions/inputs/answer_head.py
+++ b/src/passlane/decisions/inputs/answer_head.py
@@ -1,4 +1,4 @@
-"""The head of a back end's answer, as the relay reads it from the wire."""
+"""Status and headers of a back end's response, as parsed by the relay."""
 
 import enum
 
@@ -8,27 +8,27 @@
 
 
 class Refusal(enum.StrEnum):
-    """How a back end says that it did not run a request."""
+    """Reasons that a back end gives for not running a request."""
 
     NOT_EXECUTED = "not_executed"
-    """It is full, or the deadline has passed in its queue."""
+    """The back end is full, or the deadline passed in its queue."""
     WRONG_INSTANCE = "wrong_instance"
-    """Another instance has the address now."""
+    """Another instance now uses the address."""
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
-    """Status and headers of a back end's answer.
+    """Status and headers of a back end's response.
 
     Attributes
     ----------
     refusal
-        Set if the answer proves that the request did not run.
+        Set if the response proves that the request did not run.
     is_authentic
-        Whether the answer bears the marks of a whole answer to this very request.
+        Whether the headers identify this as the complete response to this request.
     headers
-        Headers that are passed on to the caller.
+        Headers that are forwarded to the caller.
     length
-        Length of the body in bytes, if it was told.
+        Length of the body in bytes, if it was declared.
     """
 
     status: int
--- a/src/passlane/decisions/inputs/call_events.py
+++ b/src/passlane/decisions/inputs/call_events.py
@@ -1,9 +1,8 @@
-"""Events that a node's scheduler is told of.
+"""Events of a node's call scheduler.
 
 The scheduler is a plain state machine: ``Scheduler.handle(event, now)`` takes one event
 and the local monotonic time in seconds and returns instructions. It does no I/O,
-reads no clock and draws no random numbers of its own (it is given a seeded
-``random.Random``).
+reads no clock and uses only the seeded ``random.Random`` that it was created with.
 """
 
 from dataclasses import dataclass
@@ -22,17 +21,17 @@
     prompt_tokens
         Estimated length of history and new messages together, in tokens.
     max_tokens
-        Most tokens that may be generated.
+        Maximum tokens that may be generated.
     deadline
-        Local monotonic time in seconds by which the caller gives up.
+        Local monotonic time in seconds at which the caller times out.
     service_class
-        Class that the policy gave: 0 is served first.
+        Class assigned by the policy; 0 is served first.
     weight
-        Share of the tenant among others of the same class; more is more.
+        Relative share of the tenant among others of the same class.
     excluded
-        Engines that must not be chosen (already failed for this call).
+        Engines that must not be chosen, because they failed for this call.
     is_sub_agent
-        Whether the program was started by another, which waits for it.
+        Whether the program was started by another program that waits for it.
     """
 
     call_id: CallId
@@ -59,8 +58,8 @@
 class CallEnded:
     """A started call ended at its engine.
 
-    ``succeeded`` is false when the engine failed, which counts against its breaker.
-    ``prompt_tokens``, ``cached_tokens`` and ``generated_tokens`` are the engine's figures.
+    ``succeeded`` is false when the engine failed, which its circuit breaker counts.
+    ``prompt_tokens``, ``cached_tokens`` and ``generated_tokens`` are reported by the engine.
     """
 
     call_id: CallId
@@ -72,14 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallWithdrawn:
-    """The caller gave up before the call ended; queued or running."""
+    """The caller abandoned a queued or running call."""
 
     call_id: CallId
 
 
 @dataclass(frozen=True, slots=True)
 class ProgramPaused:
-    """A program went to a tool; ``expected_s`` is the usual time until it returns."""
+    """A program started a tool call; ``expected_s`` is the usual time until it returns."""
 
     program_id: ProgramId
     expected_s: float
@@ -87,35 +86,35 @@
 
 @dataclass(frozen=True, slots=True)
 class ProgramEnded:
-    """A program ended; the scheduler forgets it."""
+    """A program ended; the scheduler removes its state."""
 
     program_id: ProgramId
 
 
 @dataclass(frozen=True, slots=True)
 class EnginesChanged:
-    """The engines in the configuration in force; those missing are gone."""
+    """The engines of the current configuration; those missing were removed."""
 
     engines: dict[EngineId, EngineBody]
 
 
 @dataclass(frozen=True, slots=True)
 class EnginesLeaving:
-    """Engines that are leaving or drained: they get no new work from now on."""
+    """Engines that are leaving or draining; they get no new work."""
 
     engine_ids: frozenset[EngineId]
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReported:
-    """A load report, which lags by ``load.age_s``."""
+    """A load report that is ``load.age_s`` old."""
 
     load: EngineLoad
 
 
 @dataclass(frozen=True, slots=True)
 class CacheEventsReported:
-    """Cache events of an engine; late and perhaps with gaps."""
+    """Cache events of an engine; they may be delayed and have gaps."""
 
     engine_id: EngineId
     events: CacheEvents
@@ -123,7 +122,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheSnapshotReported:
-    """The whole cache of an engine, as asked for after a gap."""
+    """The whole cache of an engine, requested after a gap in its events."""
 
     engine_id: EngineId
     snapshot: CacheSnapshot
@@ -138,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeAdvanced:
-    """Time went on; queued calls may have passed their deadline."""
+    """Time has advanced; queued calls may have reached their deadline."""
 
 
 Event = (
--- a/src/passlane/decisions/inputs/call_instructions.py
+++ b/src/passlane/decisions/inputs/call_instructions.py
@@ -1,4 +1,4 @@
-"""Instructions that a node's scheduler gives to its shell."""
+"""Instructions that a node's call scheduler returns for the node to carry out."""
 
 from dataclasses import dataclass
 
@@ -10,8 +10,8 @@
 class StartCall:
     """Send the call to an engine now.
 
-    ``priority`` is passed to the engine (lower is more urgent). ``reason`` says in a few
-    words why this engine and this moment, for ``passlane policy explain``.
+    ``priority`` is passed to the engine (lower is more urgent). ``reason`` states briefly why
+    the call starts now and at this engine, for ``passlane policy explain``.
     """
 
     call_id: CallId
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """Answer the call at once; it has not run."""
+    """Refuse the call; it has not run."""
 
     call_id: CallId
     code: ErrorCode
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseCache:
-    """Order an engine to drop what it holds for a program."""
+    """Order an engine to drop the cache of a program."""
 
     program_id: ProgramId
     engine_id: EngineId
@@ -49,21 +49,21 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchEngines:
-    """The engines whose load and cache events the node should poll from now on."""
+    """The engines whose load and cache events the node should poll."""
 
     engine_ids: frozenset[EngineId]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestCacheSnapshot:
-    """Cache events were missed; fetch the engine's whole cache."""
+    """Fetch the engine's whole cache, because cache events were missed."""
 
     engine_id: EngineId
 
 
 @dataclass(frozen=True, slots=True)
 class WakeAt:
-    """Send ``TimeAdvanced`` at this local monotonic time in seconds, or earlier."""
+    """Send ``TimeAdvanced`` no later than this local monotonic time in seconds."""
 
     time: float
 
--- a/src/passlane/decisions/inputs/call_scheduler_config.py
+++ b/src/passlane/decisions/inputs/call_scheduler_config.py
@@ -1,11 +1,11 @@
-"""Constants of the scheduler, in one place; units stand in the field names."""
+"""Parameters of the call scheduler, with units in the field names."""
 
 import enum
 from dataclasses import dataclass, field
 
 
 class Ordering(enum.StrEnum):
-    """How waiting calls are ordered: by the rules of ``queue``, or just by arrival."""
+    """Order of waiting calls: by the rules of ``QueueConfig``, or by arrival only."""
 
     PROGRAMS = "programs"
     ARRIVAL = "arrival"
@@ -18,20 +18,20 @@
     Attributes
     ----------
     ordering
-        Rules of the order; by arrival is there to compare with.
+        Rules of the order; order of arrival serves as a baseline.
     max_calls
-        Most calls that wait for one model at this node; the next is refused at once.
+        Maximum calls that wait for one model at this node; further ones are refused.
     class_step_s
         A call that has waited this long per class above 0 is served with class 0.
     ageing_tokens_per_s
-        Attained service, in tokens, that one second of waiting outweighs.
+        Attained service, in tokens, that one second of waiting compensates.
     max_attained_tokens
-        Attained service counts up to this many tokens, which bounds starvation.
+        Cap on the attained service that counts, which bounds starvation.
     urgent_s
-        A call goes to the front of its tenant's calls when its deadline is this near.
+        A call moves to the front of its tenant's calls when its deadline is this near.
     lookahead, lane_lookahead
-        How many calls that wait for a better engine may be passed over in one round, in
-        all and of one lane.
+        How many calls that wait for a better engine may be skipped in one round, in
+        total and per lane.
     """
 
     ordering: Ordering = Ordering.PROGRAMS
@@ -45,34 +45,34 @@
 
     @property
     def starvation_bound_s(self) -> float:
-        """Seconds after which no younger call of the same tenant and class goes ahead."""
+        """Seconds after which no later call of the same tenant and class is served first."""
         return self.max_attained_tokens / self.ageing_tokens_per_s
 
 
 @dataclass(frozen=True, slots=True)
 class CrowdingConfig:
-    """When calls wait so that programs under way are not harmed.
+    """When calls of heavy tenants wait, to protect the running programs of others.
 
     Attributes
     ----------
     near_heaviest
         A tenant's use is heavy above the mean of all active tenants, if it is also more
-        than this share of what the heaviest tenant uses.
+        than this share of the heaviest tenant's use.
     tolerance, excessive_share
-        A tenant's use is excessive above this many times the mean, if its running calls
+        A tenant's use is excessive above this multiple of the mean, if its running calls
         fill more than this share of all batches or its programs that of all caches.
     min_running, min_programs
-        Fewer running calls, or programs under way, than this are never heavy use.
+        Use with fewer running calls, or fewer open programs, is never heavy.
     active_s
-        A tenant counts among those that share for this long after its last call.
+        A tenant is active for this long after its last call.
     min_residence_s
-        A new program of a tenant with heavy use waits while its prompt would push out
+        A new program of a tenant with heavy use waits while its prompt would evict
         prefixes used this recently.
     batch_fraction, free_cache_fraction
         Calls of a tenant with excessive use start only at engines whose batch is filled
         less than this, and its new programs leave this share of the cache free.
     enabled
-        Whether any call waits for these reasons.
+        Whether calls wait for these reasons at all.
     """
 
     near_heaviest: float = 0.5
@@ -89,22 +89,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineConfig:
-    """What is assumed of an engine until it was measured.
+    """Assumed performance of an engine before its own measurements are available.
 
     Attributes
     ----------
     step_s
         Duration of one decoding step with an empty batch.
     step_per_running_s
-        What each running call adds to a step.
+        Additional step time per running call.
     prefill_tokens_per_s
-        Prompt tokens computed in a second.
+        Prompt tokens computed per second.
     import_tokens_per_s
-        Cached tokens moved between engines in a second.
+        Cached tokens transferred between engines per second.
     mean_generated_tokens
-        Length of an answer until answers were seen.
+        Initial estimate of the generated tokens per call.
     slots_over_batch
-        Calls that may wait at an engine beyond its batch.
+        Calls that may queue at an engine beyond its batch.
     """
 
     step_s: float = 0.003
@@ -124,14 +124,14 @@
     other_zone_s
         Cost of an engine in another zone.
     eviction_weight
-        Share of the prefill time of evicted tokens that is charged to the new call.
+        Weight of the prefill time of the tokens that the call would evict.
     neighbour_weight
-        Share of the delay that a prefill causes to the running calls that is charged.
+        Weight of the delay that the prefill causes to the running calls.
     stay_bonus_s
-        A call leaves the engine that holds its prefix only for a gain above this.
+        Minimum gain for which a call leaves the engine that caches its prefix.
     jitter_s
-        Random part, so that several nodes with the same lagging view do not all choose
-        the same engine.
+        Random part, so that nodes with the same stale view do not all choose the same
+        engine.
     """
 
     other_zone_s: float = 0.003
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BreakerConfig:
-    """When an engine that fails is left alone, and for how long."""
+    """When the circuit breaker of a failing engine opens, and for how long."""
 
     failures_to_open: int = 3
     open_s: float = 1.0
@@ -157,17 +157,17 @@
     Attributes
     ----------
     return_quantile, margin
-        A program is overdue when it has paused ``margin`` times as long as this share
-        of the pauses of its kind that ended with a return.
+        A program is overdue when its pause exceeds ``margin`` times this quantile of the
+        pauses of its kind that ended with a return.
     min_overdue_s
-        But not before it has paused this long.
+        Minimum pause before a program is overdue.
     overdue_factor, min_unlearned_s
-        Used in place of the above until enough pauses were seen: this many times the
-        expected pause, but not before the given time.
+        Used instead until enough pauses were recorded: this multiple of the expected
+        pause, and the minimum.
     pressure
-        Share of an engine's cache in use above which the margin is given up.
+        Share of an engine's cache in use above which no margin applies.
     enabled
-        Whether anything is released or moved before a program's end.
+        Whether caches are released or moved before a program's end.
     """
 
     return_quantile: float = 0.99
@@ -181,16 +181,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SchedulerConfig:
-    """All constants of a scheduler.
+    """All parameters of a call scheduler.
 
     Attributes
     ----------
     watched_engines_per_model
         Engines that this node watches, and places calls on, for each model.
     report_timeout_s
-        A load report older than this says nothing any more.
+        A load report older than this is stale and ignored.
     max_programs
-        Programs remembered; the longest idle are forgotten first.
+        Maximum programs tracked; the longest idle are evicted first.
     """
 
     queue: QueueConfig = field(default_factory=QueueConfig)
--- a/src/passlane/decisions/inputs/relayed_call.py
+++ b/src/passlane/decisions/inputs/relayed_call.py
@@ -1,17 +1,17 @@
-"""A request as the relay sees it, whoever's HTTP it came in by."""
+"""A request as the relay handles it, independent of the HTTP format of its caller."""
 
 import msgspec
 
 
 class Header(msgspec.Struct, frozen=True):
-    """One header that is passed on as it came."""
+    """One header that is forwarded unchanged."""
 
     name: str
     value: str
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """A part of a prompt that other prompts may begin with too."""
+    """A part of a prompt that other prompts may share as a prefix."""
 
     part_id: str
     tokens: int
@@ -23,9 +23,9 @@
     Attributes
     ----------
     deadline_at
-        Local time at which the program should be over; ``None`` if unknown.
+        Local time by which the program should end; ``None`` if unknown.
     budget_tokens
-        Tokens that all turns of the program may generate; ``None`` for no limit.
+        Maximum tokens that all turns of the program may generate; ``None`` for no limit.
     """
 
     program_id: str
@@ -34,7 +34,7 @@
 
 
 class RelayedCall(msgspec.Struct, frozen=True):
-    """A whole request to be passed on to a back end.
+    """A complete request to be forwarded to a back end.
 
     Attributes
     ----------
@@ -43,19 +43,19 @@
     target
         Path with query, unchanged.
     headers
-        Headers that are passed on as they came.
+        Headers that are forwarded unchanged.
     dropped_headers
-        Names of headers that the caller must not set and that are not passed on.
+        Names of headers that callers must not set and that are not forwarded.
     key_digests
-        Digests of the API keys that it carries, see ``routes.tenants.digest_of_key``.
+        Digests of the API keys in the request, see ``routes.tenants.digest_of_key``.
     arrived_at, deadline_at
         Local times of the request's arrival and of the caller's deadline.
     most_tokens
-        The most tokens that a model may generate.
+        Maximum tokens that the model may generate.
     previous_turn
-        The turn that this one goes on from; ``None`` for a first turn.
+        The turn that this one continues; ``None`` for a first turn.
     last_event_id
-        Where the caller has got to in a stream that it takes up again.
+        Last event that the caller received of a stream that it resumes.
     """
 
     request_id: str
--- a/src/passlane/decisions/inputs/turn_events.py
+++ b/src/passlane/decisions/inputs/turn_events.py
@@ -1,9 +1,8 @@
-"""What the scheduler of turns is told, and what it decides, as types.
+"""Events and decisions of the turn scheduler.
 
-They are for the scheduler, which is a plain state machine: each method takes one event and the
-local monotonic time in seconds, does no I/O, reads no clock and draws no random numbers. They
-rest on the messages of turns (``messages.placement``), own no state, and are never sent
-themselves. ``turns.decision_log`` writes the log lines of the decisions.
+The scheduler is a plain state machine: each method takes one event and the local monotonic time in
+seconds, does no I/O, reads no clock and uses no random numbers. The types use the messages of turns
+(``messages.placement``) and are never sent themselves. ``turns.decision_log`` logs the decisions.
 
 Times are in seconds.
 """
@@ -14,16 +13,16 @@
 
 
 class TurnAsked(msgspec.Struct, frozen=True, kw_only=True):
-    """A turn wants a slot of an engine.
+    """A turn requests a slot of an engine.
 
     Attributes
     ----------
     is_first
-        Whether its program is new.
+        Whether it is the first turn of its program.
     used_last
         The engine that its program used last; empty if unknown.
     most_tokens
-        The most tokens that it may generate.
+        Maximum tokens that it may generate.
     """
 
     attempt_id: str
@@ -35,14 +34,14 @@
 
 
 class TurnEnded(msgspec.Struct, frozen=True, kw_only=True):
-    """A turn is over or was given up, whether it had a slot or still waited.
+    """A turn ended or was abandoned, whether it had a slot or was waiting.
 
     Attributes
     ----------
     served_by
-        The engine that answered last; empty if none did.
+        The engine that responded last; empty if none did.
     outcome
-        How it went; ``None`` if nothing is known.
+        Durations and failures; ``None`` if unknown.
     """
 
     attempt_id: str
@@ -56,15 +55,15 @@
     Attributes
     ----------
     engine
-        Empty if the node is to choose one: the leader is new, or no engine is listed.
+        Empty if the node must choose one: the leader is new, or no engine is listed.
     waited_s
-        Since it asked; told to the node as ``place_wait_s``.
+        Time since the request; reported to the node as ``place_wait_s``.
     expected_s
-        Until its end, as expected (``turn_placement.EndEstimate``).
+        Expected time until its end (``turn_placement.EndEstimate``).
     running
-        Turns at the engine before it.
+        Turns that were running at the engine before.
     waiting
-        Turns of its service that wait still.
+        Turns of its service that are still waiting.
     """
 
     attempt_id: str
@@ -76,21 +75,21 @@
 
 
 class TurnNotPlaced(msgspec.Struct, frozen=True, kw_only=True):
-    """Refuse a turn: there is no room for it now; logged as ``program_refused``.
+    """Refuse a turn because of missing capacity; logged as ``program_refused``.
 
-    It is the first of its program, or its program loops. What the figures rest on:
-    ``program_admission.ExpectedStart``.
+    Only the first turn of a program and turns of looping programs are refused. The values come
+    from ``program_admission.ExpectedStart``.
 
     Attributes
     ----------
     retry_after_s
-        Until there is expected to be.
+        Time until capacity is expected.
     waiting
-        Programs before it, those that were told to retry included.
+        Programs ahead of it, including those that were refused and are to retry.
     busy_share
-        Taken share of the slots of its service.
+        Share of the service's slots that are in use.
     waited_s
-        Since it asked.
+        Time since the request.
     """
 
     attempt_id: str
@@ -101,10 +100,10 @@
 
 
 class TurnWithdrawn(msgspec.Struct, frozen=True):
-    """Nobody waits any longer for a turn that had no slot; logged as ``turn_withdrawn``.
+    """A waiting turn left the queue without a slot; logged as ``turn_withdrawn``.
 
-    Its node has settled it, its caller has gone, its reservation was refused, or this replica does
-    not lead any more or leads anew.
+    Its node has settled it, its caller disconnected, its reservation was refused, or this replica
+    lost the leadership or starts another term.
     """
 
     attempt_id: str
