--- a/src/passlane/decisions/scheduling/__init__.py
+++ b/src/passlane/decisions/scheduling/__init__.py
@@ -1,1 +1,1 @@
-"""The two schedulers: of turns over all nodes, and of the calls that one node leads."""
+"""Schedulers: of turns over all nodes, and of the calls that one node leads."""
--- a/src/passlane/decisions/scheduling/cache_retention.py
+++ b/src/passlane/decisions/scheduling/cache_retention.py
@@ -1,4 +1,7 @@
-"""Which caches of paused programs are released, or moved off a leaving engine."""
+"""Decides which caches of paused programs are released, or moved from a leaving engine.
+
+It owns the times at which paused programs become overdue and the statistics of their pauses.
+"""
 
 import heapq
 from collections.abc import Iterable
@@ -13,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheMove:
-    """A program's cache that is better imported elsewhere than computed again."""
+    """Import of a program's cache by another engine."""
 
     program_id: ProgramId
     destination: EngineId
@@ -22,8 +25,8 @@
 class CacheRetention:
     """Weighs the return of paused programs against the pressure on an engine's cache.
 
-    Each pause gets a time at which the program is overdue: a margin above the longest
-    usual pause of its kind, without the margin if its engine's cache is nearly full.
+    Each pause has a time at which the program becomes overdue: a high quantile of the pauses
+    of its kind plus a margin, without the margin if its engine's cache is nearly full.
     """
 
     def __init__(self, config: SchedulerConfig) -> None:
@@ -37,7 +40,7 @@
         progress: ProgramProgress,
         engine: EngineView | None,
     ) -> None:
-        """Note that a program went to a tool or that its caller went away."""
+        """Record that a program started a tool call or that its caller disconnected."""
         if not self._config.retention.enabled or progress.paused_at is None:
             return
         under_pressure = (
@@ -48,16 +51,16 @@
         heapq.heappush(self._overdue_at, entry)
 
     def resume(self, progress: ProgramProgress, now: float) -> None:
-        """Note that a paused program made its next call."""
+        """Record that a paused program made its next call."""
         if progress.paused_at is not None:
             self._pauses.learn(progress.expected_s, now - progress.paused_at)
 
     def next_overdue(self) -> float | None:
-        """Return when the next paused program may be overdue."""
+        """Return the earliest time at which a paused program may become overdue."""
         return self._overdue_at[0][0] if self._overdue_at else None
 
     def take_overdue(self, programs: AttainedService, now: float) -> list[ProgramId]:
-        """Return the programs that are overdue since the last time."""
+        """Remove and return the programs that have become overdue."""
         overdue = []
         while self._overdue_at and self._overdue_at[0][0] <= now:
             _, paused_at, program_id = heapq.heappop(self._overdue_at)
@@ -73,14 +76,14 @@
         programs: AttainedService,
         now: float,
     ) -> list[CacheMove]:
-        """Return where the caches of a leaving engine should be imported.
+        """Return the caches of a leaving engine to move, with their destinations.
 
         A cache is moved when the import takes less time than computing it again, the
-        program is expected back, and another engine of the model has room for it.
+        program is expected to return, and another engine of the model has free capacity.
         """
         if not self._config.retention.enabled:
             return []
-        rooms = {
+        free_tokens = {
             engine.engine_id: engine.body.cache_tokens - engine.cached_tokens()
             for engine in others
             if not engine.leaving
@@ -88,18 +91,18 @@
             and engine.breaker.allows(now)
         }
         moves = []
-        for program_id in self._soonest_first(leaving, programs, now):
+        for program_id in self._by_expected_return(leaving, programs, now):
             tokens = leaving.cache.tokens_of(program_id)
-            if not rooms or not self._is_import_faster(tokens):
+            if not free_tokens or not self._is_import_faster(tokens):
                 continue
-            destination = max(rooms, key=lambda engine_id: rooms[engine_id])
-            if rooms[destination] < tokens:
+            destination = max(free_tokens, key=lambda engine_id: free_tokens[engine_id])
+            if free_tokens[destination] < tokens:
                 continue
-            rooms[destination] -= tokens
+            free_tokens[destination] -= tokens
             moves.append(CacheMove(program_id, destination))
         return moves
 
-    def _soonest_first(
+    def _by_expected_return(
         self, leaving: EngineView, programs: AttainedService, now: float
     ) -> list[ProgramId]:
         returning: list[tuple[float, ProgramId]] = []
@@ -107,8 +110,8 @@
             progress = programs.get(program_id)
             if progress is None:
                 continue
-            back_at = now if progress.paused_at is None else progress.paused_at
-            returning.append((back_at + progress.expected_s, program_id))
+            idle_since = now if progress.paused_at is None else progress.paused_at
+            returning.append((idle_since + progress.expected_s, program_id))
         return [program_id for _, program_id in sorted(returning)]
 
     def _is_import_faster(self, tokens: int) -> bool:
--- a/src/passlane/decisions/scheduling/call_scheduler.py
+++ b/src/passlane/decisions/scheduling/call_scheduler.py
@@ -1,8 +1,8 @@
-"""The scheduler of one node: decides when and where each model call runs.
+"""The call scheduler of one node: decides when and where each model call runs.
 
-A plain state machine: an event and the local monotonic time go in, instructions come
-out. Calls wait in one queue for each model and are bound to an engine only when one has
-a free slot, so that a late decision uses the newest view.
+A plain state machine: it takes an event and the local monotonic time and returns instructions.
+Calls wait in one queue per model and are bound to an engine only when one has a free slot, so
+that the decision uses the newest view of the engines.
 """
 
 import math
@@ -27,12 +27,12 @@
 from passlane.errors import ErrorCode
 from passlane.identifiers import CallId, EngineId, ProgramId
 
-BATCH_PRIORITY_STEP = 10
+PRIORITY_STEP_PER_CLASS = 10
 
 
 @dataclass(frozen=True, slots=True)
 class _StartedCall:
-    """A call of this node that is at an engine."""
+    """A call of this node that is running at an engine."""
 
     call: events.CallArrived
     engine_id: EngineId
@@ -44,16 +44,16 @@
     Parameters
     ----------
     own_zone
-        Zone of the node; engines there are nearer.
+        Zone of the node; engines in the same zone cost less.
     random
         Seeded source for tie-breaking between equal engines.
     config
-        Constants; see ``passlane.decisions.inputs.call_scheduler_config``.
+        Parameters; see ``passlane.decisions.inputs.call_scheduler_config``.
     node_key
-        The node's name, which decides what subset of a large fleet it watches; drawn
-        from ``random`` if empty.
+        The node's name, which determines the subset of a large fleet that it watches;
+        drawn from ``random`` if empty.
     placement
-        Other rules of placement, to compare with.
+        Replaces the default placement.
     """
 
     def __init__(
@@ -97,28 +97,28 @@
 
     @property
     def queued_calls(self) -> int:
-        """Calls that wait at this node, over all models."""
+        """Number of calls that wait at this node, over all models."""
         return len(self._queues)
 
     @property
     def running_calls(self) -> int:
-        """Calls of this node that are at engines."""
+        """Number of calls of this node that are running at engines."""
         return len(self._running)
 
     def in_flight_at(self, engine_id: EngineId) -> int:
-        """Return how many calls of this node are at an engine."""
+        """Return how many calls of this node are running at an engine."""
         engine = self._engines.get(engine_id)
         return 0 if engine is None else len(engine.running)
 
     def handle(self, event: events.Event, now: float) -> list[instructions.Instruction]:
-        """Take in one event at local monotonic time ``now`` and return what to do."""
+        """Apply one event at the local monotonic time ``now`` and return the instructions."""
         self._output = []
         self._recheck_at = math.inf
         self._refuse_expired(now)
         self._release_overdue(now)
         self._handlers[type(event)](event, now)
         self._dispatch(now)
-        self._ask_for_wake_up(now)
+        self._request_wake_up(now)
         return self._output
 
     # Calls.
@@ -152,10 +152,10 @@
         self._shares.record_arrival(event.tenant_id, event.weight, now)
 
     def _call_first_token(self, event: events.CallFirstToken, now: float) -> None:
-        """Nothing to decide: the call's whole duration is learned from at its end."""
+        """Do nothing: the call's duration is recorded at its end."""
 
     def _call_ended(self, event: events.CallEnded, now: float) -> None:
-        running = self._take_running(event.call_id, now)
+        running = self._remove_running(event.call_id, now)
         if running is None:
             return
         call, engine_id = running.call, running.engine_id
@@ -178,7 +178,7 @@
     def _call_withdrawn(self, event: events.CallWithdrawn, now: float) -> None:
         if self._queues.remove(event.call_id):
             return
-        running = self._take_running(event.call_id, now)
+        running = self._remove_running(event.call_id, now)
         if running is None:
             return
         engine = self._engines.get(running.engine_id)
@@ -186,8 +186,8 @@
             engine.record_end(event.call_id, now)
             engine.breaker.record_abandoned()
 
-    def _take_running(self, call_id: CallId, now: float) -> _StartedCall | None:
-        """Count a call as running no longer; return it if it did run."""
+    def _remove_running(self, call_id: CallId, now: float) -> _StartedCall | None:
+        """Remove and return a running call; ``None`` if it is not running."""
         running = self._running.pop(call_id, None)
         if running is None:
             return None
@@ -212,7 +212,7 @@
         self._release_everywhere(event.program_id, now)
 
     def _release_overdue(self, now: float) -> None:
-        """Release the caches of programs that most likely never return."""
+        """Release the caches of programs that are unlikely to return."""
         for program_id in self._retention.take_overdue(self._programs, now):
             self._programs.close(program_id)
             self._release_everywhere(program_id, now)
@@ -271,7 +271,7 @@
             engine.breaker.record_failure(now)
 
     def _time_advanced(self, event: events.TimeAdvanced, now: float) -> None:
-        """Nothing more to do: deadlines and overdue programs are looked at with each event."""
+        """Do nothing more: each event checks deadlines and overdue programs."""
 
     # Dispatch.
 
@@ -281,7 +281,7 @@
                 pass
 
     def _start_one(self, model: str, queue: CallQueue, now: float) -> bool:
-        """Start the first waiting call for which now is the time; return whether one was."""
+        """Start the first waiting call that may start now; return whether there was one."""
         if not self._engines.has_free_slot(model, now):
             return False
         crowding = self._crowding.assess(model, now)
@@ -300,10 +300,10 @@
         return False
 
     def _choose(self, queued: QueuedCall, crowding: Crowding | None, now: float) -> Estimate | None:
-        """Return the engine to start the call on now, or ``None`` if it should wait.
+        """Return the engine on which to start the call now, or ``None`` if it should wait.
 
-        It waits for a full engine that is still cheaper than a free one, because its
-        prefix is there, but not longer than computing the prefix again would take.
+        It waits for a full engine that caches its prefix and costs less than a free one, but
+        no longer than the difference of the costs.
         """
         estimates = self._placement.estimates(queued.call, self._engines, now)
         best = next(
@@ -346,7 +346,7 @@
             instructions.StartCall(
                 call_id=call.call_id,
                 engine_id=engine.engine_id,
-                priority=call.service_class * BATCH_PRIORITY_STEP,
+                priority=call.service_class * PRIORITY_STEP_PER_CLASS,
                 reason=self._reason(queued, estimate, progress.attained_tokens, now),
             )
         )
@@ -386,11 +386,11 @@
         for queued in self._queues.take_unserved(now):
             self._refuse(queued.call, ErrorCode.UNKNOWN_MODEL, "no engine serves the model", None)
 
-    def _ask_for_wake_up(self, now: float) -> None:
+    def _request_wake_up(self, now: float) -> None:
         times = [self._queues.next_deadline(), self._retention.next_overdue()]
         if len(self._queues) > 0:
             times += [engine.breaker.opens_next_at(now) for engine in self._engines]
             times.append(self._recheck_at)
-        coming = [time for time in times if time is not None and time < math.inf]
-        if coming:
-            self._output.append(instructions.WakeAt(min(coming)))
+        finite = [time for time in times if time is not None and time < math.inf]
+        if finite:
+            self._output.append(instructions.WakeAt(min(finite)))
