--- a/src/passlane/decisions/scheduling/service_turns.py
+++ b/src/passlane/decisions/scheduling/service_turns.py
@@ -1,8 +1,8 @@
-"""The turns of one service that wait, and what is learnt of the service.
+"""The waiting turns and duration estimates of one service.
 
-It is for the scheduler of turns and owns the three parts that it keeps for each service: the
-queue, the admission of new programs and the durations of turns. A turn that leaves the queue,
-for whatever reason, is no longer counted before new programs; that is held here.
+The turn scheduler uses it. It owns the queue, the admission of new programs and the durations of
+turns, and ensures that a turn that leaves the queue for any reason is no longer counted ahead of
+new programs.
 
 Times are local monotonic seconds.
 """
@@ -15,12 +15,12 @@
 
 
 class ServiceTurns(msgspec.Struct):
-    """The waiting turns and learnt figures of one service.
+    """The waiting turns and duration estimates of one service.
 
     Attributes
     ----------
     name
-        Of the service, in the configuration.
+        Name of the service in the configuration.
     """
 
     name: str
@@ -28,27 +28,27 @@
     admission: ProgramAdmission = msgspec.field(default_factory=ProgramAdmission)
     durations: TurnDurations = msgspec.field(default_factory=TurnDurations)
 
-    def hold(self, turn: WaitingTurn) -> None:
-        """Let a turn wait for a slot."""
+    def enqueue(self, turn: WaitingTurn) -> None:
+        """Add a turn to the queue for a slot."""
         self.queue.add(turn)
         if turn.is_new_program:
             self.admission.note_waits(turn.asked, turn.asked_at)
 
-    def withdraw(self, attempt_id: str) -> bool:
-        """Take a turn out of the queue; return whether it was there."""
+    def dequeue(self, attempt_id: str) -> bool:
+        """Remove a turn from the queue; return whether it was queued."""
         turn = self.queue.remove(attempt_id)
         if turn is not None:
-            self.note_left(turn)
+            self.record_dequeued(turn)
         return turn is not None
 
-    def take_all(self, now: float) -> list[WaitingTurn]:
-        """Take out and return all turns that wait, in order."""
+    def dequeue_all(self, now: float) -> list[WaitingTurn]:
+        """Remove and return all waiting turns, in order."""
         turns = list(self.queue.in_order(now))
         for turn in turns:
-            self.withdraw(turn.attempt_id)
+            self.dequeue(turn.attempt_id)
         return turns
 
-    def note_left(self, turn: WaitingTurn) -> None:
-        """Count a turn that was taken out of the queue no longer."""
+    def record_dequeued(self, turn: WaitingTurn) -> None:
+        """Stop counting a turn that was removed from the queue."""
         if turn.is_new_program:
             self.admission.note_waits_no_longer(turn.asked.program_id)
--- a/src/passlane/decisions/scheduling/turn_placing.py
+++ b/src/passlane/decisions/scheduling/slot_assigner.py
@@ -1,9 +1,8 @@
-"""Gives slots of engines to turns, in order; the part of the scheduler of turns that places.
+"""Assigns free engine slots to turns in order of priority.
 
-It answers which turn gets a slot that is free, and until when the turn has it. It owns no state
-of its own: slots stand in ``EngineTable``, waiting turns in ``ServiceTurns``, programs in
-``ProgramTable``. It relies on ``turn_queue`` for who goes first and on ``turn_placement`` for
-where a turn goes.
+It is a part of the turn scheduler and decides which turn gets a free slot, and when the slot
+expires. It owns no state: ``EngineTable`` has the slots, ``ServiceTurns`` the waiting turns and
+``ProgramTable`` the programs. ``turn_queue`` defines the order and ``turn_placement`` the engine.
 
 Times are local monotonic seconds.
 """
@@ -17,21 +16,21 @@
 from passlane.decisions.scheduling.service_turns import ServiceTurns
 
 SLOT_TIME_FACTOR = 4.0
-"""A slot is given back after this multiple of the expected time if nobody tells its turn's end:
-its node was lost, or the engine hangs. Not measured; chosen."""
-SHORTEST_SLOT_S = 1.0
-"""Seconds for which a turn has its slot at least, unless its end is told. Not measured; chosen."""
+"""A slot expires after this multiple of the expected time if the end of its turn is not reported:
+its node failed or the engine hangs."""
+MIN_SLOT_S = 1.0
+"""Minimum time in seconds before a slot expires."""
 
 
-class TurnPlacing:
-    """Places turns at engines and keeps account of it."""
+class SlotAssigner:
+    """Assigns engine slots to turns and records the assignments."""
 
     def __init__(self, engines: EngineTable, programs: ProgramTable) -> None:
         self._engines = engines
         self._programs = programs
 
     def choose(self, turn: WaitingTurn, service: ServiceTurns, now: float) -> EngineChoice | None:
-        """Return where a turn goes; ``None`` if no engine has room for it."""
+        """Return the engine for a turn; ``None`` if no engine has capacity for it."""
         engines = self._engines.usable(service.name, now)
         choice = choose_engine(engines, turn.asked, service.durations)
         if choice is not None:
@@ -39,18 +38,18 @@
         on_trial = self._engines.on_trial(service.name, now)
         return choose_engine(on_trial, turn.asked, service.durations)
 
-    def fill(self, service: ServiceTurns, now: float) -> list[TurnPlaced]:
-        """Give free slots to turns that wait, in order, until the first one has no room."""
+    def assign_free_slots(self, service: ServiceTurns, now: float) -> list[TurnPlaced]:
+        """Assign free slots to waiting turns in order, until the first one fits no engine."""
         placed: list[TurnPlaced] = []
         while len(service.queue) > 0:
-            decision = self._place_next(service, now)
+            decision = self._assign_next(service, now)
             if decision is None:
                 break
             placed.append(decision)
         return placed
 
-    def _place_next(self, service: ServiceTurns, now: float) -> TurnPlaced | None:
-        """Place the first turn, or one close behind it whose history the engine holds."""
+    def _assign_next(self, service: ServiceTurns, now: float) -> TurnPlaced | None:
+        """Place the first turn, or one close behind it whose history the engine caches."""
         first = next(service.queue.in_order(now))
         choice = self.choose(first, service, now)
         if choice is None:
@@ -59,13 +58,13 @@
         if turn is not first:
             own_choice = self.choose(turn, service, now)
             turn, choice = (first, choice) if own_choice is None else (turn, own_choice)
-        service.withdraw(turn.attempt_id)
-        return self.place(turn, choice, service, now)
+        service.dequeue(turn.attempt_id)
+        return self.assign(turn, choice, service, now)
 
-    def place(
+    def assign(
         self, turn: WaitingTurn, choice: EngineChoice, service: ServiceTurns, now: float
     ) -> TurnPlaced:
-        """Give a turn, which does not wait any longer, a slot at the engine of a choice."""
+        """Assign a slot at the chosen engine to a turn that is not queued."""
         asked = turn.asked
         engine = choice.engine
         running = len(engine.turns)
@@ -94,5 +93,5 @@
         placed_at=now,
         expected_s=choice.run_s,
         expected_slowdown=choice.slowdown,
-        until=now + max(SHORTEST_SLOT_S, SLOT_TIME_FACTOR * choice.end_s),
+        until=now + max(MIN_SLOT_S, SLOT_TIME_FACTOR * choice.end_s),
     )
--- a/src/passlane/decisions/scheduling/turn_entry.py
+++ b/src/passlane/decisions/scheduling/turn_entry.py
@@ -1,9 +1,12 @@
-"""Answers what becomes of a turn that asks: it has a slot at once, waits, or is refused.
+"""Decides whether a turn that requests a slot is placed at once, waits, or is refused.
 
-It is the part of the scheduler of turns that takes turns in. It owns no state of its own: waiting
-turns and refused programs stand in ``ServiceTurns``. It relies on ``turn_precedence`` for whom a
-turn waits for, on ``turn_placing`` for a slot, and on ``program_admission`` for whether a new
-program may wait.
+It is a part of the turn scheduler and owns no state: ``ServiceTurns`` has the waiting turns and
+the refused programs. The rules:
+
+1. A turn that need not wait for others (``turn_precedence``) gets a free slot (``slot_assigner``).
+2. A new program that can't begin soon is refused (``program_admission``), unless it retried at
+   the time that it was given.
+3. Any other turn waits. New programs and looping programs are refused after a maximum wait.
 
 Times are local monotonic seconds.
 """
@@ -18,42 +21,44 @@
 from passlane.decisions.order.turn_queue import WaitingTurn
 from passlane.decisions.placement.turn_placement import EngineChoice
 from passlane.decisions.scheduling.service_turns import ServiceTurns
-from passlane.decisions.scheduling.turn_placing import TurnPlacing
+from passlane.decisions.scheduling.slot_assigner import SlotAssigner
 
 LONGEST_LOOPING_HOLD_S = 1.2
-"""Seconds that a turn of a program that loops waits here before it is refused: callers leave a
-stream that is silent for 2 s. Not measured; chosen."""
+"""Maximum wait in seconds of a looping program's turn; below the 2 s after which callers abandon a
+silent stream."""
 
 
 class TurnEntry:
-    """Takes in turns that ask, and refuses those that can't begin soon."""
+    """Admits turns, and refuses those that can't begin soon."""
 
-    def __init__(self, engines: EngineTable, programs: ProgramTable, placing: TurnPlacing) -> None:
+    def __init__(
+        self, engines: EngineTable, programs: ProgramTable, slot_assigner: SlotAssigner
+    ) -> None:
         self._engines = engines
         self._programs = programs
-        self._placing = placing
+        self._slot_assigner = slot_assigner
 
-    def ask(
+    def request_slot(
         self, asked: TurnAsked, program: ProgramProgress, service: ServiceTurns, now: float
     ) -> list[TurnDecision]:
-        """Place a turn, let it wait, or refuse it; nothing is decided yet if it waits."""
+        """Place, queue or refuse a turn; return no decision if it is queued."""
         turn = self._waiting_turn(asked, program, service, now)
-        choice = self._choice_at_once(turn, service, now)
+        choice = self._immediate_choice(turn, service, now)
         if choice is not None:
-            return [self._placing.place(turn, choice, service, now)]
+            return [self._slot_assigner.assign(turn, choice, service, now)]
         refused = self._refusal_at_once(turn, service, now) if turn.is_new_program else None
         if refused is not None:
             return [refused]
-        service.hold(turn)
+        service.enqueue(turn)
         return []
 
-    def refuse_held_too_long(self, service: ServiceTurns, now: float) -> list[TurnDecision]:
-        """Refuse the turns that have waited here for as long as they may."""
+    def refuse_expired(self, service: ServiceTurns, now: float) -> list[TurnDecision]:
+        """Refuse the turns that have reached their maximum wait."""
         service.admission.forget_lapsed(now)
         refused: list[TurnDecision] = []
         for turn in service.queue.take_held_too_long(now):
-            # One after the other: those whose turn is still to come go on being counted.
-            service.note_left(turn)
+            # Each turn is refused alone, so that the remaining ones still count as waiting.
+            service.record_dequeued(turn)
             expected = self._expected_start(turn, service, now)
             refused.append(self._refuse(turn, expected, service, now))
         return refused
@@ -81,24 +86,24 @@
             is_looping=is_looping,
         )
 
-    def _choice_at_once(
+    def _immediate_choice(
         self, turn: WaitingTurn, service: ServiceTurns, now: float
     ) -> EngineChoice | None:
-        """Return where a turn that has just asked goes, unless others go before it."""
+        """Return the engine for a new request, or ``None`` if it must wait for others."""
 
         def has_free_slot() -> bool:
             return self._engines.has_free_slot(service.name, now)
 
         if waits_for(turn, service.queue, has_free_slot, now) is not None:
             return None
-        return self._placing.choose(turn, service, now)
+        return self._slot_assigner.choose(turn, service, now)
 
     def _refusal_at_once(
         self, turn: WaitingTurn, service: ServiceTurns, now: float
     ) -> TurnNotPlaced | None:
-        """Refuse a new program that can't begin soon; ``None`` if it may wait here.
+        """Refuse a new program that can't begin soon; return ``None`` if it may wait.
 
-        One that retried as it was told waits in any case.
+        A program that retried at the given time may always wait.
         """
         if service.admission.came_as_told(turn.asked.program_id, now):
             return None
@@ -124,7 +129,7 @@
     def _expected_start(
         self, turn: WaitingTurn, service: ServiceTurns, now: float
     ) -> ExpectedStart:
-        """Return when a program would begin that does not now."""
+        """Return when a program that can't begin now is expected to begin."""
         program_s = service.durations.mean_s * self._programs.mean_turns(turn.asked.demand.route)
         all_slots_per_s = self._engines.all_slots(service.name) / program_s
         admission = service.admission
--- a/src/passlane/decisions/scheduling/turn_outcomes.py
+++ b/src/passlane/decisions/scheduling/turn_outcomes.py
@@ -1,8 +1,8 @@
-"""What the scheduler of turns learns from how turns ended at engines.
+"""Updates engine health and speed from the outcomes of turns.
 
-It answers what an outcome tells of an engine and of its service: pace from answers that came
-whole, failures and fullness from the others. It owns which attempts have reported failures, so
-that a settlement that is repeated reports none again. It relies on nodes to tell outcomes truly.
+Complete responses update the speed of the engine and the durations of its service; failures and
+rejections by full engines update the engine's state. It owns the set of attempts whose failures
+were recorded, so that a repeated settlement counts once. Nodes must report outcomes correctly.
 
 Times are local monotonic seconds.
 """
@@ -14,26 +14,26 @@
 from passlane.decisions.placement.turn_placement import TurnDurations
 from passlane.messages.placement import TurnOutcome
 
-MOST_FAILED_ATTEMPTS = 10_000
-"""Turns with failures that are remembered; more than fail within the seconds for which a
-settlement is repeated. Not measured; chosen."""
+MAX_FAILED_ATTEMPTS = 10_000
+"""Attempts with recorded failures that are tracked; more than fail while a settlement may be
+repeated."""
 FAILURE_WEIGHT = 1.0
-"""Weight of one failed attempt in an engine's health: it counts as one failure."""
+"""Weight of one failed attempt in an engine's health."""
 
 
 class TurnOutcomes:
-    """Learns from the ends of turns."""
+    """Applies the outcomes of turns to their engines."""
 
     def __init__(self, engines: EngineTable) -> None:
         self._engines = engines
         self._failed_attempts: OrderedDict[str, None] = OrderedDict()
 
-    def note_failures(self, attempt_id: str, outcome: TurnOutcome, now: float) -> None:
-        """Note what failed for a turn, once."""
+    def record_failures(self, attempt_id: str, outcome: TurnOutcome, now: float) -> None:
+        """Record the failures of an attempt, once."""
         has_failed = bool(outcome.failed_at or outcome.full_at)
         if not has_failed or attempt_id in self._failed_attempts:
             return
-        self._remember(attempt_id)
+        self._record_attempt(attempt_id)
         for incarnation in outcome.failed_at:
             engine = self._engines.get(incarnation)
             if engine is not None:
@@ -44,21 +44,21 @@
                 engine.pause_as_full(now)
         self._engines.look_again()
 
-    def _remember(self, attempt_id: str) -> None:
+    def _record_attempt(self, attempt_id: str) -> None:
         self._failed_attempts[attempt_id] = None
-        while len(self._failed_attempts) > MOST_FAILED_ATTEMPTS:
+        while len(self._failed_attempts) > MAX_FAILED_ATTEMPTS:
             self._failed_attempts.popitem(last=False)
 
 
-def is_answered_whole(held: HeldSlot, ended: TurnEnded) -> bool:
-    """Whether a turn's end teaches the pace of the engine at which it had its slot."""
+def is_complete_response(slot: HeldSlot, ended: TurnEnded) -> bool:
+    """Whether the engine of a turn's slot completed the response, so that its time counts."""
     outcome = ended.outcome
     if outcome is None or outcome.engine_s <= 0:
         return False
-    return ended.served_by == held.engine.incarnation
+    return ended.served_by == slot.engine.incarnation
 
 
-def learn_pace(held: HeldSlot, outcome: TurnOutcome, durations: TurnDurations, now: float) -> None:
-    """Learn an engine's pace and its service's mean from a turn that it answered whole."""
-    held.engine.learn(held.turn, outcome, now)
-    durations.learn(outcome, held.engine.speed.against_fleet(now))
+def learn_speed(slot: HeldSlot, outcome: TurnOutcome, durations: TurnDurations, now: float) -> None:
+    """Update an engine's speed and its service's durations from a complete response."""
+    slot.engine.learn(slot.turn, outcome, now)
+    durations.learn(outcome, slot.engine.speed.against_fleet(now))
--- a/tests/decisions/scheduling/test_turn_defects.py
+++ b/tests/decisions/scheduling/test_turn_defects.py
@@ -41,7 +41,7 @@
 def begin_at_once(scheduler: TurnScheduler, now: float) -> list[object]:
     """Place by an empty table from the first moment of a term on."""
     decisions = _begin(scheduler, now)
-    scheduler._learning_until = now
+    scheduler._warmup_until = now
     return decisions
 
 
--- a/tests/decisions/scheduling/test_turn_scheduler.py
+++ b/tests/decisions/scheduling/test_turn_scheduler.py
@@ -18,8 +18,8 @@
     TurnWithdrawn,
 )
 from passlane.decisions.order.turn_queue import LONGEST_LATE_WAIT_S
+from passlane.decisions.scheduling.slot_assigner import MIN_SLOT_S
 from passlane.decisions.scheduling.turn_entry import LONGEST_LOOPING_HOLD_S
-from passlane.decisions.scheduling.turn_placing import SHORTEST_SLOT_S
 from passlane.decisions.scheduling.turn_scheduler import LEARNING_S, TurnScheduler
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
@@ -317,9 +317,9 @@
         engine_of = {f"long{number}": self.place(f"long{number}") for number in range(12)}
         for name in {"e1", "e2", "e3"} - set(silent):
             attempt = next(attempt for attempt, at in engine_of.items() if at == name)
-            self.scheduler.end(ended(attempt, name), SHORTEST_SLOT_S / 2)
-        self.scheduler.advance(SHORTEST_SLOT_S + 0.1)
-        now = SHORTEST_SLOT_S + 0.1
+            self.scheduler.end(ended(attempt, name), MIN_SLOT_S / 2)
+        self.scheduler.advance(MIN_SLOT_S + 0.1)
+        now = MIN_SLOT_S + 0.1
         return {self.place(f"next{number}", now=now) for number in range(6)}
 
     def test_an_engine_whose_turns_are_long_is_not_left_alone_while_it_ends_others(self):
@@ -454,19 +454,19 @@
     def test_the_place_of_a_turn_whose_node_was_lost_is_given_back_by_time(self):
         self.fill()
         self.wait("next", "under-way0", is_first=False)
-        self.assertEqual(self.scheduler.advance(SHORTEST_SLOT_S - 0.1), [])
-        decisions = self.scheduler.advance(SHORTEST_SLOT_S + 0.1)
+        self.assertEqual(self.scheduler.advance(MIN_SLOT_S - 0.1), [])
+        decisions = self.scheduler.advance(MIN_SLOT_S + 0.1)
         self.assertEqual([d.attempt_id for d in decisions], ["next"])
 
     def test_an_end_that_comes_after_its_place_was_given_back_counts_once(self):
         self.fill()
-        self.scheduler.advance(SHORTEST_SLOT_S + 0.1)
+        self.scheduler.advance(MIN_SLOT_S + 0.1)
         for _ in range(3):
-            self.scheduler.end(ended("full0", "e1"), SHORTEST_SLOT_S + 0.2)
+            self.scheduler.end(ended("full0", "e1"), MIN_SLOT_S + 0.2)
         self.assertEqual(self.scheduler.figures("llm").running, 0)
         for number in range(4):
-            self.place(f"new{number}", now=SHORTEST_SLOT_S + 0.3)
-        self.wait("fifth", now=SHORTEST_SLOT_S + 0.3)
+            self.place(f"new{number}", now=MIN_SLOT_S + 0.3)
+        self.wait("fifth", now=MIN_SLOT_S + 0.3)
 
     def test_a_turn_that_asks_again_has_one_place(self):
         self.place("a")
