--- a/tests/decisions/scheduling/test_call_scheduler.py
+++ b/tests/decisions/scheduling/test_call_scheduler.py
@@ -1,4 +1,4 @@
-"""Behaviour of the scheduler under load, failures and lagging or missing reports."""
+"""Tests of the call scheduler under load, failures, and stale or missing reports."""
 
 import random
 import unittest
@@ -67,50 +67,50 @@
         return scheduler
 
     def fill(self, scheduler: Scheduler, now: float = 0.0) -> int:
-        """Start calls until the next one has to wait; return how many were started."""
+        """Start calls until the next one must wait; return how many were started."""
         for number in range(1_000, 1_100):
             if not starts(scheduler.handle(call(number, tenant_id=TenantId("filler")), now)):
                 scheduler.handle(events.CallWithdrawn(CallId(f"c{number}")), now)
                 return number - 1_000
-        raise AssertionError("the engines never filled up")
+        raise AssertionError("the engines did not fill up")
 
     def test_returns_to_the_engine_that_holds_the_prefix(self):
         scheduler = self.scheduler()
         first = starts(scheduler.handle(call(1, "p"), 0.0))[0].engine_id
         scheduler.handle(ended(1), 0.5)
         for number in range(2, 8):
-            again = starts(scheduler.handle(call(number, "p"), float(number)))[0]
-            self.assertEqual(first, again.engine_id)
-            self.assertIn("1000 of 1000 prompt tokens cached", again.reason)
+            following = starts(scheduler.handle(call(number, "p"), float(number)))[0]
+            self.assertEqual(first, following.engine_id)
+            self.assertIn("1000 of 1000 prompt tokens cached", following.reason)
             scheduler.handle(ended(number), number + 0.5)
 
-    def test_new_incarnation_means_that_the_cache_is_gone(self):
+    def test_new_incarnation_has_an_empty_cache(self):
         scheduler = self.scheduler({E1: engine()})
         scheduler.handle(load(E1, incarnation=1), 0.0)
         scheduler.handle(call(1, "p"), 0.0)
         scheduler.handle(ended(1), 0.5)
         scheduler.handle(load(E1, incarnation=2), 1.0)
-        again = starts(scheduler.handle(call(2, "p"), 1.1))[0]
-        self.assertIn("0 of 1000 prompt tokens cached", again.reason)
+        following = starts(scheduler.handle(call(2, "p"), 1.1))[0]
+        self.assertIn("0 of 1000 prompt tokens cached", following.reason)
 
-    def test_gap_in_cache_events_asks_for_a_snapshot_until_one_comes(self):
+    def test_gap_in_cache_events_requests_snapshots_until_a_valid_one(self):
         scheduler = self.scheduler({E1: engine()})
         stored = CacheEvent(5, CacheEventKind.STORED, ProgramId("p"), 900)
         gap = events.CacheEventsReported(E1, CacheEvents(1, (stored,)))
         self.assertIn(instructions.RequestCacheSnapshot(E1), scheduler.handle(gap, 0.0))
-        late = events.CacheSnapshotReported(E1, CacheSnapshot(1, 3, ()))
-        self.assertIn(instructions.RequestCacheSnapshot(E1), scheduler.handle(late, 0.1))
+        stale = events.CacheSnapshotReported(E1, CacheSnapshot(1, 3, ()))
+        self.assertIn(instructions.RequestCacheSnapshot(E1), scheduler.handle(stale, 0.1))
         entries = (CacheEntry(ProgramId("q"), 700),)
         whole = events.CacheSnapshotReported(E1, CacheSnapshot(1, 6, entries))
         self.assertEqual([], scheduler.handle(whole, 0.2))
         self.assertIn("700 of", starts(scheduler.handle(call(1, "q"), 0.3))[0].reason)
         self.assertIn("0 of", starts(scheduler.handle(call(2, "p"), 0.3))[0].reason)
 
-    def test_lagging_reports_are_corrected_by_own_calls(self):
+    def test_stale_reports_are_corrected_by_own_calls(self):
         scheduler = self.scheduler()
         started = [starts(scheduler.handle(call(n), 1.0))[0].engine_id for n in range(4)]
         self.assertEqual(2, started.count(E1))
-        # The report is older than the four calls: it must not hide or double them.
+        # The report is older than the four calls, so it must neither hide nor duplicate them.
         for engine_id in (E1, E2):
             scheduler.handle(load(engine_id, running=0, age_s=0.5), 1.2)
         spread = [starts(scheduler.handle(call(n), 1.2))[0].engine_id for n in range(4, 8)]
@@ -120,7 +120,7 @@
         self.assertEqual([], starts(scheduler.handle(call(9), 1.3)))
         self.assertEqual(1, len(starts(scheduler.handle(ended(4), 1.4))))
 
-    def test_full_queue_refuses_at_once_and_keeps_room_for_others(self):
+    def test_full_queue_refuses_at_once_and_keeps_capacity_for_others(self):
         scheduler = self.scheduler()
         self.fill(scheduler)
         outputs = [scheduler.handle(call(number), 0.0) for number in range(20)]
@@ -163,13 +163,13 @@
         self.assertEqual(4, len(now_watched.engine_ids - watched))
         start = starts(scheduler.handle(call(2), 1.0))[0]
         self.assertNotIn(start.engine_id, watched)
-        # The call that was running there still ends well and frees its place.
+        # The call that was running there still succeeds and frees its slot.
         self.assertEqual(1, scheduler.in_flight_at(first))
         scheduler.handle(ended(1), 1.5)
         self.assertEqual(0, scheduler.in_flight_at(first))
         self.assertEqual(1, scheduler.running_calls)
 
-    def test_failing_engine_is_left_alone_then_probed_with_one_call(self):
+    def test_failing_engine_is_ejected_then_probed_with_one_call(self):
         scheduler = self.scheduler({E1: engine()})
         for number in range(3):
             self.assertEqual(1, len(starts(scheduler.handle(call(number), 0.0))))
@@ -181,7 +181,7 @@
         self.assertEqual(1, len(starts(scheduler.handle(events.TimeAdvanced(), wake_at))))
         self.assertEqual(1, len(starts(scheduler.handle(ended(10), wake_at + 0.1))))
 
-    def test_cache_is_released_at_the_end_and_when_a_return_is_unlikely(self):
+    def test_cache_is_released_at_the_end_and_when_the_program_is_overdue(self):
         scheduler = self.scheduler({E1: engine(max_batch=100)})
         now = 0.0
         for number in range(100):
--- a/tests/decisions/scheduling/test_promises.py
+++ b/tests/decisions/scheduling/test_invariants.py
@@ -1,4 +1,4 @@
-"""Promises of the scheduler under any mix of events, and faults that the checks must catch."""
+"""Invariants of the call scheduler under any mix of events, and defects that must be detected."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 DETERMINISTIC = settings(derandomize=True, database=None, deadline=None, max_examples=60)
 ENGINES = tuple(EngineId(f"e{number}") for number in range(5))
 BODY = EngineBody(address=Address(host="127.0.0.1", port=1), zone="a", models=("m",), max_batch=2)
-CALL_LIFE_S = 3.0
+CALL_TIMEOUT_S = 3.0
 STEPS = st.lists(st.tuples(st.integers(0, 9), st.integers(0, 10**6)), min_size=20, max_size=120)
 
 
@@ -41,8 +41,8 @@
     )
 
 
-class Run:
-    """Feeds a scheduler with drawn events and checks each of its instructions."""
+class SchedulerRun:
+    """Feeds a scheduler with generated events and checks each of its instructions."""
 
     def __init__(self, placement: Placement | None = None) -> None:
         config = SchedulerConfig(queue=QueueConfig(max_calls=12), watched_engines_per_model=3)
@@ -56,7 +56,7 @@
         self.arrived = 0
         self.wake_at: float | None = None
         self.violations: list[str] = []
-        self.tell(events.EnginesChanged(dict.fromkeys(ENGINES, BODY)))
+        self.send(events.EnginesChanged(dict.fromkeys(ENGINES, BODY)))
 
     def step(self, choice: int, value: int) -> None:
         self.advance(0.01 + value % 7 * 0.05)
@@ -66,58 +66,58 @@
             self.end(value, succeeded=value % 11 != 0)
         elif choice == 7:
             self.leaving = frozenset(one for one in ENGINES if value >> ENGINES.index(one) & 1)
-            self.tell(events.EnginesLeaving(self.leaving))
+            self.send(events.EnginesLeaving(self.leaving))
         elif choice == 8:
             engine = ENGINES[value % len(ENGINES)]
             load = EngineLoad(engine, 1, value % 3, 0, 500, 1, ("m",), 0.2)
-            self.tell(events.LoadReported(load))
+            self.send(events.LoadReported(load))
         else:
             event = CacheEvent(value % 50, CacheEventKind.STORED, ProgramId(f"p{value % 5}"), 400)
             engine = ENGINES[value % len(ENGINES)]
-            self.tell(events.CacheEventsReported(engine, CacheEvents(1, (event,))))
+            self.send(events.CacheEventsReported(engine, CacheEvents(1, (event,))))
 
     def arrive(self, value: int) -> None:
         self.arrived += 1
-        arrived = call(self.arrived, value % 5, value % 3, self.now + CALL_LIFE_S)
+        arrived = call(self.arrived, value % 5, value % 3, self.now + CALL_TIMEOUT_S)
         self.waiting.add(arrived.call_id)
-        self.tell(arrived)
+        self.send(arrived)
 
     def end(self, value: int, *, succeeded: bool) -> None:
         call_id = sorted(self.running)[value % len(self.running)]
         del self.running[call_id]
-        self.tell(events.CallEnded(call_id, succeeded, 500, 0, 20))
+        self.send(events.CallEnded(call_id, succeeded, 500, 0, 20))
 
     def advance(self, seconds: float) -> None:
-        """Let time pass, waking the scheduler when it asked for that."""
+        """Advance the time, and wake the scheduler when it requested that."""
         until = self.now + seconds
         while self.wake_at is not None and self.wake_at <= until:
             self.now = max(self.now, self.wake_at)
             self.wake_at = None
-            self.tell(events.TimeAdvanced())
+            self.send(events.TimeAdvanced())
         self.now = until
 
     def finish(self) -> None:
-        """End all calls and wait until each waiting call has got its answer."""
+        """End all calls and wait until each waiting call is started or refused."""
         for number in range(200):
             if not self.running and not self.waiting:
                 return
             if self.running:
                 self.end(number, succeeded=True)
             self.advance(0.1)
-        self.violations.append(f"never answered: {sorted(self.waiting)}")
+        self.violations.append(f"neither started nor refused: {sorted(self.waiting)}")
 
-    def tell(self, event: events.Event) -> None:
+    def send(self, event: events.Event) -> None:
         for instruction in self.scheduler.handle(event, self.now):
             match instruction:
                 case instructions.StartCall(call_id, engine_id):
                     self.check_start(call_id, engine_id)
                 case instructions.RefuseCall(call_id):
-                    self.check_answer(call_id)
+                    self.check_decided(call_id)
                 case instructions.WakeAt(time):
                     self.wake_at = time
 
     def check_start(self, call_id: CallId, engine_id: EngineId) -> None:
-        self.check_answer(call_id)
+        self.check_decided(call_id)
         self.running[call_id] = engine_id
         if engine_id in self.leaving:
             self.violations.append(f"{call_id} was sent to {engine_id}, which is leaving")
@@ -125,14 +125,14 @@
         if list(self.running.values()).count(engine_id) > slots:
             self.violations.append(f"{engine_id} has more calls than slots")
 
-    def check_answer(self, call_id: CallId) -> None:
+    def check_decided(self, call_id: CallId) -> None:
         if call_id not in self.waiting:
-            self.violations.append(f"{call_id} was answered twice")
+            self.violations.append(f"{call_id} was started or refused twice")
         self.waiting.discard(call_id)
 
 
-class LeavingIgnored(Placement):
-    """A faulty placement that goes on sending calls to engines that are leaving."""
+class PlacementOnLeavingEngines(Placement):
+    """A defective placement that keeps sending calls to leaving engines."""
 
     def estimates(
         self, call: events.CallArrived, engines: Iterable[EngineView], now: float
@@ -144,27 +144,27 @@
 class AnyEventsTest(unittest.TestCase):
     @DETERMINISTIC
     @given(STEPS)
-    def test_each_call_is_answered_once_and_never_by_a_leaving_engine(self, steps):
-        run = Run()
+    def test_each_call_is_decided_once_and_never_sent_to_a_leaving_engine(self, steps):
+        run = SchedulerRun()
         for choice, value in steps:
             run.step(choice, value)
         run.finish()
         self.assertEqual([], run.violations)
 
-    def test_sending_calls_to_leaving_engines_is_caught(self):
+    def test_sending_calls_to_leaving_engines_is_detected(self):
         generator = random.Random(1)
-        run = Run(LeavingIgnored("a", random.Random(2), SchedulerConfig()))
+        run = SchedulerRun(PlacementOnLeavingEngines("a", random.Random(2), SchedulerConfig()))
         for _ in range(120):
             run.step(generator.randrange(10), generator.randrange(10**6))
         self.assertIn("which is leaving", " ".join(run.violations))
 
 
-def longest_overtaking_s(config: QueueConfig) -> float:
-    """Serve a queue that younger calls keep full; return by how much a call was overtaken.
+def max_overtaking_s(config: QueueConfig) -> float:
+    """Serve an overloaded queue; return for how long later calls overtook the first one.
 
-    One program has had far more service than all others; calls without service come
-    twice as fast as calls are served. The figure is the arrival time of the last call
-    that was served ahead of the old program's, less that one's own.
+    The first call belongs to a program with far more attained service than all others; calls
+    of new programs arrive twice as fast as calls are served. The result is the arrival time
+    of the last call served before the first one, which arrived at 0.
     """
     queue = CallQueue(config)
     queue.add(call(0, 0, 0, 10_000.0, service_class=0), 10**9, 0.0)
@@ -184,13 +184,13 @@
     return float("inf")
 
 
-def wait_of_lower_class_s(config: QueueConfig) -> float:
-    """Return how long a call of class 2 waits while class 0 keeps its engine busy."""
+def lower_class_wait_s(config: QueueConfig) -> float:
+    """Return how long a call of class 2 waits while calls of class 0 saturate the queue."""
     queue = CallQueue(config)
-    low = events.CallArrived(
+    low_class_call = events.CallArrived(
         CallId("low"), ProgramId("low"), TenantId("low"), "m", 500, 32, 10_000.0, service_class=2
     )
-    queue.add(low, 0, 0.0)
+    queue.add(low_class_call, 0, 0.0)
     number, now = 0, 0.0
     while now < 60.0:
         number += 1
@@ -198,30 +198,30 @@
         first = next(queue.in_order(now, 1))
         queue.remove(first.call.call_id)
         queue.charge(first.call, 100)
-        if first.call is low:
+        if first.call is low_class_call:
             return now
         now += 0.1
     return float("inf")
 
 
 class StarvationTest(unittest.TestCase):
-    """The bound stated in docs/design/ordering.md, with the constants in use."""
+    """The starvation bounds hold with the default parameters."""
 
-    def test_no_younger_call_goes_ahead_after_the_bound(self):
+    def test_no_later_call_is_served_first_after_the_bound(self):
         config = QueueConfig()
         self.assertEqual(10.0, config.starvation_bound_s)
-        self.assertLessEqual(longest_overtaking_s(config), 10.0)
+        self.assertLessEqual(max_overtaking_s(config), 10.0)
 
-    def test_a_queue_without_ageing_is_caught(self):
+    def test_a_queue_without_ageing_is_detected(self):
         without_ageing = QueueConfig(ageing_tokens_per_s=1e-9)
-        self.assertGreater(longest_overtaking_s(without_ageing), 10.0)
+        self.assertGreater(max_overtaking_s(without_ageing), 10.0)
 
     def test_a_lower_class_is_served_after_a_step_for_each_class(self):
         config = QueueConfig()
-        self.assertLessEqual(wait_of_lower_class_s(config), 2 * config.class_step_s + 0.2)
+        self.assertLessEqual(lower_class_wait_s(config), 2 * config.class_step_s + 0.2)
 
-    def test_classes_that_never_move_up_are_caught(self):
-        self.assertGreater(wait_of_lower_class_s(QueueConfig(class_step_s=0.0)), 20.0)
+    def test_classes_without_ageing_are_detected(self):
+        self.assertGreater(lower_class_wait_s(QueueConfig(class_step_s=0.0)), 20.0)
 
 
 if __name__ == "__main__":
