--- a/tests/decisions/scheduling/test_turn_defects.py
+++ b/tests/decisions/scheduling/test_turn_defects.py
@@ -1,10 +1,10 @@
-"""Defects that are put into the scheduler of turns, each of which its tests must notice."""
+"""Mutation tests of the turn scheduler: its tests must detect each planted defect."""
 
 import io
 import unittest
 from collections.abc import Iterator
 
-from decisions.scheduling import test_turn_figures, test_turn_scheduler
+from decisions.scheduling import test_turn_estimates, test_turn_scheduler
 from passlane.decisions.admission.program_admission import ProgramAdmission
 from passlane.decisions.backends.engine_table import EngineTable, HeldSlot
 from passlane.decisions.order.turn_queue import TurnQueue, WaitingTurn
@@ -18,80 +18,80 @@
 _in_order = TurnQueue.in_order
 
 
-def keep_place(table: EngineTable, attempt_id: str) -> None:
-    """Give no place back."""
+def never_release(table: EngineTable, attempt_id: str) -> None:
+    """Release no slot."""
 
 
-def give_back_twice(table: EngineTable, attempt_id: str) -> HeldSlot | None:
-    """Free another place of the engine with each end."""
-    given_back = _give_back(table, attempt_id)
-    if given_back is not None and given_back.engine.turns:
-        _give_back(table, next(iter(given_back.engine.turns)))
-    return given_back
+def release_twice(table: EngineTable, attempt_id: str) -> HeldSlot | None:
+    """Release another slot of the engine with each end of a turn."""
+    released = _give_back(table, attempt_id)
+    if released is not None and released.engine.turns:
+        _give_back(table, next(iter(released.engine.turns)))
+    return released
 
 
 def keep_expired(table: EngineTable, attempt_id: str) -> HeldSlot | None:
-    """Let an end that comes late count again and again."""
-    placed = _take_expired(table, attempt_id)
-    if placed is not None:
-        table._expired[attempt_id] = placed
-    return placed
+    """Let the end of a turn whose slot has expired count every time."""
+    slot = _take_expired(table, attempt_id)
+    if slot is not None:
+        table._expired[attempt_id] = slot
+    return slot
 
 
-def begin_at_once(scheduler: TurnScheduler, now: float) -> list[object]:
-    """Place by an empty table from the first moment of a term on."""
+def skip_warmup(scheduler: TurnScheduler, now: float) -> list[object]:
+    """Place turns by an empty slot table from the start of a term."""
     decisions = _begin(scheduler, now)
     scheduler._warmup_until = now
     return decisions
 
 
-def forget_first_asking(admission: ProgramAdmission, program_id: str, now: float) -> float:
-    """Take a program that came back for one that asks for the first time."""
+def forget_first_request(admission: ProgramAdmission, program_id: str, now: float) -> float:
+    """Treat a program that retries as a new request."""
     return now
 
 
 def by_arrival(queue: TurnQueue, now: float) -> Iterator[WaitingTurn]:
-    """Serve in order of arrival."""
+    """Serve turns in order of arrival."""
     return iter(sorted(_in_order(queue, now), key=lambda turn: turn.arrived_at))
 
 
-def learn_nothing(durations: TurnDurations, outcome: object, against_fleet: float) -> None:
-    """Learn nothing."""
+def skip_learning(durations: TurnDurations, outcome: object, against_fleet: float) -> None:
+    """Ignore the outcome of a turn."""
 
 
 class PlantedDefectTest(unittest.TestCase):
-    def assert_noticed(self, replacement: Replacement) -> None:
+    def assert_detected(self, replacement: Replacement) -> None:
         loader = unittest.defaultTestLoader
         suite = unittest.TestSuite(
             loader.loadTestsFromModule(module)
-            for module in (test_turn_scheduler, test_turn_figures)
+            for module in (test_turn_scheduler, test_turn_estimates)
         )
         with replaced([replacement]):
             result = unittest.TextTestRunner(stream=io.StringIO()).run(suite)
         self.assertGreater(result.testsRun, 0)
         self.assertFalse(result.wasSuccessful())
 
-    def test_without_a_defect_all_hold(self):
+    def test_without_a_defect_nothing_is_detected(self):
         with self.assertRaises(AssertionError):
-            self.assert_noticed(Replacement(EngineTable, "give_back", _give_back))
+            self.assert_detected(Replacement(EngineTable, "give_back", _give_back))
 
-    def test_a_place_that_is_never_given_back(self):
-        self.assert_noticed(Replacement(EngineTable, "give_back", keep_place))
+    def test_a_slot_that_is_never_released(self):
+        self.assert_detected(Replacement(EngineTable, "give_back", never_release))
 
-    def test_an_end_that_frees_two_places(self):
-        self.assert_noticed(Replacement(EngineTable, "give_back", give_back_twice))
+    def test_an_end_that_releases_two_slots(self):
+        self.assert_detected(Replacement(EngineTable, "give_back", release_twice))
 
-    def test_a_late_end_that_counts_each_time(self):
-        self.assert_noticed(Replacement(EngineTable, "take_expired", keep_expired))
+    def test_an_end_after_expiry_that_counts_each_time(self):
+        self.assert_detected(Replacement(EngineTable, "take_expired", keep_expired))
 
-    def test_a_new_leader_that_places_by_an_empty_table(self):
-        self.assert_noticed(Replacement(TurnScheduler, "begin", begin_at_once))
+    def test_a_new_leader_without_warmup(self):
+        self.assert_detected(Replacement(TurnScheduler, "begin", skip_warmup))
 
-    def test_a_returned_caller_that_loses_its_place_in_the_order(self):
-        self.assert_noticed(Replacement(ProgramAdmission, "first_asked_at", forget_first_asking))
+    def test_a_retry_that_loses_its_place_in_the_order(self):
+        self.assert_detected(Replacement(ProgramAdmission, "first_asked_at", forget_first_request))
 
-    def test_an_urgent_turn_that_waits_behind_others(self):
-        self.assert_noticed(Replacement(TurnQueue, "in_order", by_arrival))
+    def test_an_urgent_turn_without_priority(self):
+        self.assert_detected(Replacement(TurnQueue, "in_order", by_arrival))
 
-    def test_a_service_of_which_nothing_is_learnt(self):
-        self.assert_noticed(Replacement(TurnDurations, "learn", learn_nothing))
+    def test_a_service_without_duration_estimates(self):
+        self.assert_detected(Replacement(TurnDurations, "learn", skip_learning))
--- a/tests/decisions/scheduling/test_turn_figures.py
+++ b/tests/decisions/scheduling/test_turn_estimates.py
@@ -1,4 +1,4 @@
-"""What the scheduler of turns learns stays true, however long it learns."""
+"""Tests that the estimates and counts of the turn scheduler stay correct over time."""
 
 import heapq
 import math
@@ -12,11 +12,11 @@
 MEAN_S = 0.15
 
 
-class LearntPaceTest(unittest.TestCase):
-    """Turns of uneven length at engines of which all are alike."""
+class LearnedSpeedTest(unittest.TestCase):
+    """Turns of different length at identical engines."""
 
     def run_turns(self, count: int) -> TurnScheduler:
-        """Play turns whose lengths are lognormal, at two thirds of what engines hold."""
+        """Run turns of lognormal length, at two thirds of the capacity."""
         draw = random.Random(1)
         scheduler = TurnScheduler()
         scheduler.replace_backends([engine(f"e{number}", 6) for number in range(6)], 0.0)
@@ -33,35 +33,35 @@
                 heapq.heappush(running, turn)
         return scheduler
 
-    def test_the_mean_of_turns_and_the_pace_of_engines_do_not_drift(self):
+    def test_mean_durations_and_engine_speeds_do_not_drift(self):
         scheduler = self.run_turns(4_000)
         durations = scheduler._services["llm"].durations
         self.assertAlmostEqual(durations.mean_s, MEAN_S, delta=0.3 * MEAN_S)
-        for known in scheduler._engines:
-            self.assertGreater(known.slowdown, 0.6)
-            self.assertLess(known.slowdown, 1.4)
+        for engine_state in scheduler._engines:
+            self.assertGreater(engine_state.slowdown, 0.6)
+            self.assertLess(engine_state.slowdown, 1.4)
 
 
 class RouteNeedsTest(unittest.TestCase):
-    def test_the_time_that_a_refused_program_was_away_is_none_that_it_needs(self):
+    def test_the_retry_time_of_a_refused_program_is_not_counted_as_needed(self):
         scheduler = TurnScheduler()
         scheduler.replace_backends([engine("e1", 1)], 0.0)
         for number in range(5):
-            begins = 20.0 * number
-            scheduler.ask(asked(f"full{number}", f"busy{number}"), begins)
-            scheduler.ask(asked(f"a{number}", f"p{number}"), begins)
-            scheduler.end(ended(f"full{number}", "e1"), begins + 0.4)
-            scheduler.end(TurnEnded(attempt_id=f"a{number}"), begins + 0.4)
-            scheduler.ask(asked(f"b{number}", f"p{number}"), begins + 3.0)
-            scheduler.end(ended(f"b{number}", "e1"), begins + 3.1)
-            scheduler.advance(begins + 10.0)
+            begins_at = 20.0 * number
+            scheduler.ask(asked(f"full{number}", f"busy{number}"), begins_at)
+            scheduler.ask(asked(f"a{number}", f"p{number}"), begins_at)
+            scheduler.end(ended(f"full{number}", "e1"), begins_at + 0.4)
+            scheduler.end(TurnEnded(attempt_id=f"a{number}"), begins_at + 0.4)
+            scheduler.ask(asked(f"b{number}", f"p{number}"), begins_at + 3.0)
+            scheduler.end(ended(f"b{number}", "e1"), begins_at + 3.1)
+            scheduler.advance(begins_at + 10.0)
         scheduler.ask(asked("last", "q"), 120.0)
         needs = scheduler._programs._needs_of("r")
         self.assertLess(needs.need_share, 0.2)
 
 
 class RepeatedSettlementTest(unittest.TestCase):
-    def test_a_settlement_that_is_repeated_reports_each_failure_once(self):
+    def test_a_repeated_settlement_records_each_failure_once(self):
         scheduler = TurnScheduler()
         scheduler.replace_backends([engine("e1", 1), engine("e2", 1)], 0.0)
         settled = ended("x", failed_at=("e1",), full_at=("e2",))
@@ -73,9 +73,9 @@
 
 
 class LongTurnsTest(unittest.TestCase):
-    """Turns that all take longer than a place is kept at first."""
+    """Turns that all take longer than the initial expiry of a slot."""
 
-    def test_the_end_of_a_turn_teaches_although_its_place_was_given_back(self):
+    def test_the_end_of_a_turn_updates_estimates_after_its_slot_expired(self):
         scheduler = TurnScheduler()
         scheduler.replace_backends([engine("e1"), engine("e2")], 0.0)
         for step in range(20):
@@ -86,7 +86,7 @@
         scheduler.advance(102.9)
         self.assertEqual(scheduler.figures("llm").running, 1)
 
-    def test_an_end_that_comes_late_frees_nothing_and_counts_once(self):
+    def test_an_end_after_expiry_releases_nothing_and_counts_once(self):
         scheduler = TurnScheduler()
         scheduler.replace_backends([engine("e1", 1)], 0.0)
         scheduler.ask(asked("lost"), 0.0)
