--- a/src/passlane/decisions/limits/quota_ledger.py
+++ b/src/passlane/decisions/limits/quota_ledger.py
@@ -39,8 +39,8 @@
     QuotaUse.CONTINUE_PROGRAM: 0.8,
     QuotaUse.ALONE: 0.1,
 }
-"""Seconds; a request that would have to wait longer is refused. A running program may wait longest,
-because a refusal would waste its work."""
+"""Maximum wait in seconds by use; a request that would wait longer is refused. The limit is higher
+for a running program, because a refusal would waste its work."""
 MIN_RETRY_AFTER_S = 0.05
 """Minimum retry interval of a refused request, in seconds."""
 EXCESS_SHARE = 0.5
@@ -54,8 +54,8 @@
 ADVANCE_SHARE = 0.5
 """Share of the limit up to which requests are granted in advance."""
 MIN_ADVANCE_CAPACITY = 200
-"""Requests in a window; smaller limits get no advance grants, because about a third of those is
-never sent."""
+"""Requests in a window; smaller limits get no advance grants, because unused ones would take too
+large a part of them."""
 NEW_PROGRAM_FACTOR = 1.0
 """Multiple of the limit that the programs begun within a window may be expected to need. Above 1,
 running programs have to wait."""
