--- a/src/passlane/decisions/scheduling/slot_assigner.py
+++ b/src/passlane/decisions/scheduling/slot_assigner.py
@@ -65,17 +65,17 @@
         self, turn: WaitingTurn, choice: EngineChoice, service: ServiceTurns, now: float
     ) -> TurnPlaced:
         """Assign a slot at the chosen engine to a turn that is not queued."""
-        asked = turn.asked
+        request = turn.asked
         engine = choice.engine
         running = len(engine.turns)
         self._engines.take(engine, _placed_turn(turn, choice, now))
-        engine.note_part(asked.demand)
-        self._programs.note_placed(asked.program_id, turn.arrived_at, now)
+        engine.note_part(request.demand)
+        self._programs.note_placed(request.program_id, turn.arrived_at, now)
         if turn.is_new_program:
-            service.admission.note_begun(asked.program_id, now)
-        service.queue.charge(asked, choice.run_s)
+            service.admission.note_begun(request.program_id, now)
+        service.queue.charge(request, choice.run_s)
         return TurnPlaced(
-            attempt_id=asked.attempt_id,
+            attempt_id=request.attempt_id,
             engine=engine.incarnation,
             waited_s=now - turn.arrived_at,
             expected_s=choice.end_s,
@@ -85,11 +85,11 @@
 
 
 def _placed_turn(turn: WaitingTurn, choice: EngineChoice, now: float) -> PlacedTurn:
-    asked = turn.asked
+    request = turn.asked
     return PlacedTurn(
-        attempt_id=asked.attempt_id,
-        program_id=asked.program_id,
-        tokens=asked.demand.prompt_tokens + asked.most_tokens,
+        attempt_id=request.attempt_id,
+        program_id=request.program_id,
+        tokens=request.demand.prompt_tokens + request.most_tokens,
         placed_at=now,
         expected_s=choice.run_s,
         expected_slowdown=choice.slowdown,
--- a/src/passlane/decisions/scheduling/turn_entry.py
+++ b/src/passlane/decisions/scheduling/turn_entry.py
@@ -39,10 +39,10 @@
         self._slot_assigner = slot_assigner
 
     def request_slot(
-        self, asked: TurnAsked, program: ProgramProgress, service: ServiceTurns, now: float
+        self, request: TurnAsked, program: ProgramProgress, service: ServiceTurns, now: float
     ) -> list[TurnDecision]:
         """Place, queue or refuse a turn; return no decision if it is queued."""
-        turn = self._waiting_turn(asked, program, service, now)
+        turn = self._waiting_turn(request, program, service, now)
         choice = self._immediate_choice(turn, service, now)
         if choice is not None:
             return [self._slot_assigner.assign(turn, choice, service, now)]
@@ -64,20 +64,20 @@
         return refused
 
     def _waiting_turn(
-        self, asked: TurnAsked, program: ProgramProgress, service: ServiceTurns, now: float
+        self, request: TurnAsked, program: ProgramProgress, service: ServiceTurns, now: float
     ) -> WaitingTurn:
-        is_new = asked.is_first and program.turns == 0
+        is_new = request.is_first and program.turns == 0
         is_looping = self._programs.is_looping(program)
         asked_at, hold_until = now, math.inf
         if is_new:
             admission = service.admission
-            asked_at = admission.first_asked_at(asked.program_id, now)
-            came_as_told = admission.came_as_told(asked.program_id, now)
-            hold_until = now + hold_s(came_as_told=came_as_told)
+            asked_at = admission.first_asked_at(request.program_id, now)
+            retried_on_time = admission.came_as_told(request.program_id, now)
+            hold_until = now + hold_s(came_as_told=retried_on_time)
         elif is_looping:
             hold_until = now + LONGEST_LOOPING_HOLD_S
         return WaitingTurn(
-            asked=asked,
+            asked=request,
             asked_at=asked_at,
             arrived_at=now,
             latest_start=self._programs.latest_start(program),
--- a/src/passlane/decisions/scheduling/turn_scheduler.py
+++ b/src/passlane/decisions/scheduling/turn_scheduler.py
@@ -104,24 +104,24 @@
                 decisions += [_node_choice(t.attempt_id, now - t.arrived_at) for t in dequeued]
         return decisions + self._assign_all(now)
 
-    def ask(self, asked: TurnAsked, now: float) -> list[TurnDecision]:
+    def ask(self, request: TurnAsked, now: float) -> list[TurnDecision]:
         """Place, queue or refuse a turn."""
-        demand = asked.demand
+        demand = request.demand
         service = self._service(demand.service)
         if self.node_chooses(demand.service, now):
-            return [_node_choice(asked.attempt_id, 0.0)]
-        holder = self._engines.engine_of(asked.attempt_id)
+            return [_node_choice(request.attempt_id, 0.0)]
+        holder = self._engines.engine_of(request.attempt_id)
         if holder is not None:
             # The response to an earlier request of the same attempt was lost.
             engine = holder.incarnation
-            return [TurnPlaced(attempt_id=asked.attempt_id, engine=engine, waited_s=0.0)]
+            return [TurnPlaced(attempt_id=request.attempt_id, engine=engine, waited_s=0.0)]
         program = self._programs.see(
-            asked.program_id, demand.route, demand.program_time_left_s, now
+            request.program_id, demand.route, demand.program_time_left_s, now
         )
-        used_last = self._programs.engine_of_history(program, asked.used_last)
-        if used_last != asked.used_last:
-            asked = msgspec.structs.replace(asked, used_last=used_last)
-        return self._admission.request_slot(asked, program, service, now)
+        used_last = self._programs.engine_of_history(program, request.used_last)
+        if used_last != request.used_last:
+            request = msgspec.structs.replace(request, used_last=used_last)
+        return self._admission.request_slot(request, program, service, now)
 
     def node_chooses(self, service_name: str, now: float) -> bool:
         """Whether nodes choose the engines: the leader is new, or it lists none for the service."""
--- a/tests/decisions/scheduling/test_failing_engines.py
+++ b/tests/decisions/scheduling/test_failing_engines.py
@@ -8,7 +8,7 @@
 import itertools
 import unittest
 
-from decisions.scheduling.test_turn_scheduler import asked, ended, engine
+from decisions.scheduling.test_turn_scheduler import ended, engine, slot_request
 from passlane.decisions.inputs.turn_events import TurnPlaced
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 
@@ -45,7 +45,7 @@
             while requests and requests[0][0] <= self.now:
                 _, program = heapq.heappop(requests)
                 self.programs[attempt := f"t{next(self.numbers)}"] = program
-                decisions += self.scheduler.ask(asked(attempt, program), self.now)
+                decisions += self.scheduler.ask(slot_request(attempt, program), self.now)
             for decision in decisions:
                 if isinstance(decision, TurnPlaced):
                     turn = (self.now + TURN_S, decision.attempt_id, decision.engine)
@@ -96,7 +96,7 @@
 
     def ask(self, name, now):
         """Request a slot for a running program; return its engine, ``None`` if it waits."""
-        decisions = self.scheduler.ask(asked(name, f"p-{name}", is_first=False), now)
+        decisions = self.scheduler.ask(slot_request(name, f"p-{name}", is_first=False), now)
         return decisions[0].engine if decisions else None
 
     def fill(self, now):
--- a/tests/decisions/scheduling/test_turn_scheduler.py
+++ b/tests/decisions/scheduling/test_turn_scheduler.py
@@ -32,7 +32,7 @@
     return BackendRecord(name, "llm", Address("10.0.0.1", 80), "a", slots, state)
 
 
-def asked(attempt: str, program: str = "", **given: object) -> TurnAsked:
+def slot_request(attempt: str, program: str = "", **given: object) -> TurnAsked:
     """Return a turn's request; it is the first of its program unless ``is_first=False``."""
     demand = {"urgency": NORMAL, "program_time_left_s": 5.0, "tenant": "", "memory_tokens": 0}
     demand |= {key: given.pop(key) for key in list(given) if key in demand}
@@ -66,7 +66,7 @@
 
     def place(self, attempt: str, program: str = "", now: float = 0.0, **given: object) -> str:
         """Request a slot that is assigned at once, and return its engine."""
-        (decision,) = self.scheduler.ask(asked(attempt, program, **given), now)
+        (decision,) = self.scheduler.ask(slot_request(attempt, program, **given), now)
         self.assertIsInstance(decision, TurnPlaced)
         return decision.engine
 
@@ -77,7 +77,7 @@
 
     def wait(self, attempt: str, program: str = "", now: float = 0.0, **given: object) -> None:
         """Request a slot for a turn that must wait."""
-        self.assertEqual(self.scheduler.ask(asked(attempt, program, **given), now), [])
+        self.assertEqual(self.scheduler.ask(slot_request(attempt, program, **given), now), [])
 
     def placed_after(self, attempt: str, now: float) -> list[str]:
         """End a turn and return the attempts that get a slot by it."""
@@ -145,7 +145,9 @@
         for number, attempt in enumerate(["first", "first1", "first2", "first3"]):
             now = 0.3 + 0.05 * number
             placed_attempts += self.placed_after(attempt, now)
-            returns = asked(f"back{number}", f"cycles{number}", is_first=False, used_last="e1")
+            returns = slot_request(
+                f"back{number}", f"cycles{number}", is_first=False, used_last="e1"
+            )
             placed_attempts += [d.attempt_id for d in self.scheduler.ask(returns, now)]
         self.assertEqual(placed_attempts[0], "urgent")
 
@@ -153,7 +155,7 @@
         self.list_engines(engine("e1", 6), engine("e2", 6))
         self.fill(12)
         for number in range(20):
-            self.scheduler.ask(asked(f"many{number}", tenant="many"), 0.0)
+            self.scheduler.ask(slot_request(f"many{number}", tenant="many"), 0.0)
         self.wait("few", tenant="few")
         placed_attempts = [
             attempt for full in range(2) for attempt in self.placed_after(f"full{full}", 0.1)
@@ -191,7 +193,7 @@
 
     def test_a_new_program_goes_where_its_shared_prefix_is_cached(self):
         demand = {"prompt_tokens": 13_000}
-        first = asked("a", **demand)
+        first = slot_request("a", **demand)
         turn_with_prefix = TurnAsked(
             attempt_id="a",
             program_id="p",
@@ -215,7 +217,7 @@
 
     def turn_with_prefix(self, attempt: str, tokens: int) -> TurnAsked:
         """Return the first turn of a program whose prompt begins with a shared prefix."""
-        turn = asked(attempt, prompt_tokens=tokens + 500)
+        turn = slot_request(attempt, prompt_tokens=tokens + 500)
         demand = msgspec.structs.replace(turn.demand, shared_part="part", shared_tokens=tokens)
         return msgspec.structs.replace(turn, demand=demand)
 
@@ -247,7 +249,7 @@
                 took_s = 0.3 if instance == "e2" else 0.1
                 self.scheduler.end(ended(attempt, instance, took_s), at)
             self.scheduler.advance(now)
-            (decision,) = self.scheduler.ask(asked(f"t{number}"), now)
+            (decision,) = self.scheduler.ask(slot_request(f"t{number}"), now)
             instance = decision.engine
             placed[instance] += 1
             took_s = 0.3 if instance == "e2" else 0.1
@@ -271,7 +273,7 @@
         placed: list[str] = []
         for number in range(30):
             now = 0.05 * number
-            small = asked(
+            small = slot_request(
                 f"s{number}",
                 f"q{number}",
                 is_first=False,
@@ -346,16 +348,16 @@
 
 class AdmissionTest(SchedulerTest):
     def refuse(self, attempt: str, now: float = 0.0, **given: object) -> TurnNotPlaced:
-        (decision,) = self.scheduler.ask(asked(attempt, **given), now)
+        (decision,) = self.scheduler.ask(slot_request(attempt, **given), now)
         self.assertIsInstance(decision, TurnNotPlaced)
         return decision
 
     def fill_queue(self, now: float = 0.0) -> int:
         """Let new programs wait until the next one is refused; return how many wait."""
         for number in range(1_000):
-            if self.scheduler.ask(asked(f"crowd{number}"), now):
+            if self.scheduler.ask(slot_request(f"crowd{number}"), now):
                 return number
-        raise AssertionError("all programs are held")
+        raise AssertionError("no program was refused")
 
     def test_programs_that_can_begin_soon_wait(self):
         self.fill()
@@ -444,7 +446,7 @@
         self.list_engines(engine("e1", 6), engine("e2", 6))
         self.fill(12)
         for number in range(20):
-            self.scheduler.ask(asked(f"many{number}", tenant="many"), 0.0)
+            self.scheduler.ask(slot_request(f"many{number}", tenant="many"), 0.0)
         self.wait("few", tenant="few")
 
     def test_an_urgent_program_does_not_wait_for_queued_ones(self):
--- a/tests/decisions/scheduling/turn_load.py
+++ b/tests/decisions/scheduling/turn_load.py
@@ -310,7 +310,7 @@
                 self._at(self.now + FAILOVER_S, lambda: self._send(program, events, tokens, on_end))
 
         self._callbacks[attempt_id] = decided
-        asked = TurnAsked(
+        request = TurnAsked(
             attempt_id=attempt_id,
             program_id=program.program_id,
             is_first=program.is_first,
@@ -332,7 +332,7 @@
         )
         self._at(
             self.now + STORE_DELAY_S,
-            lambda: self._apply_decisions(self.scheduler.ask(asked, self.now)),
+            lambda: self._apply_decisions(self.scheduler.ask(request, self.now)),
         )
 
     def _retry(
