--- a/src/passlane/programs/__init__.py
+++ b/src/passlane/programs/__init__.py
@@ -1,1 +1,1 @@
-"""Pure state machines for the calls of a program, as seen by the leading node."""
+"""Pure state machines and rules for the calls of a program, run by the node that leads it."""
--- a/src/passlane/programs/call_events.py
+++ b/src/passlane/programs/call_events.py
@@ -1,4 +1,4 @@
-"""Events that the state machine of one call is told of."""
+"""Input events of the state machine of one call (``CallMachine``)."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class IntentRecorded:
-    """The store holds the call; ``already_recorded`` when it was begun before.
+    """The store recorded the call's intent.
 
-    ``proved_not_run`` is set when this leader itself saw every earlier attempt refused.
+    Attributes
+    ----------
+    call
+        The call as recorded.
+    already_recorded
+        Whether the intent was already recorded before this request.
+    proved_not_run
+        Whether this leader knows that no earlier attempt ran.
     """
 
     call: CallRecord
@@ -21,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IntentRefused:
-    """The store refused the call or could not be reached; nothing ran."""
+    """The store refused the intent or could not be reached; this request ran nothing."""
 
     code: ErrorCode
     message: str
@@ -30,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrdered:
-    """The scheduler found a place: ``backend`` is an engine or an application."""
+    """The scheduler placed the call on ``backend``, an engine or an application."""
 
     backend: str
     priority: int = 0
@@ -38,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRefused:
-    """The scheduler gave the call up before it was started anywhere."""
+    """The scheduler refused the call before any attempt was started."""
 
     code: ErrorCode
     message: str
@@ -47,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenReceived:
-    """A token of an answer; ``position`` counts the answer's tokens from 0."""
+    """A token of an attempt's answer; ``position`` is its zero-based index in the answer."""
 
     attempt_id: str
     position: int
@@ -56,10 +63,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFinished:
-    """An attempt brought its whole answer.
+    """An attempt completed.
 
-    ``body`` is the tool's answer; a model's answer is made of its tokens. ``answer_tokens``
-    is the length of the whole answer, resumed part included; ``None`` for a tool.
+    Attributes
+    ----------
+    body
+        Answer of a tool; empty for a model, whose answer consists of its tokens.
+    answer_tokens
+        Length of the whole answer in tokens, including the part before ``resume_from``;
+        ``None`` for a tool.
     """
 
     attempt_id: str
@@ -71,16 +83,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptFailed:
-    """An attempt ended without its answer.
+    """An attempt ended without a complete answer.
 
     Attributes
     ----------
     verdict
-        Whether the back end may have run it.
+        Whether the back end may have run the attempt.
     is_final
-        The back end rejected the request itself; sending it again would not help.
+        The back end rejected the request; a retry would be rejected too.
     retry_allowed
-        Whether the back end's retry budget has room for one more attempt.
+        Whether the back end's retry budget allows another attempt.
     """
 
     attempt_id: str
@@ -94,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StatusReceived:
-    """An application's answer about an operation; ``state`` is ``None`` if it gave none."""
+    """Result of a status query; ``state`` is ``None`` if the application gave no answer."""
 
     state: OperationState | None
     result: str = ""
@@ -102,17 +114,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryDue:
-    """The pause before the next attempt or status query is over."""
+    """The delay before the next attempt or status query has elapsed."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRecorded:
-    """The store holds the outcome."""
+    """The store recorded the outcome."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeRefused:
-    """The store would not take the outcome: leadership was lost, or it stayed away."""
+    """The store did not confirm the outcome: leadership was lost, or it was unreachable."""
 
     code: ErrorCode
     message: str
@@ -120,17 +132,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerGone:
-    """Nobody waits for this answer any more."""
+    """The last caller waiting for this answer disconnected."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeadlinePassed:
-    """The caller's time is up."""
+    """The caller's deadline passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """The program is to end, or has used up its time; ``code`` tells the caller why."""
+    """The program is being ended or passed its deadline; ``code`` is returned to the caller."""
 
     code: ErrorCode
     message: str
--- a/src/passlane/programs/call_identity.py
+++ b/src/passlane/programs/call_identity.py
@@ -1,4 +1,4 @@
-"""Names of calls: which repeat of a request is the same call, and what it asks for."""
+"""Identity of calls: the id under which repeated requests match, and a digest of the request."""
 
 import msgspec
 import xxhash
@@ -8,9 +8,10 @@
 
 
 def call_id_of(request: CallRequest) -> CallId:
-    """Return the call's id: from the caller's key, else its sequence, else the request.
+    """Return the call's id, derived from the idempotency key, the sequence or the request id.
 
-    A request that a node sends again keeps its request id and so names the same call.
+    The first of the three that is set is used. A request that a node resends keeps its
+    request id and therefore its call id.
     """
     if request.idempotency_key is not None:
         name = f"k{xxhash.xxh3_128_hexdigest(request.idempotency_key.encode())}"
@@ -22,6 +23,6 @@
 
 
 def request_digest(request: CallRequest) -> str:
-    """Return a digest of what the call asks for; a repeat must have the same."""
-    asked = (request.kind, request.target, request.turns, request.arguments, request.max_tokens)
-    return xxhash.xxh3_128_hexdigest(msgspec.msgpack.encode(asked))
+    """Return a digest of the request's content, which a repeat of the call must match."""
+    content = (request.kind, request.target, request.turns, request.arguments, request.max_tokens)
+    return xxhash.xxh3_128_hexdigest(msgspec.msgpack.encode(content))
--- a/src/passlane/programs/call_instructions.py
+++ b/src/passlane/programs/call_instructions.py
@@ -1,4 +1,4 @@
-"""Instructions that the state machine of one call gives to its shell."""
+"""Instructions of the state machine of one call (``CallMachine``), executed by its runner."""
 
 from dataclasses import dataclass
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestPlacement:
-    """Ask for a place to run; ``excluded`` back ends have failed this call."""
+    """Ask the scheduler for a back end; ``excluded`` ones have failed this call."""
 
     excluded: frozenset[str]
     resume_from: int
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawPlacement:
-    """Take back a request for a place that was not answered yet."""
+    """Withdraw a placement request that is still pending."""
 
 
 @dataclass(frozen=True, slots=True)
 class StartAttempt:
-    """Send the call to a back end; ``resume_from`` tokens of the answer are there already."""
+    """Send the call to a back end; the answer resumes after ``resume_from`` received tokens."""
 
     attempt_id: str
     backend: str
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Abandon an attempt: close its connection and tell the engine."""
+    """Abandon an attempt: close its connection, which tells the back end to stop."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class AskStatus:
-    """Ask the application what became of the operation; report ``StatusReceived``."""
+    """Query the application for the status of the operation; report ``StatusReceived``."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordOutcome:
-    """Send ``FinishCall`` to the store and report the result."""
+    """Send ``FinishCall`` to the store; report ``OutcomeRecorded`` or ``OutcomeRefused``."""
 
     outcome: CallOutcome
     turns: tuple[Turn, ...]
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendToken:
-    """Pass a token of the answer on to the caller."""
+    """Forward a token of the answer to the callers."""
 
     position: int
     text: str
@@ -72,10 +72,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendAnswer:
-    """Give the caller its last event; the call is over.
-
-    ``left_open`` says that no outcome was recorded, so that the same call can be run when
-    its caller repeats it; ``proved_not_run`` that nothing of it has run so far.
+    """Send the callers their last event, which ends this request.
+
+    Attributes
+    ----------
+    left_open
+        Whether no outcome was recorded, so that a repeat of the call may run it.
+    proved_not_run
+        Whether nothing of the call has run so far.
     """
 
     answer: CallAnswered | CallRefused
--- a/src/passlane/programs/call_machine.py
+++ b/src/passlane/programs/call_machine.py
@@ -1,9 +1,9 @@
 """State machine of one call, from its intent to its answer.
 
-The path of a call: intent recorded, placed, dispatched as an attempt, streaming, outcome
-recorded, answered. Whether a failed attempt is repeated depends on its verdict alone: what
-did not run may be sent again, a model call may be resumed elsewhere, and a tool call that
-must not be repeated is never sent again once it may have run.
+A call passes through these steps: intent recorded, placed, attempt running, outcome recorded,
+answered. An attempt that did not run may be retried. After one that may have run, a model call
+resumes on another engine and a repeatable tool call is sent again. Any other tool call is never
+sent again; its outcome is resolved by status queries.
 """
 
 from passlane.errors import ErrorCode, Verdict
@@ -45,25 +45,25 @@
 from passlane.programs.recorded_answer import recorded_answer
 
 MAX_ATTEMPTS = 4
-"""Most attempts at one call within one request."""
+"""Attempts at one call within one request."""
 
 MAX_STATUS_QUERIES = 6
-"""Most status queries before a doubtful operation is answered as such."""
+"""Status queries before an operation in doubt is recorded as ``MAY_HAVE_RUN``."""
 
-FIRST_RETRY_DELAY_S = 0.05
-"""Pause before the first repeat; doubled for each further one."""
+INITIAL_RETRY_DELAY_S = 0.05
+"""Delay before the first retry or repeated status query; doubled for each further one."""
 
-COME_BACK_AFTER_S = 1.0
-"""Advice to callers when a back end failed and gave none of its own."""
+DEFAULT_RETRY_AFTER_S = 1.0
+"""Retry-after returned to callers when a back end failed without giving its own."""
 
 
 class CallMachine:
-    """Decides what happens next to one call; see the module's text.
+    """Turns the events of one call into instructions; see the module's docstring.
 
     Parameters
     ----------
     attempt_prefix
-        Begins the ids of its attempts; never used before.
+        Prefix of the ids of its attempts; unique to this request.
     may_have_run
         Whether an earlier request for the same call may have run it.
     """
@@ -80,21 +80,21 @@
         self._failed_backends: set[str] = set()
         self._status_queries = 0
         self._may_have_run = may_have_run
-        self._caller_gone = False
+        self._caller_disconnected = False
         self._outcome: CallOutcome | None = None
         self._usage = AttemptFinished(attempt_id="")
         self._resumed_from = 0
-        self._broken_tokens = 0
+        self._failed_attempt_tokens = 0
         self._last_failure: AttemptFailed | None = None
 
     @property
     def attempt_id(self) -> str | None:
-        """Attempt whose answer counts; any other is late and is dropped."""
+        """Current attempt; events of any other attempt are stale and dropped."""
         return self._attempt_id
 
     @property
     def verdict_if_cut_off(self) -> Verdict:
-        """What may be said of the call when its leader stops all work on it at this moment."""
+        """Verdict of the call if its leader aborted it now."""
         may_have_run = self._may_have_run or self._attempt_id is not None
         return Verdict.MAY_HAVE_RUN if may_have_run else Verdict.NOT_RUN
 
@@ -104,7 +104,7 @@
         return [RecordIntent()]
 
     def handle(self, event: CallEventIn, now: float) -> list[CallInstruction]:
-        """Take one event at local time ``now`` (seconds) and return what to do."""
+        """Handle one event at local monotonic time ``now`` (seconds); return the instructions."""
         del now
         if self.phase is CallPhase.ANSWERED:
             return []
@@ -132,7 +132,7 @@
             case OutcomeRefused():
                 return self._on_outcome_refused(event)
             case CallerGone():
-                return self._on_caller_gone()
+                return self._on_caller_disconnected()
             case DeadlinePassed():
                 return self._on_deadline()
             case StopRequested():
@@ -147,14 +147,14 @@
         if event.call.state is CallState.FINISHED:
             self.phase = CallPhase.ANSWERED
             return [SendAnswer(recorded_answer(event.call))]
-        if self._caller_gone and not self.plan.is_named:
-            return self._give_up_unnamed()
+        if self._caller_disconnected and not self.plan.is_named:
+            return self._abandon_unnamed()
         if event.already_recorded and not event.proved_not_run:
-            # An earlier leader or an earlier request may have sent it already.
+            # An earlier leader or an earlier request may already have sent the call.
             self._may_have_run = True
             if not self._may_repeat_after_doubt:
                 return self._resolve_doubt()
-            self._broken_tokens += self.plan.max_tokens
+            self._failed_attempt_tokens += self.plan.max_tokens
         return self._place()
 
     # Placement and attempts.
@@ -205,7 +205,7 @@
         return [SendToken(position=event.position, text=event.text)]
 
     def _fail_on_gap(self, event: TokenReceived) -> list[CallInstruction]:
-        """Give up an attempt that lost a token: what follows would not be the answer."""
+        """Abandon an attempt whose stream skipped a token."""
         failure = AttemptFailed(
             attempt_id=event.attempt_id,
             verdict=Verdict.MAY_HAVE_RUN,
@@ -227,18 +227,18 @@
             return self._on_attempt_failed(failure)
         self._usage = event
         body = event.body if self.plan.kind is CallKind.TOOL else "".join(self.texts)
-        return self._record(self._ran(body))
+        return self._record(self._ran_outcome(body))
 
-    def _ran(self, body: str) -> CallOutcome:
-        return ran_outcome(self.plan, body, self._most_generated())
+    def _ran_outcome(self, body: str) -> CallOutcome:
+        return ran_outcome(self.plan, body, self._max_generated_tokens())
 
-    def _most_generated(self) -> int:
-        """Return the tokens that engines may have generated, those of broken attempts included."""
-        if not self._broken_tokens:
+    def _max_generated_tokens(self) -> int:
+        """Return an upper bound of the generated tokens, including those of failed attempts."""
+        if not self._failed_attempt_tokens:
             return len(self.texts)
-        return self._broken_tokens + len(self.texts) - self._resumed_from
+        return self._failed_attempt_tokens + len(self.texts) - self._resumed_from
 
-    def _failed(self, verdict: Verdict, code: ErrorCode, message: str) -> CallOutcome:
+    def _failed_outcome(self, verdict: Verdict, code: ErrorCode, message: str) -> CallOutcome:
         return failed_outcome(self.plan, verdict, code, message)
 
     def _on_attempt_failed(self, event: AttemptFailed) -> list[CallInstruction]:
@@ -249,64 +249,64 @@
         self._failed_backends.add(self._backend)
         if event.verdict is not Verdict.NOT_RUN:
             self._may_have_run = True
-            self._broken_tokens += self.plan.max_tokens - self._resumed_from
+            self._failed_attempt_tokens += self.plan.max_tokens - self._resumed_from
             if not self._may_repeat_after_doubt:
                 return self._resolve_doubt()
         if event.is_final:
-            # The rejection speaks for its own attempt only.
+            # The rejection covers this attempt only; an earlier one may have run.
             verdict = Verdict.MAY_HAVE_RUN if self._may_have_run else event.verdict
-            return self._record(self._failed(verdict, event.code, event.message))
+            return self._record(self._failed_outcome(verdict, event.code, event.message))
         if self.attempts >= MAX_ATTEMPTS or not event.retry_allowed:
-            retry_after_s = event.retry_after_s or COME_BACK_AFTER_S
+            retry_after_s = event.retry_after_s or DEFAULT_RETRY_AFTER_S
             return self._refuse(event.code, event.message, retry_after_s)
         if self.plan.kind is CallKind.MODEL:
-            # Another engine is asked at once; the pause is for the only place there is.
+            # Another engine can be tried without a delay; a tool has only its one application.
             return self._place()
         self.phase = CallPhase.PAUSED_BEFORE_RETRY
         return [WaitBeforeRetry(self._retry_delay(self.attempts))]
 
     def _retry_delay(self, tries: int) -> float:
-        return FIRST_RETRY_DELAY_S * float(2 ** max(0, tries - 1))
+        return INITIAL_RETRY_DELAY_S * float(2 ** max(0, tries - 1))
 
     def _on_retry_due(self) -> list[CallInstruction]:
         if self.phase is CallPhase.PAUSED_BEFORE_RETRY:
             return self._place()
         if self.phase is CallPhase.PAUSED_BEFORE_STATUS:
-            self.phase = CallPhase.ASKING_STATUS
+            self.phase = CallPhase.QUERYING_STATUS
             return [AskStatus()]
         return []
 
-    # Doubtful operations.
+    # Operations in doubt.
 
     def _resolve_doubt(self) -> list[CallInstruction]:
-        """Find out what became of an operation that must not be sent again."""
+        """Query the status of an operation in doubt that must not be sent again."""
         if not self.plan.offers_status or self._status_queries >= MAX_STATUS_QUERIES:
-            return self._record_doubt()
+            return self._record_in_doubt()
         self._status_queries += 1
         if self._status_queries == 1:
-            self.phase = CallPhase.ASKING_STATUS
+            self.phase = CallPhase.QUERYING_STATUS
             return [AskStatus()]
         self.phase = CallPhase.PAUSED_BEFORE_STATUS
         return [WaitBeforeRetry(self._retry_delay(self._status_queries))]
 
-    def _record_doubt(self) -> list[CallInstruction]:
+    def _record_in_doubt(self) -> list[CallInstruction]:
         code = self._last_failure.code if self._last_failure else ErrorCode.BACKEND_FAILED
         message = "the operation may have run and is not sent again"
-        return self._record(self._failed(Verdict.MAY_HAVE_RUN, code, message))
+        return self._record(self._failed_outcome(Verdict.MAY_HAVE_RUN, code, message))
 
     def _on_status(self, event: StatusReceived) -> list[CallInstruction]:
-        if self.phase is not CallPhase.ASKING_STATUS:
+        if self.phase is not CallPhase.QUERYING_STATUS:
             return []
         match event.state:
             case OperationState.DONE:
-                return self._record(self._ran(event.result))
+                return self._record(self._ran_outcome(event.result))
             case OperationState.REJECTED:
                 message = event.result or "the application rejected the operation"
-                outcome = self._failed(Verdict.NOT_RUN, ErrorCode.BACKEND_REFUSED, message)
+                outcome = self._failed_outcome(Verdict.NOT_RUN, ErrorCode.BACKEND_REFUSED, message)
                 return self._record(outcome)
             case OperationState.UNKNOWN:
                 message = "the application never ran the operation and no longer will"
-                outcome = self._failed(Verdict.NOT_RUN, ErrorCode.BACKEND_FAILED, message)
+                outcome = self._failed_outcome(Verdict.NOT_RUN, ErrorCode.BACKEND_FAILED, message)
                 return self._record(outcome)
             case _:
                 return self._resolve_doubt()
@@ -341,17 +341,17 @@
         if self.phase is not CallPhase.RECORDING_OUTCOME or self._outcome is None:
             return []
         self.phase = CallPhase.ANSWERED
-        # The outcome may be recorded by a later leader, which the same request finds.
+        # A later leader may record the outcome; a repeat of the request then finds it.
         verdict = self._outcome.verdict
         if verdict is Verdict.RAN:
             verdict = Verdict.MAY_HAVE_RUN
-        refused = CallRefused(event.code, event.message, verdict, COME_BACK_AFTER_S)
+        refused = CallRefused(event.code, event.message, verdict, DEFAULT_RETRY_AFTER_S)
         return [SendAnswer(refused, left_open=True)]
 
     def _refuse(
         self, code: ErrorCode, message: str, retry_after_s: float | None
     ) -> list[CallInstruction]:
-        """Answer at once and leave the call open, so that the same call can be repeated."""
+        """Answer without recording an outcome, so that the same call can be repeated."""
         self.phase = CallPhase.ANSWERED
         verdict = Verdict.MAY_HAVE_RUN if self._may_have_run else Verdict.NOT_RUN
         refused = CallRefused(code, message, verdict, retry_after_s)
@@ -360,15 +360,15 @@
 
     # The caller.
 
-    def _on_caller_gone(self) -> list[CallInstruction]:
-        self._caller_gone = True
+    def _on_caller_disconnected(self) -> list[CallInstruction]:
+        self._caller_disconnected = True
         if self.plan.is_named or self.plan.kind is CallKind.TOOL:
-            # The caller can ask again and then gets the outcome; let it come about.
+            # A named call can be repeated to get its outcome, and a tool call must be recorded.
             return []
-        return self._give_up_unnamed()
+        return self._abandon_unnamed()
 
-    def _give_up_unnamed(self) -> list[CallInstruction]:
-        """Leave the call open: its caller's node may have lost only the connection to here."""
+    def _abandon_unnamed(self) -> list[CallInstruction]:
+        """Cancel the call but leave it open: its caller's node may reconnect and resend it."""
         if self.phase is CallPhase.RECORDING_OUTCOME:
             return []
         if self.phase is CallPhase.RECORDING_INTENT and self.sequence < 0:
@@ -390,15 +390,15 @@
             return self._on_outcome_refused(
                 OutcomeRefused(ErrorCode.DEADLINE_EXCEEDED, "the outcome was not recorded in time")
             )
-        # A doubtful operation stays open: a repeat of the request, the program's next call
-        # or the sweep finds out what became of it, while this caller is answered now.
+        # An operation in doubt stays open: a repeat of the request, the program's next call
+        # or the sweep resolves it later.
         instructions = self._stop_work()
         message = "the call did not end within its time"
-        refused = self._refuse(ErrorCode.DEADLINE_EXCEEDED, message, COME_BACK_AFTER_S)
+        refused = self._refuse(ErrorCode.DEADLINE_EXCEEDED, message, DEFAULT_RETRY_AFTER_S)
         return instructions + refused
 
     def _on_stop(self, event: StopRequested) -> list[CallInstruction]:
-        """Stop a model call; a tool call that is under way ends by itself, to be recorded."""
+        """Stop a model call; a running tool call continues so that its outcome is recorded."""
         is_tool_under_way = self.plan.kind is CallKind.TOOL and self.phase is not CallPhase.PLACING
         if self.phase is CallPhase.RECORDING_OUTCOME or is_tool_under_way:
             return []
--- a/src/passlane/programs/call_outcomes.py
+++ b/src/passlane/programs/call_outcomes.py
@@ -1,4 +1,4 @@
-"""Outcomes of a call as they are recorded: what it spent and what it adds to the history."""
+"""Recorded outcomes of a call: the amounts spent and the turns added to the history."""
 
 from passlane.errors import ErrorCode, Verdict
 from passlane.messages.common import Amounts
@@ -7,10 +7,10 @@
 
 
 def ran_outcome(plan: CallPlan, body: str, generated_tokens: int) -> CallOutcome:
-    """Return the outcome of a call that brought its answer ``body``.
+    """Return the outcome of a call that was answered with ``body``.
 
-    ``generated_tokens`` are all that engines may have generated, in attempts that broke off as
-    well; they count as far as they are reserved.
+    ``generated_tokens`` includes what failed attempts may have generated; the spent tokens are
+    capped at the reservation.
     """
     spent = Amounts(
         tokens=min(plan.new_prompt_tokens + generated_tokens, plan.reserve.tokens),
@@ -21,13 +21,13 @@
 
 
 def failed_outcome(plan: CallPlan, verdict: Verdict, code: ErrorCode, message: str) -> CallOutcome:
-    """Return the outcome of a failure; what may have run counts as spent."""
+    """Return the outcome of a failure; unless nothing ran, the whole reservation is spent."""
     spent = Amounts() if verdict is Verdict.NOT_RUN else plan.reserve
     return CallOutcome(verdict=verdict, error_code=code, error_message=message, spent=spent)
 
 
 def answer_turns(plan: CallPlan, outcome: CallOutcome) -> tuple[Turn, ...]:
-    """Return what the outcome adds to the program's history."""
+    """Return the turns that the outcome adds to the program's history."""
     if outcome.verdict is not Verdict.RAN:
         return ()
     if plan.kind is CallKind.MODEL:
--- a/src/passlane/programs/call_plan.py
+++ b/src/passlane/programs/call_plan.py
@@ -1,4 +1,4 @@
-"""What is fixed about a call, and where it is on its path."""
+"""The immutable plan of a call and the phases of its state machine."""
 
 import enum
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 
 
 class CallPhase(enum.Enum):
-    """Where a call is on its path."""
+    """Phase of a call's state machine."""
 
     CREATED = enum.auto()
     RECORDING_INTENT = enum.auto()
     PLACING = enum.auto()
     RUNNING = enum.auto()
     PAUSED_BEFORE_RETRY = enum.auto()
-    ASKING_STATUS = enum.auto()
+    QUERYING_STATUS = enum.auto()
     PAUSED_BEFORE_STATUS = enum.auto()
     RECORDING_OUTCOME = enum.auto()
     ANSWERED = enum.auto()
@@ -24,22 +24,22 @@
 
 @dataclass(frozen=True, slots=True)
 class CallPlan:
-    """What is fixed about a call.
+    """Parameters of a call that do not change while it runs.
 
     Attributes
     ----------
     new_prompt_tokens
         Estimated tokens of the caller's new messages, which are charged to the budget.
     reserve
-        Reserved from the budget; the call never spends more.
+        Amounts reserved from the budget; the recorded spending never exceeds them.
     price_micros
-        Price of a tool call that ran.
+        Price of a tool call that ran, in millionths of the currency unit.
     offers_status
-        Whether the application tells what became of an operation.
+        Whether the application answers status queries about an operation.
     is_named
-        Whether the caller can ask for the outcome again.
+        Whether the caller can repeat the call to get its outcome again.
     resume_texts
-        Texts of tokens that the caller already has.
+        Texts of the tokens that the caller has already received.
     """
 
     call_id: CallId
--- a/src/passlane/programs/recorded_answer.py
+++ b/src/passlane/programs/recorded_answer.py
@@ -1,11 +1,11 @@
-"""The answer to a call whose outcome is recorded already."""
+"""The answer to a repeat of a call whose outcome is recorded."""
 
 from passlane.messages.node import CallAnswered, CallRefused
 from passlane.messages.store import CallRecord
 
 
 def recorded_answer(call: CallRecord) -> CallAnswered | CallRefused:
-    """Return the last event that a caller of a finished call gets.
+    """Return the final event for a caller of a finished call.
 
     Raises
     ------
--- a/src/passlane/programs/token_estimate.py
+++ b/src/passlane/programs/token_estimate.py
@@ -1,14 +1,14 @@
-"""Estimates of how many tokens a text has, for reservations and placement."""
+"""Estimates of the token count of messages, for reservations and placement."""
 
 from collections.abc import Iterable
 
 from passlane.messages.store import Turn
 
 BYTES_PER_TOKEN = 4
-"""Usual length of a token in UTF-8 bytes."""
+"""Average length of a token in UTF-8 bytes."""
 
 TOKENS_PER_TURN = 4
-"""Tokens that mark a message's role and its borders."""
+"""Tokens for a message's role and delimiters."""
 
 
 def estimate_turn_tokens(turn: Turn) -> int:
--- a/tests/programs/call_driver.py
+++ b/tests/programs/call_driver.py
@@ -1,4 +1,4 @@
-"""Drives the state machine of one call and keeps what a back end and a caller would see."""
+"""Drives the state machine of one call and records the instructions it returns."""
 
 from dataclasses import dataclass, field
 
@@ -40,7 +40,7 @@
     is_named: bool = True,
     resume_texts: tuple[str, ...] = (),
 ) -> CallPlan:
-    """A plan of a model call, or of a charge that must not be repeated."""
+    """Return the plan of a model call, or of a charge that by default must not be repeated."""
     is_model = kind is CallKind.MODEL
     return CallPlan(
         call_id=CALL_ID,
@@ -58,7 +58,7 @@
 
 
 def call_record(plan: CallPlan, outcome: CallOutcome | None = None) -> CallRecord:
-    """The call as the store holds it."""
+    """Return the call as the store records it."""
     return CallRecord(
         call_id=plan.call_id,
         sequence=0,
@@ -75,12 +75,12 @@
 
 @dataclass
 class CallDriver:
-    """One request for a call, from its start to its answer.
+    """Runs one request for a call, from its start to its answer.
 
     Attributes
     ----------
     started, cancelled, tokens, outcomes, answers
-        What the machine has ordered so far.
+        Instructions returned so far, by type.
     """
 
     plan: CallPlan
@@ -97,7 +97,7 @@
         self.machine.start()
 
     def post(self, event: CallEventIn) -> list[CallInstruction]:
-        """Give the machine an event and keep its instructions."""
+        """Pass the machine an event and record its instructions."""
         instructions = self.machine.handle(event, 0.0)
         for instruction in instructions:
             match instruction:
@@ -113,23 +113,23 @@
                     self.answers.append(instruction)
         return instructions
 
-    # Usual steps.
+    # Common steps.
 
     def begin(self, *, already_recorded: bool = False, proved_not_run: bool = False) -> None:
-        """The intent is recorded."""
+        """Report that the intent is recorded."""
         self.post(IntentRecorded(call_record(self.plan), already_recorded, proved_not_run))
 
     def dispatch(self, backend: str = "engine-1") -> str:
-        """A place is found; return the attempt's id."""
+        """Report that the call is placed; return the attempt's id."""
         self.post(StartOrdered(backend))
         return self.started[-1].attempt_id
 
     def token(self, position: int, attempt_id: str | None = None) -> list[CallInstruction]:
-        """An attempt, by default the last one, brings a token."""
+        """Report a token of an attempt, by default of the last one."""
         return self.post(TokenReceived(attempt_id or self._last(), position, f"t{position}"))
 
     def finish(self, answer_tokens: int | None = None, body: str = "") -> list[CallInstruction]:
-        """The last attempt brings its answer."""
+        """Report that the last attempt completed."""
         return self.post(AttemptFinished(self._last(), body=body, answer_tokens=answer_tokens))
 
     def fail(
@@ -140,7 +140,7 @@
         retry_allowed: bool = True,
         retry_after_s: float | None = None,
     ) -> list[CallInstruction]:
-        """The last attempt fails."""
+        """Report that the last attempt failed."""
         return self.post(
             AttemptFailed(
                 self._last(),
@@ -154,17 +154,17 @@
         )
 
     def record_outcome(self) -> None:
-        """The store takes the outcome."""
+        """Report that the outcome is recorded."""
         self.post(OutcomeRecorded())
 
     def _last(self) -> str:
         return self.started[-1].attempt_id
 
-    # What the caller got.
+    # Events sent to the caller.
 
     @property
     def texts(self) -> list[str]:
-        """Tokens that the caller got."""
+        """Tokens sent to the caller."""
         return [token.text for token in self.tokens]
 
     @property
--- a/tests/programs/test_call_machine.py
+++ b/tests/programs/test_call_machine.py
@@ -1,4 +1,4 @@
-"""The state machine of one call: late answers, cancels, lost store answers, deadlines."""
+"""State machine of one call: stale events, cancellation, lost store replies, deadlines."""
 
 import unittest
 
@@ -25,7 +25,7 @@
     WithdrawPlacement,
 )
 from passlane.programs.call_machine import (
-    FIRST_RETRY_DELAY_S,
+    INITIAL_RETRY_DELAY_S,
     MAX_ATTEMPTS,
     MAX_STATUS_QUERIES,
     CallMachine,
@@ -37,7 +37,7 @@
 
 
 def model_call(**plan: object) -> CallDriver:
-    """A model call whose first attempt runs."""
+    """Return a model call whose first attempt runs."""
     driver = CallDriver(call_plan(**plan))  # type: ignore[arg-type]
     driver.begin()
     driver.dispatch()
@@ -45,7 +45,7 @@
 
 
 def charge(*, repeatable: bool = False, offers_status: bool = True) -> CallDriver:
-    """A tool call whose first attempt runs."""
+    """Return a tool call whose first attempt runs."""
     plan = call_plan(CallKind.TOOL, repeatable=repeatable, offers_status=offers_status)
     driver = CallDriver(plan)
     driver.begin()
@@ -54,7 +54,7 @@
 
 
 class ModelAnswerTest(unittest.TestCase):
-    def test_whole_answer_is_recorded_before_it_is_given(self) -> None:
+    def test_answer_is_recorded_before_it_is_sent(self) -> None:
         driver = model_call()
         for position in range(3):
             driver.token(position)
@@ -65,7 +65,7 @@
         driver.record_outcome()
         self.assertEqual(driver.answered.body, "t0t1t2")
 
-    def test_engine_dead_mid_stream_goes_on_elsewhere_without_gap_or_repeat(self) -> None:
+    def test_call_resumes_on_another_engine_without_missing_or_repeated_tokens(self) -> None:
         driver = model_call()
         first = driver.started[0].attempt_id
         driver.token(0)
@@ -75,7 +75,7 @@
         driver.dispatch("engine-2")
         self.assertEqual(driver.started[1].resume_from, 2)
         self.assertEqual(driver.started[1].resume_text, "t0t1")
-        # The first attempt still speaks; the second one repeats a token that is there.
+        # A stale token of the first attempt, then a repeated token of the second one.
         driver.token(2, attempt_id=first)
         driver.token(1)
         driver.token(2)
@@ -85,13 +85,13 @@
         self.assertEqual([token.position for token in driver.tokens], [0, 1, 2])
         self.assertEqual(driver.answered.attempts, 2)
 
-    def test_late_end_of_an_earlier_attempt_ends_nothing(self) -> None:
+    def test_stale_token_of_an_earlier_attempt_is_dropped(self) -> None:
         driver = model_call()
-        late = driver.started[0].attempt_id
+        stale = driver.started[0].attempt_id
         driver.fail(Verdict.MAY_HAVE_RUN)
         driver.dispatch("engine-2")
         driver.token(0)
-        driver.token(1, attempt_id=late)
+        driver.token(1, attempt_id=stale)
         self.assertEqual(driver.machine.phase, CallPhase.RUNNING)
         self.assertEqual(driver.texts, ["t0"])
 
@@ -104,7 +104,7 @@
         driver.dispatch("engine-2")
         self.assertEqual(driver.started[1].resume_from, 1)
 
-    def test_answer_that_ends_before_its_last_token_is_no_answer(self) -> None:
+    def test_incomplete_answer_is_not_recorded(self) -> None:
         driver = model_call()
         driver.token(0)
         driver.finish(answer_tokens=2)
@@ -127,13 +127,13 @@
         self.assertEqual(driver.refused.verdict, Verdict.NOT_RUN)
         self.assertIsNotNone(driver.refused.retry_after_s)
 
-    def test_empty_retry_budget_refuses_at_once_with_the_back_ends_advice(self) -> None:
+    def test_exhausted_retry_budget_refuses_with_the_back_ends_retry_after(self) -> None:
         driver = model_call()
         driver.fail(Verdict.NOT_RUN, retry_allowed=False, retry_after_s=7.0)
         self.assertEqual(driver.refused.retry_after_s, 7.0)
         self.assertTrue(driver.answers[0].left_open)
 
-    def test_request_that_resumes_keeps_what_its_caller_has(self) -> None:
+    def test_resuming_request_keeps_the_received_tokens(self) -> None:
         driver = model_call(resume_texts=("t0", "t1"))
         self.assertEqual(driver.started[0].resume_from, 2)
         driver.token(2)
@@ -144,10 +144,10 @@
 
 
 class ToolVerdictTest(unittest.TestCase):
-    def test_proved_refusal_is_sent_again_after_a_pause(self) -> None:
+    def test_refused_attempt_is_retried_after_a_delay(self) -> None:
         driver = charge()
         (wait,) = driver.fail(Verdict.NOT_RUN)
-        self.assertEqual(wait, WaitBeforeRetry(FIRST_RETRY_DELAY_S))
+        self.assertEqual(wait, WaitBeforeRetry(INITIAL_RETRY_DELAY_S))
         driver.post(RetryDue())
         driver.dispatch("application")
         driver.finish(body="{}")
@@ -155,7 +155,7 @@
         self.assertEqual(driver.answered.verdict, Verdict.RAN)
         self.assertEqual(driver.outcomes[0].outcome.spent.money_micros, PRICE_MICROS)
 
-    def test_charge_that_may_have_run_is_asked_about_and_never_sent_again(self) -> None:
+    def test_charge_in_doubt_is_resolved_by_status_query_and_never_resent(self) -> None:
         results = {
             OperationState.DONE: Verdict.RAN,
             OperationState.REJECTED: Verdict.NOT_RUN,
@@ -172,7 +172,7 @@
                 money = PRICE_MICROS if verdict is Verdict.RAN else 0
                 self.assertEqual(driver.outcomes[0].outcome.spent.money_micros, money)
 
-    def test_status_queries_are_bounded_and_the_doubt_is_then_recorded(self) -> None:
+    def test_status_queries_are_bounded_and_then_may_have_run_is_recorded(self) -> None:
         driver = charge()
         driver.fail(Verdict.MAY_HAVE_RUN)
         for _ in range(MAX_STATUS_QUERIES):
@@ -183,20 +183,20 @@
         self.assertEqual(outcome.spent.money_micros, PRICE_MICROS)
         self.assertEqual(len(driver.started), 1)
 
-    def test_application_without_status_leaves_the_doubt(self) -> None:
+    def test_application_without_status_queries_leaves_the_charge_in_doubt(self) -> None:
         driver = charge(offers_status=False)
         driver.fail(Verdict.MAY_HAVE_RUN)
         driver.record_outcome()
         self.assertEqual(driver.refused.verdict, Verdict.MAY_HAVE_RUN)
 
-    def test_repeatable_tool_is_sent_again_whatever_became_of_it(self) -> None:
+    def test_repeatable_tool_is_retried_after_it_may_have_run(self) -> None:
         driver = charge(repeatable=True)
         driver.fail(Verdict.MAY_HAVE_RUN)
         driver.post(RetryDue())
         driver.dispatch("application")
         self.assertEqual(len(driver.started), 2)
 
-    def test_rejection_after_an_attempt_that_may_have_run_is_not_called_not_run(self) -> None:
+    def test_rejection_after_an_attempt_that_may_have_run_is_recorded_as_may_have_run(self) -> None:
         for driver in (charge(repeatable=True), model_call()):
             with self.subTest(driver.plan.kind):
                 driver.fail(Verdict.MAY_HAVE_RUN)
@@ -214,7 +214,7 @@
 
 
 class RepeatedRequestTest(unittest.TestCase):
-    def test_recorded_outcome_is_given_again(self) -> None:
+    def test_recorded_outcome_is_returned_again(self) -> None:
         plan = call_plan(CallKind.TOOL)
         outcome = CallOutcome(Verdict.RAN, body='{"receipt":1}')
         driver = CallDriver(plan)
@@ -222,18 +222,18 @@
         self.assertEqual(driver.answered.body, '{"receipt":1}')
         self.assertEqual(driver.started, [])
 
-    def test_open_charge_is_asked_about_instead_of_sent(self) -> None:
+    def test_open_charge_is_queried_instead_of_resent(self) -> None:
         driver = CallDriver(call_plan(CallKind.TOOL))
         driver.begin(already_recorded=True)
-        self.assertEqual(driver.machine.phase, CallPhase.ASKING_STATUS)
+        self.assertEqual(driver.machine.phase, CallPhase.QUERYING_STATUS)
         self.assertEqual(driver.started, [])
 
-    def test_open_charge_that_was_refused_before_may_be_sent(self) -> None:
+    def test_open_charge_that_was_refused_before_may_be_resent(self) -> None:
         driver = CallDriver(call_plan(CallKind.TOOL))
         driver.begin(already_recorded=True, proved_not_run=True)
         self.assertEqual(driver.machine.phase, CallPhase.PLACING)
 
-    def test_deadline_before_the_record_is_read_does_not_prove_an_open_charge_harmless(
+    def test_deadline_before_the_intent_is_recorded_keeps_an_open_charge_in_doubt(
         self,
     ) -> None:
         driver = CallDriver(call_plan(CallKind.TOOL), may_have_run=True)
@@ -241,7 +241,7 @@
         self.assertEqual(driver.refused.verdict, Verdict.MAY_HAVE_RUN)
         self.assertFalse(driver.answers[0].proved_not_run)
 
-    def test_open_model_call_runs_again_and_its_refusal_admits_the_doubt(self) -> None:
+    def test_refused_repeat_of_an_open_model_call_may_have_run(self) -> None:
         driver = CallDriver(call_plan())
         driver.begin(already_recorded=True)
         driver.post(StartRefused(ErrorCode.QUEUE_FULL, "full", 2.0))
@@ -256,7 +256,7 @@
         self.assertEqual(driver.refused.verdict, Verdict.NOT_RUN)
         self.assertEqual(driver.started, [])
 
-    def test_lost_answer_to_the_outcome_leaves_a_doubt(self) -> None:
+    def test_unconfirmed_outcome_may_have_run(self) -> None:
         driver = charge()
         driver.finish(body="{}")
         driver.post(OutcomeRefused(ErrorCode.TIMEOUT, "no answer"))
@@ -264,7 +264,7 @@
         self.assertIsNotNone(driver.refused.retry_after_s)
         self.assertFalse(driver.answers[0].proved_not_run)
 
-    def test_answer_of_the_store_after_the_end_changes_nothing(self) -> None:
+    def test_store_reply_after_the_deadline_is_ignored(self) -> None:
         driver = charge()
         driver.finish(body="{}")
         driver.post(DeadlinePassed())
@@ -273,13 +273,13 @@
 
 
 class CallerAndStopTest(unittest.TestCase):
-    def test_unnamed_call_is_cancelled_with_its_caller(self) -> None:
+    def test_unnamed_call_is_cancelled_when_its_caller_disconnects(self) -> None:
         driver = model_call(is_named=False)
         driver.post(CallerGone())
         self.assertEqual(driver.cancelled, [driver.started[0].attempt_id])
         self.assertEqual(driver.machine.phase, CallPhase.ANSWERED)
 
-    def test_caller_gone_while_the_intent_is_recorded_dispatches_nothing(self) -> None:
+    def test_disconnect_while_the_intent_is_recorded_starts_no_attempt(self) -> None:
         driver = CallDriver(call_plan(is_named=False))
         driver.post(CallerGone())
         self.assertEqual(driver.answers, [])
@@ -287,21 +287,21 @@
         self.assertEqual(driver.started, [])
         self.assertTrue(driver.answers[0].proved_not_run)
 
-    def test_caller_gone_while_a_place_is_sought_withdraws_the_request(self) -> None:
+    def test_disconnect_while_placing_withdraws_the_placement_request(self) -> None:
         driver = CallDriver(call_plan(is_named=False))
         driver.begin()
         self.assertIn(WithdrawPlacement(), driver.post(CallerGone()))
         driver.post(StartOrdered("engine-1"))
         self.assertEqual(driver.started, [])
 
-    def test_named_call_goes_on_without_its_caller(self) -> None:
+    def test_named_call_continues_after_its_caller_disconnects(self) -> None:
         driver = model_call()
         driver.post(CallerGone())
         driver.token(0)
         driver.finish(answer_tokens=1)
         self.assertEqual(driver.outcomes[0].outcome.body, "t0")
 
-    def test_cancelled_attempt_is_never_called_not_run(self) -> None:
+    def test_cancelled_attempt_may_have_run(self) -> None:
         for event in (CallerGone(), STOP, DeadlinePassed()):
             with self.subTest(type(event).__name__):
                 driver = model_call(is_named=False)
@@ -309,14 +309,14 @@
                 self.assertEqual(driver.refused.verdict, Verdict.MAY_HAVE_RUN)
                 self.assertFalse(driver.answers[0].proved_not_run)
 
-    def test_stop_lets_a_charge_under_way_end(self) -> None:
+    def test_stop_lets_a_running_charge_finish(self) -> None:
         driver = charge()
         self.assertEqual(driver.post(STOP), [])
         driver.finish(body="{}")
         driver.record_outcome()
         self.assertEqual(driver.answered.verdict, Verdict.RAN)
 
-    def test_stop_refuses_a_charge_that_waits_for_its_place(self) -> None:
+    def test_stop_refuses_a_charge_that_is_being_placed(self) -> None:
         driver = CallDriver(call_plan(CallKind.TOOL))
         driver.begin()
         driver.post(STOP)
@@ -324,11 +324,11 @@
 
 
 class DeadlineTest(unittest.TestCase):
-    """At each state the caller is answered at once, with the verdict that is true there."""
+    """In each phase the caller is answered immediately, with the verdict of that phase."""
 
     def check(self, driver: CallDriver, verdict: Verdict) -> None:
         driver.post(DeadlinePassed())
-        self.assertEqual(len(driver.answers), 1, "answered at once")
+        self.assertEqual(len(driver.answers), 1, "answered immediately")
         self.assertEqual(driver.refused.verdict, verdict)
         self.assertEqual(driver.refused.code, ErrorCode.DEADLINE_EXCEEDED)
         self.assertIsNotNone(driver.refused.retry_after_s)
@@ -340,7 +340,7 @@
         driver.begin()
         self.assertEqual(driver.started, [])
 
-    def test_while_a_place_is_sought(self) -> None:
+    def test_while_placing(self) -> None:
         driver = CallDriver(call_plan())
         driver.begin()
         self.check(driver, Verdict.NOT_RUN)
@@ -367,14 +367,14 @@
         driver.post(RetryDue())
         self.assertEqual(len(driver.started), 1)
 
-    def test_while_the_application_is_asked(self) -> None:
+    def test_while_the_status_is_queried(self) -> None:
         driver = charge()
         driver.fail(Verdict.MAY_HAVE_RUN)
         self.check(driver, Verdict.MAY_HAVE_RUN)
-        # A repeat asks again and may still learn the truth: no doubt was recorded.
+        # No outcome is recorded, so a repeat can still resolve the operation.
         self.assertEqual(driver.outcomes, [])
 
-    def test_between_two_questions_to_the_application(self) -> None:
+    def test_between_two_status_queries(self) -> None:
         driver = charge()
         driver.fail(Verdict.MAY_HAVE_RUN)
         driver.post(StatusReceived(None))
@@ -386,20 +386,20 @@
         self.check(driver, Verdict.MAY_HAVE_RUN)
 
 
-class CutOffTest(unittest.TestCase):
-    """What a leader says of a call on which it stops all work."""
+class AbortTest(unittest.TestCase):
+    """Verdict of a call that its leader aborts."""
 
-    def test_before_an_attempt_is_started_nothing_ran(self) -> None:
+    def test_not_run_before_the_first_attempt(self) -> None:
         driver = CallDriver(call_plan())
         self.assertIs(driver.machine.verdict_if_cut_off, Verdict.NOT_RUN)
         driver.begin()
         self.assertIs(driver.machine.verdict_if_cut_off, Verdict.NOT_RUN)
 
-    def test_an_earlier_request_that_may_have_run_it_counts(self) -> None:
+    def test_may_have_run_if_an_earlier_request_may_have_run_it(self) -> None:
         machine = CallMachine(call_plan(), "a", may_have_run=True)
         self.assertIs(machine.verdict_if_cut_off, Verdict.MAY_HAVE_RUN)
 
-    def test_a_started_attempt_may_have_run_until_it_proves_the_contrary(self) -> None:
+    def test_started_attempt_may_have_run_until_it_is_refused_as_not_run(self) -> None:
         driver = model_call()
         self.assertIs(driver.machine.verdict_if_cut_off, Verdict.MAY_HAVE_RUN)
         driver.fail(Verdict.NOT_RUN)
--- a/tests/programs/test_call_orders.py
+++ b/tests/programs/test_call_orders.py
@@ -1,4 +1,4 @@
-"""No order of events leads to a second dispatch of a charge or to a false ``not_run``."""
+"""No order of events resends a charge that may have run or reports a false ``not_run``."""
 
 import unittest
 
@@ -40,11 +40,16 @@
 
 
 class CallOrders(RuleBasedStateMachine):
-    """One call, requested again and again, under any order of events.
-
-    ``unproved`` are attempts that no refusal of the back end has proved harmless.
-    ``never_runs`` is set once the application has said that the operation never ran and
-    no longer will; ``has_run`` once it has said the opposite.
+    """One call, requested repeatedly, under random orders of events.
+
+    Attributes
+    ----------
+    possibly_run
+        Ids of the attempts that no back end has refused as not run.
+    proved_not_to_run
+        Whether the application reported that the operation did not and will not run.
+    has_run
+        Whether the application reported that the operation ran.
     """
 
     @initialize(
@@ -58,14 +63,14 @@
         self.is_recorded = False
         self.recorded: CallOutcome | None = None
         self.proved_not_run = False
-        self.received: list[str] = []
-        self.unproved: set[str] = set()
-        self.attempts_seen: list[str] = []
-        self.never_runs = False
+        self.received_texts: list[str] = []
+        self.possibly_run: set[str] = set()
+        self.attempt_ids: list[str] = []
+        self.proved_not_to_run = False
         self.has_run = False
-        self._request()
+        self._start_request()
 
-    def _request(self) -> None:
+    def _start_request(self) -> None:
         self.requests += 1
         plan = call_plan(
             CallKind.MODEL if self.kind == MODEL else CallKind.TOOL,
@@ -73,10 +78,10 @@
             offers_status=self.kind == CHARGE,
             max_tokens=ANSWER_TOKENS,
             is_named=self.is_named,
-            resume_texts=tuple(self.received),
+            resume_texts=tuple(self.received_texts),
         )
-        is_doubtful = self.is_recorded and not self.proved_not_run
-        self.driver = CallDriver(plan, f"a{self.requests}", may_have_run=is_doubtful)
+        is_in_doubt = self.is_recorded and not self.proved_not_run
+        self.driver = CallDriver(plan, f"a{self.requests}", may_have_run=is_in_doubt)
         self.checked_outcomes = 0
 
     @property
@@ -85,18 +90,18 @@
 
     @property
     def may_have_run(self) -> bool:
-        return self.has_run or bool(self.unproved and not self.never_runs)
+        return self.has_run or bool(self.possibly_run and not self.proved_not_to_run)
 
-    def is_at(self, *phases: CallPhase) -> bool:
+    def is_in_phase(self, *phases: CallPhase) -> bool:
         return self.driver.machine.phase in phases
 
     # The store.
 
-    @precondition(lambda self: self.is_at(CallPhase.RECORDING_INTENT))
+    @precondition(lambda self: self.is_in_phase(CallPhase.RECORDING_INTENT))
     @rule(is_answered=st.sampled_from((True, True, True, False)))
     def the_store_answers_the_intent(self, is_answered: bool) -> None:
         already_recorded = self.is_recorded
-        # Applied in any case: this is the harder one, when the answer is lost.
+        # Applied even if the reply is lost, which is the harder case.
         self.is_recorded = True
         if not is_answered:
             self.driver.post(IntentRefused(ErrorCode.TIMEOUT, "no answer"))
@@ -114,47 +119,47 @@
         else:
             self.driver.post(OutcomeRefused(ErrorCode.TIMEOUT, "no answer"))
 
-    # Places and back ends.
+    # Placement and back ends.
 
-    @precondition(lambda self: self.is_at(CallPhase.PLACING))
+    @precondition(lambda self: self.is_in_phase(CallPhase.PLACING))
     @rule(backend=st.sampled_from(("one", "two")))
-    def a_place_is_found(self, backend: str) -> None:
+    def a_backend_is_assigned(self, backend: str) -> None:
         if self.kind in (CHARGE, CHARGE_WITHOUT_STATUS):
-            assert not self.unproved, "a charge was dispatched twice"
+            assert not self.possibly_run, "a charge was dispatched twice"
         self.driver.post(StartOrdered(backend))
         start = self.driver.started[-1]
-        assert start.attempt_id not in self.attempts_seen, "an attempt id was used twice"
-        assert start.resume_from == len(self.received)
-        self.attempts_seen.append(start.attempt_id)
-        self.unproved.add(start.attempt_id)
-
-    @precondition(lambda self: self.is_at(CallPhase.PLACING))
-    @rule(patience=st.integers(0, 3))
-    def no_place_is_found(self, patience: int) -> None:
-        if patience > 0:
+        assert start.attempt_id not in self.attempt_ids, "an attempt id was used twice"
+        assert start.resume_from == len(self.received_texts)
+        self.attempt_ids.append(start.attempt_id)
+        self.possibly_run.add(start.attempt_id)
+
+    @precondition(lambda self: self.is_in_phase(CallPhase.PLACING))
+    @rule(weight=st.integers(0, 3))
+    def no_backend_is_assigned(self, weight: int) -> None:
+        if weight > 0:
             return
         self.driver.post(StartRefused(ErrorCode.QUEUE_FULL, "full", 1.0))
 
-    @precondition(lambda self: self.kind == MODEL and self.attempts_seen)
-    @rule(is_late=st.booleans(), skew=st.sampled_from((0, 0, 0, -1, 1)))
-    def a_token_comes(self, is_late: bool, skew: int) -> None:
-        attempt_id = self.attempts_seen[0 if is_late else -1]
+    @precondition(lambda self: self.kind == MODEL and self.attempt_ids)
+    @rule(is_stale=st.booleans(), skew=st.sampled_from((0, 0, 0, -1, 1)))
+    def a_token_arrives(self, is_stale: bool, skew: int) -> None:
+        attempt_id = self.attempt_ids[0 if is_stale else -1]
         before = len(self.driver.tokens)
-        self.driver.token(max(0, len(self.received) + skew), attempt_id)
+        self.driver.token(max(0, len(self.received_texts) + skew), attempt_id)
         for token in self.driver.tokens[before:]:
-            assert attempt_id == self.driver.machine.attempt_id, "a late token was passed on"
-            assert token.position == len(self.received), "a token twice, or one missing"
-            self.received.append(token.text)
+            assert attempt_id == self.driver.machine.attempt_id, "a stale token was forwarded"
+            assert token.position == len(self.received_texts), "a token was repeated or skipped"
+            self.received_texts.append(token.text)
 
-    @precondition(lambda self: self.is_at(CallPhase.RUNNING))
+    @precondition(lambda self: self.is_in_phase(CallPhase.RUNNING))
     @rule()
     def the_answer_ends(self) -> None:
         if self.kind == MODEL:
-            self.driver.finish(answer_tokens=len(self.received))
-        elif not self.never_runs:
+            self.driver.finish(answer_tokens=len(self.received_texts))
+        elif not self.proved_not_to_run:
             self.driver.finish(body="{}")
 
-    @precondition(lambda self: self.is_at(CallPhase.RUNNING))
+    @precondition(lambda self: self.is_in_phase(CallPhase.RUNNING))
     @rule(
         verdict=st.sampled_from((Verdict.NOT_RUN, Verdict.MAY_HAVE_RUN)),
         is_final=st.booleans(),
@@ -162,28 +167,30 @@
     )
     def the_attempt_fails(self, verdict: Verdict, is_final: bool, retry_allowed: bool) -> None:
         if verdict is Verdict.NOT_RUN and not self.driver.tokens:
-            self.unproved.discard(self.driver.started[-1].attempt_id)
+            self.possibly_run.discard(self.driver.started[-1].attempt_id)
         else:
-            # An engine that sent a token can no longer prove that it ran nothing.
+            # An engine that sent a token has run the call.
             verdict = Verdict.MAY_HAVE_RUN
         is_final = is_final and verdict is Verdict.NOT_RUN
         self.driver.fail(verdict, is_final=is_final, retry_allowed=retry_allowed)
 
-    @precondition(lambda self: self.is_at(CallPhase.ASKING_STATUS))
+    @precondition(lambda self: self.is_in_phase(CallPhase.QUERYING_STATUS))
     @rule(state=st.sampled_from((None, *OperationState)))
-    def the_application_tells_its_status(self, state: OperationState | None) -> None:
-        is_denial = state in (OperationState.UNKNOWN, OperationState.REJECTED)
-        if (is_denial and self.has_run) or (state is OperationState.DONE and self.never_runs):
+    def the_application_reports_status(self, state: OperationState | None) -> None:
+        is_denied = state in (OperationState.UNKNOWN, OperationState.REJECTED)
+        if (is_denied and self.has_run) or (
+            state is OperationState.DONE and self.proved_not_to_run
+        ):
             state = None
-        self.never_runs = self.never_runs or (is_denial and state is not None)
+        self.proved_not_to_run = self.proved_not_to_run or (is_denied and state is not None)
         self.has_run = self.has_run or state is OperationState.DONE
         self.driver.post(StatusReceived(state, "{}"))
 
     @precondition(
-        lambda self: self.is_at(CallPhase.PAUSED_BEFORE_RETRY, CallPhase.PAUSED_BEFORE_STATUS)
+        lambda self: self.is_in_phase(CallPhase.PAUSED_BEFORE_RETRY, CallPhase.PAUSED_BEFORE_STATUS)
     )
     @rule()
-    def the_pause_is_over(self) -> None:
+    def the_delay_elapses(self) -> None:
         self.driver.post(RetryDue())
 
     # The caller.
@@ -197,45 +204,45 @@
                 StopRequested(ErrorCode.PROGRAM_ENDED, "ending"),
             )
         ),
-        patience=st.integers(0, 3),
+        weight=st.integers(0, 3),
     )
-    def the_call_is_given_up(
-        self, event: CallerGone | DeadlinePassed | StopRequested, patience: int
+    def the_call_is_abandoned(
+        self, event: CallerGone | DeadlinePassed | StopRequested, weight: int
     ) -> None:
-        if patience > 0:
-            return  # Else hardly any call would come far.
+        if weight > 0:
+            return  # Without this, most calls would end in an early phase.
         self.driver.post(event)
         if isinstance(event, DeadlinePassed):
-            assert self.is_answered, "a call that is given up is answered at once"
+            assert self.is_answered, "a call past its deadline is answered immediately"
 
     @precondition(lambda self: self.is_answered)
     @rule(same_leader=st.booleans())
-    def the_caller_asks_again(self, same_leader: bool) -> None:
+    def the_caller_retries(self, same_leader: bool) -> None:
         answer = self.driver.answers[0]
-        # A new leader knows only what is recorded.
+        # A new leader knows only the recorded state.
         self.proved_not_run = same_leader and answer.left_open and answer.proved_not_run
-        self._request()
+        self._start_request()
 
-    # What must hold.
+    # Invariants.
 
     @invariant()
     def one_answer_for_each_request(self) -> None:
         assert len(self.driver.answers) <= 1
 
     @invariant()
-    def not_run_is_true(self) -> None:
+    def not_run_is_never_false(self) -> None:
         for sent in self.driver.answers:
             if sent.answer.verdict is Verdict.NOT_RUN or sent.proved_not_run:
-                assert not self.may_have_run, "an answer says not_run of what may have run"
+                assert not self.may_have_run, "an answer says not_run of a call that may have run"
         for record in self.driver.outcomes[self.checked_outcomes :]:
             self.checked_outcomes += 1
             if record.outcome.verdict is Verdict.NOT_RUN:
-                assert not self.may_have_run, "not_run was recorded of what may have run"
+                assert not self.may_have_run, "not_run was recorded for a call that may have run"
 
     @invariant()
     def nothing_starts_after_the_answer(self) -> None:
         if self.is_answered:
-            assert self.is_at(CallPhase.ANSWERED)
+            assert self.is_in_phase(CallPhase.ANSWERED)
 
 
 class CallOrdersTest(unittest.TestCase):
