--- a/src/passlane/programs/program_queue.py
+++ b/src/passlane/programs/program_queue.py
@@ -1,8 +1,9 @@
-"""Order of the calls of one program: one at a time, in the order the program made them.
+"""Queue of the calls of one program, which run one at a time.
 
-A call with a sequence number runs when its predecessors are done; one that comes early
-waits a short while for its predecessor and is then refused. Calls without a number run in
-the order of their arrival.
+1. A call with a sequence number runs once all lower numbers are finished.
+2. A call that arrives before its predecessor waits up to ``MAX_PREDECESSOR_WAIT_S`` for it and
+   is then refused.
+3. Calls without a sequence number run in the order of their arrival.
 """
 
 from dataclasses import dataclass
@@ -10,19 +11,19 @@
 from passlane.errors import ErrorCode
 from passlane.identifiers import CallId
 
-PREDECESSOR_WAIT_S = 2.0
-"""How long an early call waits for its predecessor, while nothing else of the program runs."""
+MAX_PREDECESSOR_WAIT_S = 2.0
+"""Time that a call waits for its predecessor while no call of the program runs."""
 
 MAX_QUEUED_CALLS = 64
-"""Most calls of one program that may wait."""
+"""Queued calls of one program."""
 
-COME_BACK_AFTER_S = 0.5
-"""Advice to a caller whose call came too early or found the queue full."""
+DEFAULT_RETRY_AFTER_S = 0.5
+"""Retry-after of a call whose predecessor did not arrive or that found the queue full."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedCall:
-    """A call that waits for its turn; ``sequence`` is ``None`` if the caller gave none."""
+    """A queued call; ``sequence`` is ``None`` if the caller gave none."""
 
     call_id: CallId
     sequence: int | None
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginQueuedCall:
-    """It is this call's turn, under this sequence number."""
+    """Start this call under this sequence number."""
 
     call_id: CallId
     sequence: int
@@ -39,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseQueuedCall:
-    """Answer this call now: it is not run."""
+    """Refuse this call without running it."""
 
     call_id: CallId
     code: ErrorCode
@@ -56,7 +57,7 @@
     Parameters
     ----------
     next_sequence
-        Sequence number that the program's next call gets.
+        Sequence number of the program's next call.
     now
         Local monotonic time in seconds.
     """
@@ -69,35 +70,35 @@
 
     @property
     def running(self) -> CallId | None:
-        """The call whose turn it is."""
+        """The running call, if any."""
         return self._running
 
     @property
     def is_empty(self) -> bool:
-        """Whether no call runs or waits."""
+        """Whether no call is running or queued."""
         return self._running is None and not self._waiting
 
     def add(self, call: QueuedCall, now: float) -> list[QueueInstruction]:
-        """Take a new call that the program's record does not know."""
+        """Queue a new call, which must not be in the program's record yet."""
         if call.sequence is not None and call.sequence < self.next_sequence:
-            return [self._wrong_sequence(call, "is taken", None)]
+            return [self._wrong_sequence(call, "is already used", None)]
         if len(self._waiting) >= MAX_QUEUED_CALLS:
-            message = f"the program has {MAX_QUEUED_CALLS} calls waiting"
+            message = f"the program already has {MAX_QUEUED_CALLS} queued calls"
             return [
-                RefuseQueuedCall(call.call_id, ErrorCode.QUEUE_FULL, message, COME_BACK_AFTER_S)
+                RefuseQueuedCall(call.call_id, ErrorCode.QUEUE_FULL, message, DEFAULT_RETRY_AFTER_S)
             ]
         self._waiting.append(call)
         return self.advance(now)
 
     def resume(self, call_id: CallId) -> bool:
-        """Let a call that is recorded already run again, if nothing else runs."""
+        """Mark an already recorded call as running; return ``False`` if another call runs."""
         if self._running is not None:
             return False
         self._running = call_id
         return True
 
     def finish(self, call_id: CallId, next_sequence: int, now: float) -> list[QueueInstruction]:
-        """The running call is over; the next one may begin."""
+        """Remove the running call from the queue and start the next one."""
         if self._running != call_id:
             return []
         self._running = None
@@ -106,11 +107,11 @@
         return self.advance(now)
 
     def withdraw(self, call_id: CallId) -> None:
-        """Forget a waiting call whose caller is gone."""
+        """Remove a queued call."""
         self._waiting = [call for call in self._waiting if call.call_id != call_id]
 
     def advance(self, now: float) -> list[QueueInstruction]:
-        """Begin a call whose turn it is, and refuse those whose wait is over."""
+        """Start the next call if none is running, and refuse calls that waited too long."""
         if self._running is not None:
             return []
         instructions: list[QueueInstruction] = self._refuse_expired(now)
@@ -123,13 +124,13 @@
         return instructions
 
     def next_expiry(self) -> float | None:
-        """Return when ``advance`` is to be asked again, if it must be."""
+        """Return the time at which ``advance`` must be called again, if any."""
         if self._running is not None:
             return None
         return min((self._expiry(call) for call in self._waiting), default=None)
 
     def _expiry(self, call: QueuedCall) -> float:
-        return max(call.arrived_at, self._idle_since) + PREDECESSOR_WAIT_S
+        return max(call.arrived_at, self._idle_since) + MAX_PREDECESSOR_WAIT_S
 
     def _refuse_expired(self, now: float) -> list[QueueInstruction]:
         kept: list[QueuedCall] = []
@@ -138,9 +139,13 @@
             if call.sequence is None or call.sequence == self.next_sequence:
                 kept.append(call)
             elif call.sequence < self.next_sequence:
-                refused.append(self._wrong_sequence(call, "is taken", None))
+                refused.append(self._wrong_sequence(call, "is already used", None))
             elif now >= self._expiry(call):
-                refused.append(self._wrong_sequence(call, "came early", COME_BACK_AFTER_S))
+                refused.append(
+                    self._wrong_sequence(
+                        call, "arrived before its predecessor", DEFAULT_RETRY_AFTER_S
+                    )
+                )
             else:
                 kept.append(call)
         self._waiting = kept
@@ -149,5 +154,5 @@
     def _wrong_sequence(
         self, call: QueuedCall, reason: str, retry_after_s: float | None
     ) -> RefuseQueuedCall:
-        message = f"sequence {call.sequence} {reason}; the next is {self.next_sequence}"
+        message = f"sequence {call.sequence} {reason}; expected {self.next_sequence}"
         return RefuseQueuedCall(call.call_id, ErrorCode.WRONG_SEQUENCE, message, retry_after_s)
--- a/tests/programs/test_program_queue.py
+++ b/tests/programs/test_program_queue.py
@@ -1,4 +1,4 @@
-"""The order of a program's calls."""
+"""Order in which the calls of a program run."""
 
 import unittest
 
@@ -8,8 +8,8 @@
 from passlane.errors import ErrorCode
 from passlane.identifiers import CallId
 from passlane.programs.program_queue import (
+    MAX_PREDECESSOR_WAIT_S,
     MAX_QUEUED_CALLS,
-    PREDECESSOR_WAIT_S,
     BeginQueuedCall,
     ProgramQueue,
     QueuedCall,
@@ -33,7 +33,7 @@
 
 
 class ProgramQueueTest(unittest.TestCase):
-    def test_calls_without_numbers_run_as_they_arrive(self) -> None:
+    def test_calls_without_sequence_run_in_order_of_arrival(self) -> None:
         queue = ProgramQueue(0, 0.0)
         self.assertEqual(begun(add(queue, "a")), ["a"])
         self.assertEqual(add(queue, "b") + add(queue, "c"), [])
@@ -46,31 +46,31 @@
         self.assertEqual(begun(add(queue, "a", 0)), ["a"])
         self.assertEqual(begun(queue.finish(CallId("a"), 1, 0.0)), ["b"])
 
-    def test_early_call_is_refused_when_its_predecessor_does_not_come(self) -> None:
+    def test_early_call_is_refused_when_its_predecessor_does_not_arrive(self) -> None:
         queue = ProgramQueue(0, 0.0)
         add(queue, "c", 2)
-        self.assertEqual(queue.next_expiry(), PREDECESSOR_WAIT_S)
-        self.assertEqual(queue.advance(PREDECESSOR_WAIT_S - 0.01), [])
-        (refusal,) = refused(queue.advance(PREDECESSOR_WAIT_S))
+        self.assertEqual(queue.next_expiry(), MAX_PREDECESSOR_WAIT_S)
+        self.assertEqual(queue.advance(MAX_PREDECESSOR_WAIT_S - 0.01), [])
+        (refusal,) = refused(queue.advance(MAX_PREDECESSOR_WAIT_S))
         self.assertEqual(refusal.code, ErrorCode.WRONG_SEQUENCE)
         self.assertIsNotNone(refusal.retry_after_s)
         self.assertTrue(queue.is_empty)
 
-    def test_wait_for_a_predecessor_does_not_run_while_another_call_does(self) -> None:
+    def test_predecessor_wait_starts_when_the_running_call_ends(self) -> None:
         queue = ProgramQueue(0, 0.0)
         add(queue, "a", 0)
         add(queue, "c", 2)
         self.assertIsNone(queue.next_expiry())
         self.assertEqual(queue.finish(CallId("a"), 1, 50.0), [])
-        self.assertEqual(queue.next_expiry(), 50.0 + PREDECESSOR_WAIT_S)
+        self.assertEqual(queue.next_expiry(), 50.0 + MAX_PREDECESSOR_WAIT_S)
 
-    def test_number_that_is_taken_is_refused_without_advice_to_come_back(self) -> None:
+    def test_used_sequence_is_refused_without_retry_after(self) -> None:
         queue = ProgramQueue(5, 0.0)
         (refusal,) = refused(add(queue, "old", 4))
         self.assertEqual(refusal.code, ErrorCode.WRONG_SEQUENCE)
         self.assertIsNone(refusal.retry_after_s)
 
-    def test_waiting_call_whose_number_is_taken_meanwhile_is_refused(self) -> None:
+    def test_queued_call_whose_sequence_is_used_meanwhile_is_refused(self) -> None:
         queue = ProgramQueue(0, 0.0)
         add(queue, "a")
         add(queue, "b")
@@ -80,7 +80,7 @@
         (refusal,) = refused(queue.finish(CallId("b"), 2, 0.0))
         self.assertEqual(refusal.call_id, "c")
 
-    def test_full_queue_refuses_at_once_with_a_time_to_come_back(self) -> None:
+    def test_full_queue_refuses_immediately_with_retry_after(self) -> None:
         queue = ProgramQueue(0, 0.0)
         for number in range(MAX_QUEUED_CALLS + 1):
             self.assertEqual(refused(add(queue, f"c{number}")), [])
@@ -88,14 +88,14 @@
         self.assertEqual(refusal.code, ErrorCode.QUEUE_FULL)
         self.assertIsNotNone(refusal.retry_after_s)
 
-    def test_recorded_call_runs_again_only_when_nothing_else_does(self) -> None:
+    def test_recorded_call_resumes_only_when_no_other_call_runs(self) -> None:
         queue = ProgramQueue(3, 0.0)
         self.assertTrue(queue.resume(CallId("open")))
         self.assertFalse(queue.resume(CallId("open")))
         self.assertEqual(add(queue, "next", 3), [])
         self.assertEqual(begun(queue.finish(CallId("open"), 3, 0.0)), ["next"])
 
-    def test_withdrawn_call_is_passed_over(self) -> None:
+    def test_withdrawn_call_is_skipped(self) -> None:
         queue = ProgramQueue(0, 0.0)
         add(queue, "a")
         add(queue, "b")
@@ -103,7 +103,7 @@
         queue.withdraw(CallId("b"))
         self.assertEqual(begun(queue.finish(CallId("a"), 1, 0.0)), ["c"])
 
-    def test_end_of_a_call_that_does_not_run_changes_nothing(self) -> None:
+    def test_finish_of_a_call_that_is_not_running_is_ignored(self) -> None:
         queue = ProgramQueue(0, 0.0)
         add(queue, "a")
         add(queue, "b")
@@ -112,7 +112,7 @@
 
     @settings(derandomize=True, database=None, deadline=None, max_examples=200)
     @given(st.permutations(range(8)), st.data())
-    def test_numbered_calls_run_in_their_order_whatever_the_arrival(
+    def test_calls_run_in_order_of_sequence_for_any_order_of_arrival(
         self, arrivals: list[int], data: st.DataObject
     ) -> None:
         queue = ProgramQueue(0, 0.0)
