--- a/src/passlane/node/call_records.py
+++ b/src/passlane/node/call_records.py
@@ -1,4 +1,4 @@
-"""Records of one call in the store group: its intent and its outcome."""
+"""Records the intent and the outcome of one call in the store group."""
 
 from collections.abc import Awaitable, Callable
 
@@ -18,9 +18,9 @@
 from passlane.programs.call_instructions import RecordOutcome
 
 STORE_TIMEOUT_S = 15.0
-"""How long a command may take, over changes of the store's leader."""
+"""Timeout of a command, which allows for a change of the store's leader."""
 
-CLEAR_REFUSALS = frozenset(
+DEFINITE_REFUSALS = frozenset(
     {
         ErrorCode.BUDGET_EXCEEDED,
         ErrorCode.PROGRAM_ENDED,
@@ -28,21 +28,21 @@
         ErrorCode.IDEMPOTENCY_MISMATCH,
     }
 )
-"""Refusals of an intent that leave the program in memory as true as it was."""
+"""Refusals of an intent after which the program in memory still matches the store."""
 
 
 class CallRecords:
-    """Writes the records of one call and takes them in at the program in memory.
+    """Writes the records of one call to the store and applies them to the program in memory.
 
     Parameters
     ----------
-    settle
-        Settles the program's open call, if another one is open, before this one begins.
+    settle_open_call
+        Records an outcome for the program's open call, if that is another call.
 
     Attributes
     ----------
-    have_failed
-        The record in the store may differ from the program in memory.
+    may_be_inconsistent
+        Whether the record in the store may differ from the program in memory.
     """
 
     def __init__(
@@ -50,33 +50,33 @@
         store: ProgramStore,
         program: LedProgram,
         set_up: CallSetUp,
-        settle: Callable[[], Awaitable[None]],
+        settle_open_call: Callable[[], Awaitable[None]],
     ) -> None:
-        self.have_failed = False
+        self.may_be_inconsistent = False
         self._store = store
         self._program = program
         self._set_up = set_up
-        self._settle = settle
+        self._settle_open_call = settle_open_call
 
     async def record_intent(self) -> CallEventIn:
-        """Record the intent and return what came of it."""
+        """Record the intent and return the resulting event."""
         try:
             result = await self._begin_call()
         except PasslaneError as error:
-            if error.code not in CLEAR_REFUSALS:
-                self.have_failed = True
+            if error.code not in DEFINITE_REFUSALS:
+                self.may_be_inconsistent = True
             return IntentRefused(error.code, error.message, error.retry_after_s)
         self._program.note_begun(result.call, self._set_up.request.turns)
         reopened = self._set_up.reopened
-        # Nothing was sent in this epoch before: a record of it is this command's own echo.
-        is_echo = reopened is None and result.call.epoch == self._program.epoch
-        is_proved = is_echo or (reopened is not None and reopened.proved_not_run)
-        return IntentRecorded(result.call, result.already_recorded, is_proved)
+        # Without an open call nothing was sent in this epoch: such a record is this command's own.
+        is_own_record = reopened is None and result.call.epoch == self._program.epoch
+        is_proved_not_run = is_own_record or (reopened is not None and reopened.proved_not_run)
+        return IntentRecorded(result.call, result.already_recorded, is_proved_not_run)
 
     async def _begin_call(self) -> BeginCallResult:
-        await self._settle()
+        await self._settle_open_call()
         reopened = self._set_up.reopened
-        if reopened is not None and not self._must_renew(reopened):
+        if reopened is not None and not self._needs_new_reservation(reopened):
             return BeginCallResult(call=reopened.call, already_recorded=True)
         plan = self._set_up.plan
         request = self._set_up.request
@@ -97,14 +97,14 @@
         )
         return await self._store.begin_call(command, STORE_TIMEOUT_S)
 
-    def _must_renew(self, reopened: OpenCall) -> bool:
-        """Return whether running the call again needs a reservation of its own."""
+    def _needs_new_reservation(self, reopened: OpenCall) -> bool:
+        """Return whether running the reopened call again needs a new reservation."""
         return reopened.call.repeatable and reopened.call.epoch < self._program.epoch
 
     async def record_outcome(
         self, instruction: RecordOutcome, hold: EngineHold | None
     ) -> CallEventIn:
-        """Record the outcome, with the memory that an engine holds, and return what came of it."""
+        """Record the outcome and the engine's hold, if any, and return the resulting event."""
         call_id = self._set_up.plan.call_id
         command = FinishCall(
             program_id=self._program.program_id,
@@ -118,7 +118,7 @@
         try:
             await self._store.finish_call(command, STORE_TIMEOUT_S)
         except PasslaneError as error:
-            self.have_failed = True
+            self.may_be_inconsistent = True
             return OutcomeRefused(error.code, error.message)
         self._program.note_finished(call_id, instruction.outcome, instruction.turns)
         if hold is not None:
--- a/src/passlane/node/call_runner.py
+++ b/src/passlane/node/call_runner.py
@@ -1,4 +1,4 @@
-"""Shell of one call: carries out what its state machine decides."""
+"""Runs one call: executes the instructions of its state machine and reports events to it."""
 
 from collections import deque
 from collections.abc import Awaitable, Callable
@@ -17,11 +17,11 @@
 from passlane.node.call_records import CallRecords
 from passlane.node.call_reports import CallReport
 from passlane.node.call_services import LEADERSHIP_CODES, CallServices
-from passlane.node.call_set_up import CallSetUp, arrival_of
+from passlane.node.call_set_up import CallSetUp, arrival_event
 from passlane.node.led_program import LedProgram
 from passlane.node.model_attempt import ModelAttempt
 from passlane.node.subscription import Subscription
-from passlane.node.tool_attempt import ToolAttempt, ask_status
+from passlane.node.tool_attempt import ToolAttempt, query_status
 from passlane.observability.logging import get_logger
 from passlane.programs.call_events import (
     CallerGone,
@@ -56,10 +56,10 @@
 
     Parameters
     ----------
-    settle
-        Settles the program's open call, if another one is open, before this one begins.
-    on_over
-        Told once, when the call is answered and nothing of it goes on.
+    settle_open_call
+        Records an outcome for the program's open call, if that is another call.
+    on_finished
+        Called once, when the call is answered and none of its store tasks is running.
 
     Attributes
     ----------
@@ -72,8 +72,8 @@
         services: CallServices,
         program: LedProgram,
         set_up: CallSetUp,
-        settle: Callable[[], Awaitable[None]],
-        on_over: Callable[["CallRunner"], None],
+        settle_open_call: Callable[[], Awaitable[None]],
+        on_finished: Callable[["CallRunner"], None],
     ) -> None:
         self.set_up = set_up
         self.call_id = set_up.plan.call_id
@@ -83,97 +83,97 @@
             set_up.plan, set_up.attempt_prefix, may_have_run=set_up.may_have_run
         )
         self._services = services
-        self._records = CallRecords(services.store, program, set_up, settle)
-        self._on_over = on_over
+        self._records = CallRecords(services.store, program, set_up, settle_open_call)
+        self._on_finished = on_finished
         self._subscriptions: list[Subscription] = []
         self._answer: CallAnswered | CallRefused | None = None
-        self._inbox: deque[CallEventIn] = deque()
+        self._pending_events: deque[CallEventIn] = deque()
         self._is_handling = False
         self._scopes: set[anyio.CancelScope] = set()
         self._attempt_scopes: dict[str, anyio.CancelScope] = {}
         self._hold: EngineHold | None = None
-        self._store_work = 0
-        self._is_over = False
-        self._is_faulty = False
+        self._pending_store_tasks = 0
+        self._is_finished = False
+        self._has_internal_error = False
         self._first_token_at: float | None = None
         self._backend = ""
 
     # Callers.
 
     def subscribe(self, subscription: Subscription) -> None:
-        """Give the answer to one more caller, with the tokens that are there already."""
+        """Add a caller, starting with the tokens received so far."""
         for position, text in enumerate(self.machine.texts):
             subscription.push(TextChunk(position, text))
         if self._answer is None:
             self._subscriptions.append(subscription)
         else:
-            # The store is still at work on the call, but its answer was given.
-            self._give_answer(subscription, self._answer)
+            # The answer was delivered while a store task of the call is still running.
+            self._deliver_answer(subscription, self._answer)
 
     def unsubscribe(self, subscription: Subscription) -> None:
-        """Take in that a caller has gone."""
+        """Remove a caller that disconnected."""
         if subscription in self._subscriptions:
             self._subscriptions.remove(subscription)
-        if not self._subscriptions and not self._is_over:
+        if not self._subscriptions and not self._is_finished:
             self.post(CallerGone())
 
-    # Life.
+    # Lifecycle.
 
     def start(self) -> None:
-        """Begin; the call then goes on by itself."""
-        self._spawn(self._watch_deadline)
+        """Start the call, which then runs in tasks of its own."""
+        self._start_task(self._watch_deadline)
         for instruction in self.machine.start():
-            self._carry_out(instruction)
+            self._execute(instruction)
 
     def abort(self, error: PasslaneError) -> None:
-        """Stop all work at once; callers get ``error``, which may send them elsewhere.
+        """Cancel all tasks and fail all callers with ``error``, which may redirect them.
 
-        The error gets the call's own verdict: an attempt that is cut off may have run.
+        The error gets the call's verdict, since a cancelled attempt may have run.
         """
-        if self._is_over:
+        if self._is_finished:
             return
-        self._is_over = True
+        self._is_finished = True
         error = error_with_verdict(error, self.machine.verdict_if_cut_off)
         for subscription in self._subscriptions:
             subscription.fail(error)
         self._subscriptions.clear()
         if self.machine.phase is CallPhase.PLACING and self.set_up.plan.kind is CallKind.MODEL:
             self._services.models.withdraw(self.call_id)
-        self._cancel_all()
+        self._cancel_tasks()
 
     def post(self, event: CallEventIn) -> None:
-        """Give the state machine an event and carry out its instructions."""
-        self._inbox.append(event)
-        if self._is_handling or self._is_over:
+        """Pass an event to the state machine and execute its instructions."""
+        self._pending_events.append(event)
+        if self._is_handling or self._is_finished:
             return
         self._is_handling = True
         try:
-            while self._inbox and not self._is_over:
+            while self._pending_events and not self._is_finished:
                 now = anyio.current_time()
-                for instruction in self.machine.handle(self._inbox.popleft(), now):
-                    self._carry_out(instruction)
+                for instruction in self.machine.handle(self._pending_events.popleft(), now):
+                    self._execute(instruction)
         finally:
             self._is_handling = False
-        self._check_over()
+        self._check_finished()
 
-    def _check_over(self) -> None:
+    def _check_finished(self) -> None:
         is_answered = self.machine.phase is CallPhase.ANSWERED
-        if is_answered and self._store_work == 0 and not self._is_over:
-            self._is_over = True
-            self._cancel_all()
-            self._on_over(self)
+        if is_answered and self._pending_store_tasks == 0 and not self._is_finished:
+            self._is_finished = True
+            self._cancel_tasks()
+            self._on_finished(self)
 
-    def _cancel_all(self) -> None:
+    def _cancel_tasks(self) -> None:
         for scope in tuple(self._scopes):
             scope.cancel()
 
-    def _spawn(self, work: Work, scope: anyio.CancelScope | None = None) -> None:
+    def _start_task(self, work: Work, scope: anyio.CancelScope | None = None) -> None:
         self._services.tasks.start_soon(self._run_in_scope, work, scope or anyio.CancelScope())
 
     async def _run_in_scope(self, work: Work, scope: anyio.CancelScope) -> None:
-        """Run a part of the call; a fault in it ends this call and no other."""
-        if self._is_over:
-            # The work still begins, so that it gives back what was taken for it.
+        """Run a task of the call; an exception in it aborts only this call."""
+        if self._is_finished:
+            # The task must still start, so that it releases what was acquired for it.
             scope.cancel()
         self._scopes.add(scope)
         try:
@@ -181,23 +181,23 @@
                 await work()
         except Exception as error:
             _log.error("call failed by a fault", call_id=self.call_id, error=repr(error))
-            self._fail_by_fault()
+            self._abort_on_internal_error()
         finally:
             self._scopes.discard(scope)
 
     @property
     def store_failed(self) -> bool:
         """Whether the record in the store may differ from the program in memory."""
-        return self._is_faulty or self._records.have_failed
+        return self._has_internal_error or self._records.may_be_inconsistent
 
-    def _fail_by_fault(self) -> None:
-        if self._is_over:
+    def _abort_on_internal_error(self) -> None:
+        if self._is_finished:
             return
-        self._is_faulty = True
-        message = "the call was stopped by an internal fault"
+        self._has_internal_error = True
+        message = "the call was stopped by an internal error"
         error = PasslaneError(ErrorCode.INTERNAL, message, verdict=Verdict.MAY_HAVE_RUN)
         self.abort(error)
-        self._on_over(self)
+        self._on_finished(self)
 
     async def _watch_deadline(self) -> None:
         await anyio.sleep_until(self.set_up.deadline)
@@ -205,12 +205,12 @@
 
     # Instructions.
 
-    def _carry_out(self, instruction: CallInstruction) -> None:
+    def _execute(self, instruction: CallInstruction) -> None:
         match instruction:
             case SendToken(position, text):
                 self._send_token(position, text)
             case RecordIntent():
-                self._spawn_store_work(self._record_intent)
+                self._start_store_task(self._record_intent)
             case RequestPlacement(excluded, _):
                 self._request_placement(excluded)
             case WithdrawPlacement():
@@ -221,11 +221,11 @@
             case CancelAttempt(attempt_id):
                 self._cancel_attempt(attempt_id)
             case AskStatus():
-                self._spawn(self._ask_status)
+                self._start_task(self._query_status)
             case WaitBeforeRetry(delay_s):
-                self._spawn(partial(self._wait_before_retry, delay_s))
+                self._start_task(partial(self._wait_before_retry, delay_s))
             case RecordOutcome():
-                self._spawn_store_work(partial(self._record_outcome, instruction))
+                self._start_store_task(partial(self._record_outcome, instruction))
             case SendAnswer():
                 self._send_answer(instruction)
 
@@ -241,13 +241,15 @@
             self.left_open = instruction
         self._answer = answer
         for subscription in self._subscriptions:
-            self._give_answer(subscription, answer)
+            self._deliver_answer(subscription, answer)
         self._subscriptions.clear()
-        if not _is_moved(answer):
+        if not _is_leadership_error(answer):
             self._publish_report(answer)
 
-    def _give_answer(self, subscription: Subscription, answer: CallAnswered | CallRefused) -> None:
-        if _is_moved(answer):
+    def _deliver_answer(
+        self, subscription: Subscription, answer: CallAnswered | CallRefused
+    ) -> None:
+        if _is_leadership_error(answer):
             error = self._services.not_leader_error(self.program, answer.verdict)
             subscription.fail(error)
         else:
@@ -269,16 +271,16 @@
 
     # The store.
 
-    def _spawn_store_work(self, work: Work) -> None:
-        self._store_work += 1
-        self._spawn(partial(self._do_store_work, work))
+    def _start_store_task(self, work: Work) -> None:
+        self._pending_store_tasks += 1
+        self._start_task(partial(self._run_store_task, work))
 
-    async def _do_store_work(self, work: Work) -> None:
+    async def _run_store_task(self, work: Work) -> None:
         try:
             await work()
         finally:
-            self._store_work -= 1
-        self._check_over()
+            self._pending_store_tasks -= 1
+        self._check_finished()
 
     async def _record_intent(self) -> None:
         self.post(await self._records.record_intent())
@@ -295,8 +297,8 @@
             limit = offer.application.max_in_flight
             self.post(self._services.tools.start(offer.application_id, limit, now))
             return
-        arrived = arrival_of(self._services, self.program, self.set_up, excluded)
-        self._services.models.place(arrived, self.post)
+        arrival = arrival_event(self._services, self.program, self.set_up, excluded)
+        self._services.models.place(arrival, self.post)
 
     def _start_attempt(self, start: StartAttempt) -> None:
         self._backend = start.backend
@@ -305,15 +307,15 @@
         work = partial(self._run_model, start)
         if self.set_up.offer is not None:
             work = partial(self._run_tool, start, self.set_up.offer)
-        self._spawn(work, scope)
+        self._start_task(work, scope)
 
     async def _run_model(self, start: StartAttempt) -> None:
         attempt = ModelAttempt(
-            self._services, self.program, self.set_up.plan, start, self.post, self._note_hold
+            self._services, self.program, self.set_up.plan, start, self.post, self._set_hold
         )
         await attempt.run()
 
-    def _note_hold(self, hold: EngineHold) -> None:
+    def _set_hold(self, hold: EngineHold) -> None:
         self._hold = hold
 
     async def _run_tool(self, start: StartAttempt, offer: ToolOffer) -> None:
@@ -324,22 +326,22 @@
         await attempt.run()
 
     def _cancel_attempt(self, attempt_id: str) -> None:
-        """Close the attempt's connection, by which the back end learns of it."""
+        """Close the attempt's connection, which tells the back end to stop."""
         scope = self._attempt_scopes.pop(attempt_id, None)
         if scope is not None:
             scope.cancel()
 
-    async def _ask_status(self) -> None:
+    async def _query_status(self) -> None:
         if self.set_up.offer is None:
             self.post(StatusReceived(None))
             return
-        await ask_status(self._services, self.set_up.offer, self.set_up.plan, self.post)
+        await query_status(self._services, self.set_up.offer, self.set_up.plan, self.post)
 
     async def _wait_before_retry(self, delay_s: float) -> None:
         await anyio.sleep(delay_s)
         self.post(RetryDue())
 
 
-def _is_moved(answer: CallAnswered | CallRefused) -> bool:
+def _is_leadership_error(answer: CallAnswered | CallRefused) -> bool:
     """Return whether the answer means that another node leads the program."""
     return isinstance(answer, CallRefused) and answer.code in LEADERSHIP_CODES
--- a/src/passlane/node/call_set_up.py
+++ b/src/passlane/node/call_set_up.py
@@ -1,4 +1,4 @@
-"""What is known of a call when its turn comes, and what the scheduler is told of it."""
+"""The inputs of a call that starts, and the event that requests its placement."""
 
 from dataclasses import dataclass
 
@@ -14,18 +14,18 @@
 
 @dataclass(frozen=True)
 class CallSetUp:
-    """What is known of a call when its turn comes.
+    """Inputs of a call that starts.
 
     Attributes
     ----------
     sequence
-        The number under which it is recorded.
+        Sequence number of the call in its program.
     deadline
-        Local monotonic time in seconds by which the caller gives up.
+        The caller's deadline, as local monotonic time in seconds.
     offer
-        The tool, for a tool call.
+        The application's offer of the tool; ``None`` for a model call.
     reopened
-        The open call that this request repeats, if it does.
+        The open call that this request repeats, if any.
     """
 
     request: CallRequest
@@ -43,10 +43,10 @@
         return self.reopened is not None and not self.reopened.proved_not_run
 
 
-def arrival_of(
-    services: CallServices, program: LedProgram, set_up: CallSetUp, failed: frozenset[str]
+def arrival_event(
+    services: CallServices, program: LedProgram, set_up: CallSetUp, failed_backends: frozenset[str]
 ) -> CallArrived:
-    """Return the event that asks for a place; engines that ``failed`` the call are avoided."""
+    """Return the event that requests placement, excluding ``failed_backends`` where possible."""
     plan = set_up.plan
     facts = call_facts(program, plan.target, set_up.sequence, plan.max_tokens)
     decision = services.policies.classify(facts)
@@ -60,18 +60,18 @@
         deadline=set_up.deadline,
         service_class=decision.service_class,
         weight=decision.weight,
-        excluded=_engines_to_exclude(services, plan.target, failed),
+        excluded=_engines_to_exclude(services, plan.target, failed_backends),
         is_sub_agent=program.parent_id is not None,
     )
 
 
 def _engines_to_exclude(
-    services: CallServices, model: str, failed: frozenset[str]
+    services: CallServices, model: str, failed_backends: frozenset[str]
 ) -> frozenset[EngineId]:
-    """Return the engines that failed this call, unless there is no other one.
+    """Return the engines that failed this call, or none if no other engine has the model.
 
-    When all of them have failed it, the breakers decide which is tried again.
+    In that case the circuit breakers decide which engine is tried again.
     """
-    if failed.issuperset(services.configuration().engines_with(model)):
+    if failed_backends.issuperset(services.configuration().engines_with(model)):
         return frozenset()
-    return frozenset(EngineId(backend) for backend in failed)
+    return frozenset(EngineId(backend) for backend in failed_backends)
--- a/src/passlane/node/operation_recovery.py
+++ b/src/passlane/node/operation_recovery.py
@@ -1,4 +1,4 @@
-"""Finds out what became of an operation that nobody waits for any more."""
+"""Resolves a tool operation in doubt that no caller is waiting for."""
 
 import anyio
 
@@ -11,7 +11,7 @@
 from passlane.node.led_program import LedProgram, OpenCall
 
 RECOVERY_TIMEOUT_S = 30.0
-"""How long a doubtful operation is looked into; all status queries of a call take less."""
+"""Time to resolve an operation in doubt; exceeds the delays between all status queries."""
 
 RETRY_AFTER_S = 1.0
 
@@ -19,27 +19,27 @@
 async def resolve_operation(
     services: CallServices, program: LedProgram, open_call: OpenCall, attempt_prefix: str
 ) -> None:
-    """Ask the application about an open call and record the outcome; send nothing again.
+    """Query the application about an open call and record the outcome, without resending it.
 
     Raises
     ------
     PasslaneError
         ``UNAVAILABLE`` when no outcome could be recorded; the call stays open.
     """
-    set_up = _set_up(services, program, open_call, attempt_prefix)
-    over = anyio.Event()
-    runner = CallRunner(services, program, set_up, _settle_nothing, lambda _: over.set())
+    set_up = _recovery_set_up(services, program, open_call, attempt_prefix)
+    finished = anyio.Event()
+    runner = CallRunner(services, program, set_up, _skip_settling, lambda _: finished.set())
     runner.start()
-    await over.wait()
+    await finished.wait()
     if runner.store_failed or runner.left_open is not None:
         raise PasslaneError(
             ErrorCode.UNAVAILABLE,
-            "what became of the program's last operation could not be recorded",
+            "the outcome of the program's last operation could not be recorded",
             retry_after_s=RETRY_AFTER_S,
         )
 
 
-def _set_up(
+def _recovery_set_up(
     services: CallServices, program: LedProgram, open_call: OpenCall, attempt_prefix: str
 ) -> CallSetUp:
     call = open_call.call
@@ -64,5 +64,5 @@
     )
 
 
-async def _settle_nothing() -> None:
-    """Stand in where a call has no predecessor to settle."""
+async def _skip_settling() -> None:
+    """Do nothing: the recovered call itself is the program's open call."""
--- a/src/passlane/node/tool_attempt.py
+++ b/src/passlane/node/tool_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a tool call, and the question what became of an operation."""
+"""One attempt at a tool call, and the status query of an operation."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -36,7 +36,7 @@
     post: Callable[[CallEventIn], None]
 
     async def run(self) -> None:
-        """Run the attempt to its end."""
+        """Run the attempt and report its result."""
         healthy: bool | None = None
         verdict = Verdict.MAY_HAVE_RUN
         event: CallEventIn
@@ -50,7 +50,7 @@
             verdict = Verdict.RAN
             event = AttemptFinished(self.start.attempt_id, body=reply.result)
         except PasslaneError as error:
-            healthy = _health(error)
+            healthy = _health_signal(error)
             verdict = error.verdict
             event = self._failure(error)
         finally:
@@ -73,7 +73,7 @@
 
     def _failure(self, error: PasslaneError) -> AttemptFailed:
         is_final = isinstance(error, BackendError) and error.is_final
-        # A rejection or a lost leadership is no reason for a retry.
+        # Rejections and lost leadership are not retried and spend no retry budget.
         may_retry = isinstance(error, BackendError) and not is_final
         return AttemptFailed(
             attempt_id=self.start.attempt_id,
@@ -86,10 +86,10 @@
         )
 
 
-async def ask_status(
+async def query_status(
     services: CallServices, offer: ToolOffer, plan: CallPlan, post: Callable[[CallEventIn], None]
 ) -> None:
-    """Ask what became of the operation and report ``StatusReceived``."""
+    """Query the status of the operation and report ``StatusReceived``."""
     client = ApplicationClient(services.http, offer.application.address)
     try:
         reply = await client.read_status(plan.call_id)
@@ -99,8 +99,8 @@
     post(StatusReceived(reply.state, reply.result))
 
 
-def _health(error: PasslaneError) -> bool | None:
-    """Return whether the failure speaks for or against the application's health."""
+def _health_signal(error: PasslaneError) -> bool | None:
+    """Return whether the failure shows a healthy application; ``None`` if it shows neither."""
     if not isinstance(error, BackendError):
         return None
     if error.is_final:
