--- a/src/passlane/node/call_planning.py
+++ b/src/passlane/node/call_planning.py
@@ -1,4 +1,4 @@
-"""What a call may do: checks a request against the configuration and plans the call."""
+"""Checks a call request against the configuration and returns the plan of the call."""
 
 from dataclasses import dataclass
 
@@ -14,12 +14,12 @@
 from passlane.programs.token_estimate import estimate_tokens
 
 DRAINING_RETRY_AFTER_S = 5.0
-"""When a caller should try again after all applications with its tool were draining."""
+"""Retry-after when all applications that offer the tool are draining."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedCall:
-    """A call's plan and, for a tool, the offer that it uses."""
+    """A call's plan and, for a tool call, the application's offer that it uses."""
 
     plan: CallPlan
     offer: ToolOffer | None = None
@@ -30,13 +30,18 @@
     configuration: ConfigurationView,
     application_id: ApplicationId | None = None,
 ) -> PlannedCall:
-    """Return the plan of a call; a repeat goes to the application that it was recorded for.
+    """Return the plan of a call.
+
+    Parameters
+    ----------
+    application_id
+        Application that the call is already recorded for, if it repeats a tool call.
 
     Raises
     ------
     PasslaneError
-        ``FORBIDDEN`` when the tenant's service does not include the target;
-        ``UNKNOWN_MODEL`` or ``UNKNOWN_TOOL`` when nothing offers it.
+        ``UNKNOWN_MODEL`` or ``UNKNOWN_TOOL`` when nothing offers the target or the tenant's
+        service does not include it; ``DRAINING`` when all applications with the tool drain.
     """
     if request.kind is CallKind.MODEL:
         return _plan_model(request, configuration)
@@ -48,7 +53,9 @@
     is_served = any(model in engine.models for engine in configuration.engines.values())
     service = configuration.service_of(request.tenant_id)
     if not is_served or (service is not None and model not in service.models):
-        raise PasslaneError(ErrorCode.UNKNOWN_MODEL, f"there is no model {model!r} to use here")
+        raise PasslaneError(
+            ErrorCode.UNKNOWN_MODEL, f"model {model!r} is not served or not allowed"
+        )
     new_prompt_tokens = estimate_tokens(request.turns)
     plan = CallPlan(
         call_id=call_id_of(request),
@@ -65,7 +72,7 @@
 
 
 def _resume_texts(request: CallRequest) -> tuple[str, ...]:
-    """Return one text for each token that the caller has; the first holds them all."""
+    """Return one text per token that the caller has; the first contains the whole text."""
     if request.resume_from == 0:
         return ()
     return (request.resume_text,) + ("",) * (request.resume_from - 1)
@@ -79,7 +86,7 @@
     is_allowed = service is None or tool in service.tools
     offers = configuration.tool_offers(tool) if is_allowed else ()
     if not offers:
-        raise PasslaneError(ErrorCode.UNKNOWN_TOOL, f"there is no tool {tool!r} to use here")
+        raise PasslaneError(ErrorCode.UNKNOWN_TOOL, f"tool {tool!r} is not offered or not allowed")
     offer = _choose_offer(offers, configuration, application_id)
     plan = CallPlan(
         call_id=call_id_of(request),
@@ -100,12 +107,12 @@
     configuration: ConfigurationView,
     application_id: ApplicationId | None,
 ) -> ToolOffer:
-    """Return the recorded application's offer, else the first that is not being drained.
+    """Return the offer of ``application_id``, else the first whose application is not draining.
 
     Raises
     ------
     PasslaneError
-        ``DRAINING`` when all of them are.
+        ``DRAINING`` when all applications are draining.
     """
     for offer in offers:
         if application_id == offer.application_id:
@@ -115,13 +122,13 @@
             return offer
     raise PasslaneError(
         ErrorCode.DRAINING,
-        "the applications with this tool are leaving",
+        "all applications that offer this tool are draining",
         retry_after_s=DRAINING_RETRY_AFTER_S,
     )
 
 
 def plan_recovery(call: CallRecord, configuration: ConfigurationView) -> PlannedCall:
-    """Return the plan by which a doubtful tool call of an earlier leader is resolved."""
+    """Return the plan for resolving a recorded tool call whose outcome is unknown."""
     offers = configuration.tool_offers(call.target)
     offer = next((one for one in offers if one.application_id == call.application_id), None)
     plan = CallPlan(
--- a/src/passlane/node/call_reports.py
+++ b/src/passlane/node/call_reports.py
@@ -1,4 +1,7 @@
-"""Who is told of finished calls: metrics and the trace recorder."""
+"""Reports of programs, calls and failures, and the sinks that receive them.
+
+The sinks are the metrics and the trace recorder.
+"""
 
 from dataclasses import dataclass, field
 from typing import Protocol
@@ -17,7 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallReport:
-    """One finished call. Times are local monotonic seconds; ``None`` if it never came."""
+    """One finished call.
+
+    Times are local monotonic seconds; ``first_token_at`` is ``None`` if there was no token.
+    """
 
     request: CallRequest
     call_id: str
@@ -32,77 +38,77 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptReport:
-    """One attempt at a back end; ``verdict`` is ``RAN`` if it brought its answer."""
+    """One attempt at a back end; ``verdict`` is ``RAN`` if it completed."""
 
     kind: CallKind
     verdict: Verdict
 
 
 class ReportSink(Protocol):
-    """Takes reports of programs and finished calls; its methods must not raise."""
+    """Receives reports of programs and finished calls; its methods must not raise."""
 
     def take(self, report: CallReport) -> None:
-        """Take in that a call was answered."""
+        """Record an answered call."""
         ...
 
     def take_created(self, request: CreateProgramRequest) -> None:
-        """Take in that a program was created."""
+        """Record a new program."""
         ...
 
     def take_ended(self, program_id: ProgramId) -> None:
-        """Take in that a program ended."""
+        """Record the end of a program."""
         ...
 
 
 class FailureSink(Protocol):
-    """Takes reports of what did not go smoothly; its methods must not raise."""
+    """Receives reports of attempts, refusals and policy failures; its methods must not raise."""
 
     def take_attempt(self, report: AttemptReport) -> None:
-        """Take in that an attempt at a back end is over."""
+        """Record a finished attempt at a back end."""
         ...
 
     def take_refusal(self, code: ErrorCode, verdict: Verdict) -> None:
-        """Take in that a caller of this node was answered by an error."""
+        """Record a request of this node that was answered with an error."""
         ...
 
     def take_policy_failure(self, report: PolicyProblemReport) -> None:
-        """Take in that a policy failed and its default was used."""
+        """Record a policy that failed, so that its default was used."""
         ...
 
 
 @dataclass
 class CallReports:
-    """Passes reports on to all sinks."""
+    """Forwards reports to all sinks."""
 
     sinks: list[ReportSink] = field(default_factory=list)
     failure_sinks: list[FailureSink] = field(default_factory=list)
 
     def publish(self, report: CallReport) -> None:
-        """Give a report to every sink."""
+        """Report an answered call to every sink."""
         for sink in self.sinks:
             sink.take(report)
 
     def publish_created(self, request: CreateProgramRequest) -> None:
-        """Tell every sink of a new program."""
+        """Report a new program to every sink."""
         for sink in self.sinks:
             sink.take_created(request)
 
     def publish_ended(self, program_id: ProgramId) -> None:
-        """Tell every sink of a program's end."""
+        """Report the end of a program to every sink."""
         for sink in self.sinks:
             sink.take_ended(program_id)
 
     def publish_attempt(self, report: AttemptReport) -> None:
-        """Tell every failure sink of an attempt."""
+        """Report a finished attempt to every failure sink."""
         for sink in self.failure_sinks:
             sink.take_attempt(report)
 
     def publish_refusal(self, code: ErrorCode, verdict: Verdict) -> None:
-        """Tell every failure sink of a refusal."""
+        """Report a refusal to every failure sink."""
         for sink in self.failure_sinks:
             sink.take_refusal(code, verdict)
 
     def publish_policy_failure(self, report: PolicyProblemReport) -> None:
-        """Tell every failure sink of a policy that failed."""
+        """Report a policy that failed to every failure sink."""
         for sink in self.failure_sinks:
             sink.take_policy_failure(report)
--- a/src/passlane/node/call_services.py
+++ b/src/passlane/node/call_services.py
@@ -1,4 +1,4 @@
-"""What the calls of a node share: store, dispatchers, back ends, configuration."""
+"""Services shared by the calls of a node: store, dispatchers, back ends, configuration."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
 from passlane.runtime.interfaces import HttpClient
 
 HOLD_TIMEOUT_S = 5.0
-"""How long the record of a hold may take before the attempt is given up."""
+"""Timeout for recording a hold, after which the attempt fails."""
 
 LEADERSHIP_CODES = frozenset(
     {
@@ -31,12 +31,12 @@
         ErrorCode.STALE_FENCING_TOKEN,
     }
 )
-"""Codes that mean: another node leads the program by now."""
+"""Codes which mean that another node leads the program now."""
 
 
 @dataclass(frozen=True)
 class CallServices:
-    """Shared parts, handed to each call."""
+    """Services shared by all calls of a node."""
 
     store: ProgramStore
     models: ModelDispatcher
@@ -54,12 +54,14 @@
         return self.leadership.epoch_of(program.partition) == program.epoch
 
     async def record_hold(self, program: LedProgram, engine_id: EngineId) -> None:
-        """Make durable that an engine may hold memory for a program, before it can.
+        """Record in the store that an engine may hold memory for a program.
+
+        This happens before the program's call is sent to the engine.
 
         Raises
         ------
         PasslaneError
-            With ``not_run``: whether or not the hold was recorded, nothing was sent.
+            With the verdict ``NOT_RUN``: nothing was sent, whether or not the hold was recorded.
         """
         incarnation = self.engines.incarnation_of(engine_id)
         if program.holds.get(engine_id, -1) >= incarnation:
@@ -82,12 +84,12 @@
     def not_leader_error(
         self, program: LedProgram, verdict: Verdict = Verdict.NOT_RUN
     ) -> NotLeaderError:
-        """Return the error that sends a caller to the program's leader.
+        """Return the error that redirects a caller to the program's leader.
 
         Parameters
         ----------
         verdict
-            Whether the caller's call may have run under this node.
+            Whether this node may have run the caller's call.
         """
         leader = self.leadership.leader_of(program.partition)
         return NotLeaderError("another node leads the program", leader, verdict=verdict)
--- a/src/passlane/node/policy_facts.py
+++ b/src/passlane/node/policy_facts.py
@@ -1,4 +1,4 @@
-"""What policies are told about the programs that this node leads."""
+"""Facts about programs and calls of this node that are passed to policies."""
 
 from passlane.identifiers import ProgramId, TenantId
 from passlane.messages.common import Amounts
@@ -6,11 +6,11 @@
 from passlane.policy.facts import CallFacts, ProgramFacts
 
 DEFAULT_PAUSE_S = 5.0
-"""Usual pause between the model calls of a program, where its policy names none."""
+"""Expected pause between two model calls of a program, if its policy sets none."""
 
 
 def call_facts(program: LedProgram, model: str, sequence: int, max_tokens: int) -> CallFacts:
-    """Return what a policy is told of a model call."""
+    """Return the facts about a model call."""
     return CallFacts(
         tenant=program.tenant_id,
         program=program.program_id,
@@ -25,14 +25,14 @@
 
 
 def program_facts(
-    tenant_id: TenantId, program_id: ProgramId, asked: Amounts, *, is_sub_agent: bool
+    tenant_id: TenantId, program_id: ProgramId, requested: Amounts, *, is_sub_agent: bool
 ) -> ProgramFacts:
-    """Return what a policy is told of a program and what its caller asked for."""
+    """Return the facts about a program and the budget that its caller requested."""
     return ProgramFacts(
         tenant=tenant_id,
         program=program_id,
-        asked_tokens=asked.tokens,
-        asked_calls=asked.calls,
-        asked_money_micros=asked.money_micros,
+        asked_tokens=requested.tokens,
+        asked_calls=requested.calls,
+        asked_money_micros=requested.money_micros,
         is_sub_agent=is_sub_agent,
     )
