--- a/src/passlane/node/engine_poller.py
+++ b/src/passlane/node/engine_poller.py
@@ -1,4 +1,4 @@
-"""Polls the engines that the scheduler watches: load, cache events, cache snapshots."""
+"""Polls the engines that the scheduler watches for load, cache events and cache snapshots."""
 
 import random
 from dataclasses import dataclass, field
@@ -25,19 +25,19 @@
 @dataclass
 class _Watch:
     scope: anyio.CancelScope
-    next_event: int = 0
+    last_event_read: int = 0
     incarnation: int = 0
     first_use: anyio.Event = field(default_factory=anyio.Event)
 
 
 class EnginePoller:
-    """One polling task for each watched engine.
+    """Runs one polling task for each watched engine.
 
     Parameters
     ----------
     pace
-        Gives the interval between two polls of an engine, which is spread at random by
-        a fifth.
+        Computes the interval between two polls of an engine, which is then varied at random
+        by up to 20%.
     """
 
     def __init__(
@@ -52,11 +52,11 @@
 
     @property
     def watched(self) -> frozenset[EngineId]:
-        """Engines that are polled now."""
+        """Engines that are currently polled."""
         return frozenset(self._watches)
 
     def watch(self, engine_ids: frozenset[EngineId]) -> None:
-        """Poll exactly these engines from now on."""
+        """Set the engines to poll; stop polling all others."""
         for engine_id in self.watched - engine_ids:
             self._watches.pop(engine_id).scope.cancel()
             self._pace.forget(engine_id)
@@ -66,7 +66,7 @@
             self._tasks.start_soon(self._poll_forever, engine_id, watch)
 
     def note_use(self, engine_id: EngineId) -> None:
-        """Take note of a call that starts on an engine; one that was idle is polled soon."""
+        """Record a call that starts on an engine; an engine that was idle is polled at once."""
         watch = self._watches.get(engine_id)
         if watch is not None and self._pace.note_use(engine_id, anyio.current_time()):
             watch.first_use.set()
@@ -81,7 +81,7 @@
                 await self._wait(engine_id, watch)
 
     async def _wait(self, engine_id: EngineId, watch: _Watch) -> None:
-        """Wait for the engine's interval, or until its first use by this node."""
+        """Wait for the engine's poll interval, or until a call starts on the idle engine."""
         watch.first_use = anyio.Event()
         interval_s = self._pace.interval_s(engine_id, self._watches, anyio.current_time())
         with anyio.move_on_after(interval_s * self._random.uniform(0.8, 1.2)):
@@ -93,22 +93,22 @@
             return
         client = self._services.engines.client(engine.address)
         load = await client.read_load()
-        self._services.engines.note_incarnation(engine_id, load.incarnation)
+        self._services.engines.record_incarnation(engine_id, load.incarnation)
         self._services.models.tell(LoadReported(load))
         if load.incarnation != watch.incarnation:
             watch.incarnation = load.incarnation
-            watch.next_event = 0
-        if not _may_have_news(load, watch):
+            watch.last_event_read = 0
+        if not _may_have_new_events(load, watch):
             return
-        events = await client.read_cache_events(watch.next_event)
+        events = await client.read_cache_events(watch.last_event_read)
         if events.incarnation != watch.incarnation:
             return
         if events.events:
-            watch.next_event = max(event.number for event in events.events)
+            watch.last_event_read = max(event.number for event in events.events)
             self._services.models.tell(CacheEventsReported(engine_id, events))
 
     def fetch_snapshot(self, engine_id: EngineId) -> None:
-        """Fetch an engine's whole cache view once, for the scheduler."""
+        """Start fetching a cache snapshot for the scheduler, unless a fetch is running."""
         if engine_id not in self._fetching:
             self._fetching.add(engine_id)
             self._tasks.start_soon(self._fetch, engine_id)
@@ -125,17 +125,17 @@
             return
         watch = self._watches.get(engine_id)
         if watch is not None and snapshot.incarnation == watch.incarnation:
-            watch.next_event = max(watch.next_event, snapshot.number)
+            watch.last_event_read = max(watch.last_event_read, snapshot.number)
         self._services.models.tell(CacheSnapshotReported(engine_id, snapshot))
 
     async def read_cache(self, engine_id: EngineId) -> CacheSnapshot | None:
-        """Return what an engine's cache holds; ``None`` for an engine that is unknown."""
+        """Return an engine's cache snapshot; ``None`` for an engine that is not configured."""
         engine = self._services.configuration().engines.get(engine_id)
         if engine is None:
             return None
         return await self._services.engines.client(engine.address).read_cache()
 
 
-def _may_have_news(load: EngineLoad, watch: _Watch) -> bool:
-    """Whether the engine may have cache events after the last one that was read."""
-    return load.last_cache_event is None or load.last_cache_event > watch.next_event
+def _may_have_new_events(load: EngineLoad, watch: _Watch) -> bool:
+    """Return whether the engine may have cache events after the last one read."""
+    return load.last_cache_event is None or load.last_cache_event > watch.last_event_read
--- a/src/passlane/node/engine_registry.py
+++ b/src/passlane/node/engine_registry.py
@@ -1,4 +1,4 @@
-"""What is known of the engines' lives, and clients for them."""
+"""Registry of engine incarnations and factory of engine clients."""
 
 from passlane.backends.engine_client import EngineClient
 from passlane.identifiers import EngineId
@@ -7,7 +7,7 @@
 
 
 class EngineRegistry:
-    """Newest incarnation seen of each engine; makes a client for an engine's address."""
+    """Tracks the newest reported incarnation of each engine and creates engine clients."""
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
@@ -18,9 +18,9 @@
         return EngineClient(self._http, address)
 
     def incarnation_of(self, engine_id: EngineId) -> int:
-        """Return the newest incarnation seen; 0 before the first report."""
+        """Return the newest reported incarnation; 0 before the first report."""
         return self._incarnations.get(engine_id, 0)
 
-    def note_incarnation(self, engine_id: EngineId, incarnation: int) -> None:
-        """Take in an incarnation as reported; an older one changes nothing."""
+    def record_incarnation(self, engine_id: EngineId, incarnation: int) -> None:
+        """Record a reported incarnation; an older one is ignored."""
         self._incarnations[engine_id] = max(incarnation, self.incarnation_of(engine_id))
--- a/src/passlane/node/model_attempt.py
+++ b/src/passlane/node/model_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a model call: the hold is recorded, then the engine's stream is read."""
+"""One attempt at a model call: records the hold, then reads the engine's stream."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -26,14 +26,14 @@
 from passlane.programs.call_plan import CallPlan
 
 MODEL_NOT_LOADED_STATUS = 404
-"""An engine without the model says so by this status; another engine may have it."""
+"""HTTP status of an engine that has not loaded the model; another engine may have it."""
 
 
 @dataclass
 class ModelAttempt:
-    """Runs one attempt and reports what happens to ``post``.
+    """Runs one attempt and reports its events to ``post``.
 
-    ``note_hold`` is told which life of the engine holds memory, as the engine gave it.
+    ``on_hold`` receives the hold with the engine's incarnation, as reported by the engine.
     """
 
     services: CallServices
@@ -41,7 +41,7 @@
     plan: CallPlan
     start: StartAttempt
     post: Callable[[CallEventIn], None]
-    note_hold: Callable[[EngineHold], None]
+    on_hold: Callable[[EngineHold], None]
     _has_token: bool = False
 
     @property
@@ -50,12 +50,12 @@
         return EngineId(self.start.backend)
 
     async def run(self) -> None:
-        """Run the attempt to its end and report it, to the scheduler too."""
+        """Run the attempt and report its result to ``post`` and to the scheduler."""
         ended: CallEnded | None = CallEnded(self.plan.call_id, succeeded=False)
         event: AttemptFinished | AttemptFailed
         try:
             final = await self._stream()
-            self._note_incarnation(final)
+            self._record_incarnation(final)
             ended = CallEnded(
                 self.plan.call_id,
                 succeeded=True,
@@ -72,7 +72,7 @@
         except PasslaneError as error:
             event = self._failure(error)
             if not isinstance(error, BackendError):
-                # The store or the leadership failed, which says nothing about the engine.
+                # The store failed or leadership was lost, which is no failure of the engine.
                 ended = None
         except anyio.get_cancelled_exc_class():
             self.services.models.withdraw(self.plan.call_id)
@@ -118,19 +118,19 @@
     def _on_chunk(self, chunk: EngineChunk) -> None:
         if not self._has_token:
             self._has_token = True
-            self.services.models.note_first_token(self.plan.call_id)
+            self.services.models.report_first_token(self.plan.call_id)
         self.post(TokenReceived(chunk.attempt_id, chunk.position, chunk.text))
 
-    def _note_incarnation(self, final: EngineChunk) -> None:
-        self.services.engines.note_incarnation(self.engine_id, final.incarnation)
-        self.note_hold(EngineHold(engine_id=self.engine_id, incarnation=final.incarnation))
+    def _record_incarnation(self, final: EngineChunk) -> None:
+        self.services.engines.record_incarnation(self.engine_id, final.incarnation)
+        self.on_hold(EngineHold(engine_id=self.engine_id, incarnation=final.incarnation))
 
     def _failure(self, error: PasslaneError) -> AttemptFailed:
-        is_hopeless = error.code in LEADERSHIP_CODES or error.code is ErrorCode.PROGRAM_ENDED
+        is_unrecoverable = error.code in LEADERSHIP_CODES or error.code is ErrorCode.PROGRAM_ENDED
         is_final = isinstance(error, BackendError) and error.is_final
         if isinstance(error, BackendError) and error.status == MODEL_NOT_LOADED_STATUS:
             is_final = False
-        may_retry = not is_hopeless and self.services.models.try_retry(self.start.backend)
+        may_retry = not is_unrecoverable and self.services.models.try_retry(self.start.backend)
         return AttemptFailed(
             attempt_id=self.start.attempt_id,
             verdict=error.verdict,
--- a/src/passlane/node/poll_pace.py
+++ b/src/passlane/node/poll_pace.py
@@ -1,27 +1,27 @@
-"""How often each watched engine is polled, so that all polls together stay bounded.
+"""Poll intervals of the watched engines, within a bound on the total poll rate.
 
-At the size that is designed for a node watches far more engines than it can poll often:
-a poll costs one to two milliseconds of processor time. Engines that this node sends calls to
-come first; for the others an old report is enough, since nothing of this node runs there.
+Every poll costs processor time, and a large fleet has more engines than a node can poll often.
+Engines that run calls of this node are polled at a short interval. For idle ones a stale report
+is sufficient.
 """
 
 from collections.abc import Collection
 
 from passlane.identifiers import EngineId
 
-ACTIVE_S = 10.0
-"""An engine counts as used for this long after a call was started on it."""
+ACTIVE_WINDOW_S = 10.0
+"""Time after the start of a call during which its engine counts as active."""
 
 
 class PollPace:
-    """Tells the interval between two polls of an engine.
+    """Computes the interval between two polls of an engine.
 
     Parameters
     ----------
     active_interval_s, idle_interval_s
-        Wanted interval of an engine that this node uses, and of any other.
+        Desired interval of an active engine, and of an idle one.
     max_polls_per_s
-        Bound on all polls together; the intervals grow in proportion to keep it.
+        Bound on the polls of all engines; intervals are scaled up in proportion to meet it.
     """
 
     def __init__(
@@ -33,25 +33,25 @@
         self._used_at: dict[EngineId, float] = {}
 
     def note_use(self, engine_id: EngineId, now: float) -> bool:
-        """Note that a call was started on an engine; return whether it was idle before."""
+        """Record a call that starts on an engine; return whether the engine was idle before."""
         was_active = self.is_active(engine_id, now)
         self._used_at[engine_id] = now
         return not was_active
 
     def is_active(self, engine_id: EngineId, now: float) -> bool:
-        """Whether this node has used the engine lately."""
+        """Return whether a call started on the engine within ``ACTIVE_WINDOW_S``."""
         used_at = self._used_at.get(engine_id)
-        return used_at is not None and now - used_at <= ACTIVE_S
+        return used_at is not None and now - used_at <= ACTIVE_WINDOW_S
 
     def interval_s(self, engine_id: EngineId, watched: Collection[EngineId], now: float) -> float:
         """Return the seconds from one poll of ``engine_id`` to the next."""
         active = sum(self.is_active(watched_id, now) for watched_id in watched)
         idle = len(watched) - active
-        wanted_per_s = active / self._active_interval_s + idle / self._idle_interval_s
-        stretch = max(1.0, wanted_per_s / self._max_polls_per_s)
+        desired_polls_per_s = active / self._active_interval_s + idle / self._idle_interval_s
+        scale = max(1.0, desired_polls_per_s / self._max_polls_per_s)
         is_active = self.is_active(engine_id, now)
-        return stretch * (self._active_interval_s if is_active else self._idle_interval_s)
+        return scale * (self._active_interval_s if is_active else self._idle_interval_s)
 
     def forget(self, engine_id: EngineId) -> None:
-        """Forget an engine that is watched no more."""
+        """Remove an engine that is no longer watched."""
         self._used_at.pop(engine_id, None)
--- a/tests/node/test_poll_pace.py
+++ b/tests/node/test_poll_pace.py
@@ -1,4 +1,4 @@
-"""Polls of engines stay within their bound, and used engines come first."""
+"""Poll intervals of active and idle engines, and the bound on the total poll rate."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from passlane.identifiers import EngineId
-from passlane.node.poll_pace import ACTIVE_S, PollPace
+from passlane.node.poll_pace import ACTIVE_WINDOW_S, PollPace
 
 ACTIVE_INTERVAL_S = 0.25
 IDLE_INTERVAL_S = 2.0
@@ -22,27 +22,27 @@
 
 
 class PollPaceTest(unittest.TestCase):
-    def test_one_used_engine_is_polled_at_its_wanted_interval(self) -> None:
+    def test_active_engine_is_polled_at_the_active_interval(self) -> None:
         pace, watched = new_pace(), engines(1)
         self.assertTrue(pace.note_use(watched[0], 0.0))
         self.assertEqual(pace.interval_s(watched[0], watched, 1.0), ACTIVE_INTERVAL_S)
 
-    def test_an_engine_not_used_lately_is_polled_seldom(self) -> None:
+    def test_idle_engine_is_polled_at_the_idle_interval(self) -> None:
         pace, watched = new_pace(), engines(2)
         pace.note_use(watched[0], 0.0)
-        later = ACTIVE_S + 1.0
+        later = ACTIVE_WINDOW_S + 1.0
         self.assertEqual(pace.interval_s(watched[0], watched, later), IDLE_INTERVAL_S)
         self.assertEqual(pace.interval_s(watched[1], watched, 0.0), IDLE_INTERVAL_S)
 
-    def test_only_the_first_use_after_a_while_is_news(self) -> None:
+    def test_only_the_first_use_of_an_idle_engine_returns_true(self) -> None:
         pace, watched = new_pace(), engines(1)
         self.assertTrue(pace.note_use(watched[0], 0.0))
-        self.assertFalse(pace.note_use(watched[0], ACTIVE_S))
-        self.assertTrue(pace.note_use(watched[0], 3 * ACTIVE_S))
+        self.assertFalse(pace.note_use(watched[0], ACTIVE_WINDOW_S))
+        self.assertTrue(pace.note_use(watched[0], 3 * ACTIVE_WINDOW_S))
 
     @settings(derandomize=True, database=None, deadline=None)
     @given(count=st.integers(1, 600), used=st.integers(0, 600))
-    def test_all_polls_together_stay_within_the_bound(self, count: int, used: int) -> None:
+    def test_total_poll_rate_stays_within_the_bound(self, count: int, used: int) -> None:
         pace, watched = new_pace(), engines(count)
         for engine_id in watched[:used]:
             pace.note_use(engine_id, 0.0)
