--- a/src/passlane/node/local_caller.py
+++ b/src/passlane/node/local_caller.py
@@ -1,4 +1,4 @@
-"""Serves a node's requests to itself without a connection."""
+"""Handles a node's requests to its own address in process, without a connection."""
 
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager, aclosing, asynccontextmanager
@@ -20,10 +20,10 @@
 
 
 class LocalCaller:
-    """A ``Caller`` that answers requests to the own address by the own handlers.
+    """A ``Caller`` that dispatches requests to its own address to local handlers.
 
-    It is a ``Router`` too: handlers that are added to it are added to ``router``, which
-    serves the other processes.
+    It is also a ``Router``: handlers added to it are added to ``router`` too, which serves
+    other processes.
     """
 
     def __init__(self, own_address: Address, caller: Caller, router: Router) -> None:
@@ -35,17 +35,17 @@
         self._one_way: dict[type[Message], OneWayHandler] = {}
 
     def add_unary(self, request: type[RequestType], handler: UnaryHandler) -> None:
-        """Answer each ``request``, from here or elsewhere, with one message."""
+        """Add a handler that answers ``request``, local or remote, with one message."""
         self._unary[request] = handler
         self._router.add_unary(request, handler)
 
     def add_stream(self, request: type[RequestType], handler: StreamHandler) -> None:
-        """Answer each ``request``, from here or elsewhere, with a stream."""
+        """Add a handler that answers ``request``, local or remote, with a stream."""
         self._stream[request] = handler
         self._router.add_stream(request, handler)
 
     def add_one_way(self, request: type[RequestType], handler: OneWayHandler) -> None:
-        """Handle each ``request``, from here or elsewhere, without an answer."""
+        """Add a handler for ``request``, local or remote, that sends no answer."""
         self._one_way[request] = handler
         self._router.add_one_way(request, handler)
 
@@ -74,7 +74,7 @@
     def stream(
         self, address: Address, request: Message, *, timeout_s: float
     ) -> AbstractAsyncContextManager[AsyncIterator[Message]]:
-        """Send a request and give its replies; see ``Caller.stream``."""
+        """Send a request and return its replies; see ``Caller.stream``."""
         handler = self._stream.get(type(request)) if address == self._own_address else None
         if handler is None:
             return self._caller.stream(address, request, timeout_s=timeout_s)
@@ -93,6 +93,6 @@
 async def _stream_locally(
     handler: StreamHandler, request: Message
 ) -> AsyncIterator[AsyncIterator[Message]]:
-    """Give the handler's replies and close it when they are left early."""
+    """Yield the handler's replies and close the handler if the reader stops early."""
     async with aclosing(handler(request)) as replies:  # type: ignore[type-var]
         yield replies
--- a/src/passlane/node/refusal_verdicts.py
+++ b/src/passlane/node/refusal_verdicts.py
@@ -1,9 +1,9 @@
-"""What a refusal may say of an operation that an earlier request may have started.
+"""Verdicts of refused requests for operations that an earlier request may have started.
 
-A caller that lost an answer sends the same operation again, under the same key or
-sequence number; a node that lost a program's leader sends the same call again, whatever it
-is. If the repeat is refused, ``not_run`` would be read as a word about the operation, so it
-is only said where the program's record shows that nothing ran.
+A caller that lost a response repeats the operation under the same key or sequence number, and
+a node that lost a program's leader resends the call. A caller takes ``not_run`` in the refusal
+of a repeat as the verdict of the operation itself. Therefore ``not_run`` is only returned when
+the program's record shows that nothing ran.
 """
 
 from passlane.errors import Verdict
@@ -24,36 +24,36 @@
 
 
 class RefusalJudge:
-    """Decides for the program's leader what a refusal of one request may say."""
+    """Determines, on the program's leader, the verdict of a refusal of one request."""
 
     def __init__(self, request: CallRequest) -> None:
         self._request = request
-        self._is_new = not may_be_repeat(request)
+        self._is_first_request = not may_be_repeat(request)
 
     def note_record(self, program: LedProgram, *, is_under_way: bool) -> None:
-        """Take in the program's record as it was when the request arrived.
+        """Apply the program's record as it was when the request arrived.
 
-        Where it holds no such call, nothing ran before, and the refusal's own word counts,
-        unless the call waits or runs and is only about to be recorded.
+        If the record does not contain the call and the call is neither queued nor running,
+        nothing ran before, and the refusal keeps its own verdict.
 
         Parameters
         ----------
         is_under_way
-            Whether the same call waits or runs here for another request.
+            Whether the same call is queued or running here for another request.
         """
         if call_id_of(self._request) not in program.calls and not is_under_way:
-            self._is_new = True
+            self._is_first_request = True
 
     def note_joined(self, program: LedProgram) -> None:
-        """Take in that the request shares the fate of the call that waits or runs here.
+        """Record that the request joined the same call, which is queued or running here.
 
-        Where the record holds no such call, that call's own word counts from here on.
+        If the record does not contain the call, the refusal keeps the verdict of that call.
         """
         self.note_record(program, is_under_way=False)
 
     def verdict(self, program: LedProgram | None) -> Verdict:
-        """Return the verdict in place of ``not_run``; ``program`` is as in memory now."""
-        if self._is_new:
+        """Return the verdict that replaces ``not_run``; ``program`` is the current state."""
+        if self._is_first_request:
             return Verdict.NOT_RUN
         call = None if program is None else program.calls.get(call_id_of(self._request))
         if program is None or call is None:
@@ -67,7 +67,7 @@
 
 
 def refusal_with_verdict(refused: CallRefused, verdict: Verdict) -> CallRefused:
-    """Return the refusal; where it says ``not_run``, with ``verdict`` instead."""
+    """Return the refusal, with ``verdict`` in place of ``not_run``."""
     if refused.verdict is not Verdict.NOT_RUN:
         return refused
     return CallRefused(refused.code, refused.message, verdict, refused.retry_after_s)
