--- a/src/passlane/node/tool_dispatcher.py
+++ b/src/passlane/node/tool_dispatcher.py
@@ -1,7 +1,7 @@
-"""Decides whether a tool call may go to its application now.
+"""Decides whether a tool call may be sent to its application now.
 
-Each application has a circuit breaker with half-open probes, a retry budget and a
-limit of calls in flight from this node.
+Each application has a circuit breaker with half-open probes, a retry budget and a limit of
+calls in flight from this node.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +14,7 @@
 from passlane.programs.call_events import StartOrdered, StartRefused
 
 BUSY_RETRY_AFTER_S = 0.5
-"""Advice to callers when an application has enough calls in flight."""
+"""Minimum retry-after when an application is at its limit or its circuit breaker is open."""
 
 
 @dataclass
@@ -25,7 +25,7 @@
 
 
 class ToolDispatcher:
-    """Breakers, retry budgets and in-flight counts of the applications."""
+    """Owns the circuit breakers, retry budgets and in-flight counts of the applications."""
 
     def __init__(self) -> None:
         self._applications: dict[ApplicationId, _ApplicationState] = {}
@@ -38,19 +38,19 @@
         if not state.breaker.allows(now):
             opens_at = state.breaker.opens_next_at(now)
             retry_after_s = BUSY_RETRY_AFTER_S if opens_at is None else opens_at - now
-            message = f"application {application_id} is failing and is left alone for a while"
+            message = f"application {application_id} is failing; its circuit breaker is open"
             return StartRefused(
                 ErrorCode.UNAVAILABLE, message, max(retry_after_s, BUSY_RETRY_AFTER_S)
             )
         if state.in_flight >= max_in_flight:
-            message = f"application {application_id} has enough calls in flight"
+            message = f"application {application_id} is at its limit of calls in flight"
             return StartRefused(ErrorCode.QUEUE_FULL, message, BUSY_RETRY_AFTER_S)
         return None
 
     def start(
         self, application_id: ApplicationId, max_in_flight: int, now: float
     ) -> StartOrdered | StartRefused:
-        """Take a place at the application, to be given back by ``finish``."""
+        """Acquire a slot at the application, which ``finish`` releases."""
         refusal = self.check(application_id, max_in_flight, now)
         if refusal is not None:
             return refusal
@@ -61,7 +61,7 @@
         return StartOrdered(application_id)
 
     def finish(self, application_id: ApplicationId, *, healthy: bool | None, now: float) -> None:
-        """Give a place back; ``healthy`` is ``None`` if the attempt told nothing."""
+        """Release a slot; ``healthy`` is ``None`` if the attempt gave no health signal."""
         state = self._state_of(application_id)
         state.in_flight -= 1
         if healthy is None:
@@ -72,12 +72,12 @@
             state.breaker.record_failure(now)
 
     def in_flight_at(self, application_id: ApplicationId) -> int:
-        """Return how many calls of this node are at an application."""
+        """Return the number of this node's calls in flight at an application."""
         state = self._applications.get(application_id)
         return 0 if state is None else state.in_flight
 
     def try_retry(self, application_id: ApplicationId) -> bool:
-        """Take one retry from the application's budget."""
+        """Spend one retry of the application's budget; return ``False`` if it is exhausted."""
         return self._state_of(application_id).budget.try_spend()
 
     def _state_of(self, application_id: ApplicationId) -> _ApplicationState:
--- a/src/passlane/node/trace_recorder.py
+++ b/src/passlane/node/trace_recorder.py
@@ -1,7 +1,7 @@
-"""Records what callers did and what came of it, as a trace that can be replayed.
+"""Records programs, calls and outcomes as a trace file that can be replayed.
 
-Off by default. With redaction the texts are replaced by as many ``x``; their lengths,
-and so the work they cause, stay.
+Off by default. Redaction replaces each character of a text by ``x``, which preserves its length
+and therefore the load of a replay.
 """
 
 import anyio
@@ -24,10 +24,10 @@
 from passlane.observability.logging import get_logger
 from passlane.runtime.interfaces import AppendFile, Disk
 
-WRITE_INTERVAL_S = 1.0
-LAST_WRITE_TIMEOUT_S = 1.0
-MAX_WAITING_LINES = 50_000
-"""Lines kept while the disk does not take them; further ones are dropped and counted."""
+FLUSH_INTERVAL_S = 1.0
+FINAL_FLUSH_TIMEOUT_S = 1.0
+MAX_BUFFERED_LINES = 50_000
+"""Lines buffered while the disk is slow; further lines are dropped and counted."""
 
 REDACTED_CHARACTER = "x"
 
@@ -36,16 +36,16 @@
 
 
 class TraceRecorder:
-    """Collects lines in memory and appends them to a file now and then.
+    """Buffers lines in memory and appends them to a file every ``FLUSH_INTERVAL_S``.
 
     Parameters
     ----------
     file_name
-        Name on the disk; a new one for each start of the process.
+        Name on the disk; must be new for each start of the process.
     deployment
-        Written into the first line.
+        Name of the deployment, written into the first line.
     redacts_content
-        Whether texts are replaced.
+        Whether texts are redacted.
     """
 
     def __init__(
@@ -60,20 +60,22 @@
         self._started_at: float | None = None
         self._dropped = 0
         start = TraceStart(format=TRACE_FORMAT, name=file_name, deployment=deployment)
-        self._waiting: list[bytes] = [_encode(start)]
+        self._buffered_lines: list[bytes] = [_encode(start)]
 
-    # What is recorded.
+    # Recorded events.
 
     def take(self, report: CallReport) -> None:
         """Record a call and its outcome."""
         request = report.request
-        is_open = isinstance(report.answer, CallRefused) and report.answer.retry_after_s is not None
-        if is_open:
-            # Refused for now: the caller's repeat is the call.
+        is_retryable = (
+            isinstance(report.answer, CallRefused) and report.answer.retry_after_s is not None
+        )
+        if is_retryable:
+            # Refused temporarily: the caller's repeat is recorded instead.
             return
         self._add(
             CallMade(
-                at_s=self._at(report.arrived_at),
+                at_s=self._relative_time(report.arrived_at),
                 program=request.program_id,
                 sequence=report.sequence,
                 kind=request.kind,
@@ -90,7 +92,7 @@
         """Record a new program."""
         self._add(
             ProgramCreated(
-                at_s=self._at(anyio.current_time()),
+                at_s=self._relative_time(anyio.current_time()),
                 tenant=request.tenant_id,
                 program=request.program_id,
                 parent=request.parent_id,
@@ -99,13 +101,15 @@
         )
 
     def take_ended(self, program_id: ProgramId) -> None:
-        """Record a program's end."""
-        self._add(ProgramEndAsked(at_s=self._at(anyio.current_time()), program=program_id))
+        """Record the end of a program."""
+        self._add(
+            ProgramEndAsked(at_s=self._relative_time(anyio.current_time()), program=program_id)
+        )
 
     def _outcome(self, report: CallReport) -> CallOutcomeStated:
         answer = report.answer
         error_code = None if isinstance(answer, CallAnswered) else answer.code
-        # What was answered is left open: back ends of a replay have answers of their own.
+        # The answer is omitted: the back ends of a replay generate their own.
         return CallOutcomeStated(
             program=report.request.program_id,
             sequence=report.sequence,
@@ -114,8 +118,8 @@
             error_code=error_code,
         )
 
-    def _at(self, time: float) -> float:
-        """Return seconds since the recording's first event."""
+    def _relative_time(self, time: float) -> float:
+        """Return the seconds since the first recorded event."""
         if self._started_at is None:
             self._started_at = time
         return round(max(time - self._started_at, 0.0), 6)
@@ -132,34 +136,34 @@
         return f'"{REDACTED_CHARACTER * max(len(arguments) - 2, 0)}"'
 
     def _add(self, line: TraceLine) -> None:
-        if len(self._waiting) >= MAX_WAITING_LINES:
+        if len(self._buffered_lines) >= MAX_BUFFERED_LINES:
             self._dropped += 1
             return
-        self._waiting.append(_encode(line))
+        self._buffered_lines.append(_encode(line))
 
     # The file.
 
     async def run(self, disk: Disk) -> None:
-        """Write out what was recorded now and then, and when cancelled."""
+        """Flush the buffered lines at intervals and on cancellation."""
         file = disk.open_append(self._file_name)
         try:
             while True:
-                await anyio.sleep(WRITE_INTERVAL_S)
-                await self._write_out(file)
+                await anyio.sleep(FLUSH_INTERVAL_S)
+                await self._flush(file)
         finally:
-            with anyio.move_on_after(LAST_WRITE_TIMEOUT_S, shield=True):
-                await self._write_out(file)
+            with anyio.move_on_after(FINAL_FLUSH_TIMEOUT_S, shield=True):
+                await self._flush(file)
             file.close()
 
-    async def _write_out(self, file: AppendFile) -> None:
-        if not self._waiting:
+    async def _flush(self, file: AppendFile) -> None:
+        if not self._buffered_lines:
             return
-        lines, self._waiting = self._waiting, []
+        lines, self._buffered_lines = self._buffered_lines, []
         try:
             file.write(b"".join(lines))
             await file.sync()
         except OSError as error:
-            # A trace is a convenience: calls go on without it.
+            # A failed trace write must not affect calls.
             self._dropped += len(lines)
             _log.warning("trace not written", error=str(error), dropped=self._dropped)
 
