--- a/tests/node/test_calls_under_failure.py
+++ b/tests/node/test_calls_under_failure.py
@@ -1,4 +1,4 @@
-"""What callers get, and what really ran, when back ends, store and leaders fail."""
+"""Answers to callers, and operations actually run, when back ends, store or leaders fail."""
 
 import io
 import unittest
@@ -21,7 +21,7 @@
 
 
 class ModelCallTest(unittest.TestCase):
-    def test_answer_is_whole_and_history_recorded(self) -> None:
+    def test_answer_is_complete_and_history_is_recorded(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             first = await fleet.call(chat("one"))
             second = await fleet.call(chat("two"))
@@ -35,7 +35,7 @@
 
         in_fleet(scenario)
 
-    def test_engine_dies_mid_stream_and_another_goes_on(self) -> None:
+    def test_call_resumes_on_another_engine_after_a_broken_stream(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             for engine in fleet.engines:
                 engine.break_after = [5]
@@ -43,11 +43,11 @@
             self.assertEqual("".join(answer.texts), whole_text())
             self.assertEqual(answer.answered.attempts, 3)
             sent = sum(engine.tokens_sent for engine in fleet.engines)
-            self.assertEqual(sent, 12, "no token is generated twice")
+            self.assertEqual(sent, 12, "each token is generated once")
 
         in_fleet(scenario)
 
-    def test_late_token_of_an_earlier_attempt_is_dropped(self) -> None:
+    def test_token_of_another_attempt_is_dropped(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             for engine in fleet.engines:
                 engine.echo_attempt = "another"
@@ -56,7 +56,7 @@
 
         in_fleet(scenario)
 
-    def test_all_engines_dead_is_refused_at_once_and_can_be_repeated(self) -> None:
+    def test_call_without_live_engines_is_refused_and_can_be_repeated(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             servers = {one: fleet.http.servers.pop(one) for one in list(fleet.http.servers)[:2]}
             request = chat(idempotency_key="a", is_named=True)
@@ -72,7 +72,7 @@
 
         in_fleet(scenario)
 
-    def test_refusal_by_a_dead_engine_reaches_the_caller_as_it_is(self) -> None:
+    def test_refusal_without_live_engines_reaches_the_caller_unchanged(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             for engine_id in list(fleet.http.servers)[:2]:
                 del fleet.http.servers[engine_id]
@@ -84,7 +84,7 @@
 
         in_fleet(scenario)
 
-    def test_repeat_joins_and_later_gets_the_recorded_outcome(self) -> None:
+    def test_repeat_joins_the_running_call_and_later_gets_the_recorded_outcome(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             request = chat(sequence=0, is_named=True)
             answers = [Answer(), Answer()]
@@ -99,7 +99,7 @@
 
         in_fleet(scenario)
 
-    def test_restarted_node_without_configuration_does_not_judge_the_tenant(self) -> None:
+    def test_node_without_configuration_does_not_refuse_the_tenant(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             configuration, fleet.configuration = fleet.configuration, ConfigurationView()
             fleet.leaderships[0].epoch = None
@@ -113,7 +113,7 @@
 
         in_fleet(scenario)
 
-    def test_unnamed_call_is_cancelled_with_its_caller(self) -> None:
+    def test_unnamed_call_is_cancelled_when_its_caller_disconnects(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             with anyio.move_on_after(0.02):
                 await fleet.call(chat())
@@ -155,7 +155,7 @@
 
 
 class ToolCallTest(unittest.TestCase):
-    def test_charge_with_lost_answer_runs_once_and_is_found(self) -> None:
+    def test_charge_with_lost_response_runs_once_and_is_resolved(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.application.behaviours = ["lost"]
             answer = await fleet.call(charge())
@@ -167,7 +167,7 @@
 
         in_fleet(scenario)
 
-    def test_charge_without_status_is_doubtful_and_never_repeated(self) -> None:
+    def test_charge_without_status_queries_stays_in_doubt_and_is_never_resent(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.application.behaviours = ["lost"]
             for _ in range(3):
@@ -177,7 +177,7 @@
 
         in_fleet(scenario, offers_status=False)
 
-    def test_hung_charge_is_cut_and_asked_about(self) -> None:
+    def test_hung_charge_times_out_and_its_status_is_queried(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.application.behaviours = ["hang"]
             answer = await fleet.call(charge())
@@ -187,18 +187,18 @@
 
         in_fleet(scenario)
 
-    def test_charge_given_up_at_its_deadline_is_answered_at_once_and_found_later(self) -> None:
+    def test_charge_past_its_deadline_is_answered_immediately_and_resolved_later(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.application.behaviours = ["hang"]
-            began_at = anyio.current_time()
-            given_up = await fleet.call(charge(timeout_s=0.5))
-            self.assertEqual(given_up.refused.code, ErrorCode.DEADLINE_EXCEEDED)
-            self.assertEqual(given_up.refused.verdict, Verdict.MAY_HAVE_RUN)
-            self.assertIsNotNone(given_up.refused.retry_after_s)
-            self.assertAlmostEqual(anyio.current_time() - began_at, 0.5, places=3)
-            # A repeat whose time is up before the record is looked at proves nothing.
-            hasty = await fleet.call(charge(timeout_s=0.0))
-            self.assertEqual(hasty.refused.verdict, Verdict.MAY_HAVE_RUN)
+            started_at = anyio.current_time()
+            timed_out = await fleet.call(charge(timeout_s=0.5))
+            self.assertEqual(timed_out.refused.code, ErrorCode.DEADLINE_EXCEEDED)
+            self.assertEqual(timed_out.refused.verdict, Verdict.MAY_HAVE_RUN)
+            self.assertIsNotNone(timed_out.refused.retry_after_s)
+            self.assertAlmostEqual(anyio.current_time() - started_at, 0.5, places=3)
+            # A repeat that times out before the record is read does not prove that nothing ran.
+            expired = await fleet.call(charge(timeout_s=0.0))
+            self.assertEqual(expired.refused.verdict, Verdict.MAY_HAVE_RUN)
             again = await fleet.call(charge())
             while isinstance(again.last, CallRefused):
                 self.assertNotEqual(again.refused.verdict, Verdict.NOT_RUN)
@@ -210,7 +210,7 @@
 
         in_fleet(scenario)
 
-    def test_doubtful_charge_is_settled_before_the_programs_next_call(self) -> None:
+    def test_charge_in_doubt_is_resolved_before_the_programs_next_call(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.application.behaviours = ["hang"]
             await fleet.call(charge(timeout_s=0.5))
@@ -223,7 +223,7 @@
 
         in_fleet(scenario)
 
-    def test_charge_that_never_arrived_is_refused_for_good(self) -> None:
+    def test_charge_that_never_arrived_is_recorded_as_not_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.application.behaviours = ["unsent"]
             answer = await fleet.call(charge())
@@ -233,7 +233,7 @@
 
         in_fleet(scenario)
 
-    def test_refused_charge_is_sent_again(self) -> None:
+    def test_refused_charge_is_retried(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.application.behaviours = ["refuse", "refuse"]
             answer = await fleet.call(charge())
@@ -242,12 +242,12 @@
 
         in_fleet(scenario)
 
-    def test_lost_answer_of_the_intent_does_not_stop_the_charge(self) -> None:
+    def test_repeat_after_a_lost_reply_to_the_intent_runs_the_charge_at_most_once(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.store.fail_next = {BeginCall: ["lost"], FinishCall: ["lost"]}
             first = await fleet.call(charge())
             self.assertEqual(first.refused.verdict, Verdict.NOT_RUN)
-            # The store holds an intent whose answer this leader never saw, so it asks.
+            # The store recorded the intent, but the leader got no reply, so it queries the status.
             second = await fleet.call(charge())
             self.assertNotEqual(second.last, None)
             self.assertLessEqual(len(fleet.application.ledger), 1)
@@ -262,7 +262,7 @@
             without_leader = await fleet.call(charge(), node=1)
             self.assertEqual(without_leader.refused.code, ErrorCode.UNAVAILABLE)
             self.assertEqual(without_leader.refused.verdict, Verdict.MAY_HAVE_RUN)
-            # The next leader is too busy to look into the program's record.
+            # The next leader is too busy to read the program's record.
             fleet.lead(1)
             fleet.nodes[1].leader.limit_requests(0)
             when_busy = await fleet.call(charge(), node=1)
@@ -271,7 +271,7 @@
             fleet.nodes[1].leader.limit_requests(10)
             again = await fleet.call(charge(), node=1)
             self.assertEqual(again.answered.verdict, Verdict.RAN)
-            # Now its record is in memory, and tells a repeat from a new charge.
+            # With the record in memory, the leader distinguishes a repeat from a new charge.
             fleet.nodes[1].leader.limit_requests(0)
             repeat = await fleet.call(charge(), node=1)
             self.assertEqual(repeat.refused.verdict, Verdict.RAN)
@@ -281,14 +281,16 @@
 
         in_fleet(scenario, nodes=2)
 
-    def test_repeat_refused_while_the_charge_is_about_to_be_recorded_promises_nothing(self) -> None:
+    def test_repeat_refused_before_the_charge_is_recorded_may_have_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             await fleet.call(chat())
             first = Answer()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.call, charge(), first)
                 await anyio.sleep(0.0005)
-                self.assertEqual(len(fleet.record().calls), 1, "the charge is not recorded yet")
+                self.assertEqual(
+                    len(fleet.record().calls), 1, "the charge must not be recorded yet"
+                )
                 fleet.nodes[0].leader.limit_requests(0)
                 repeat = await fleet.call(charge())
             self.assertEqual(first.answered.verdict, Verdict.RAN)
@@ -299,7 +301,7 @@
 
 
 class LeaderChangeTest(unittest.TestCase):
-    def test_leader_lost_mid_stream_and_the_next_goes_on(self) -> None:
+    def test_call_resumes_under_a_new_leader(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             answer = Answer()
             async with anyio.create_task_group() as tasks:
@@ -313,7 +315,7 @@
 
         in_fleet(scenario, nodes=2)
 
-    def test_unnamed_charge_cut_off_with_its_leader_is_not_refused_as_not_run(self) -> None:
+    def test_unnamed_charge_aborted_by_its_leader_is_not_refused_as_not_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.application.behaviours = ["hang"]
             request = charge(idempotency_key=None, is_named=False, timeout_s=3.0)
@@ -322,7 +324,7 @@
                 tasks.start_soon(fleet.call, request, answer, 1)
                 await anyio.sleep(0.006)
                 self.assertEqual(len(fleet.application.ledger), 1)
-                # Its lease is over, and nobody leads for longer than the caller waits.
+                # The lease expires, and no node leads until after the caller's deadline.
                 led = fleet.leaderships[0].led_partitions()
                 fleet.leaderships[0].epoch = None
                 for partition in led:
@@ -332,14 +334,16 @@
 
         in_fleet(scenario, nodes=2)
 
-    def test_charge_whose_outcome_its_leader_may_not_record_is_not_refused_as_not_run(self) -> None:
+    def test_charge_whose_outcome_a_stale_leader_cannot_record_is_not_refused_as_not_run(
+        self,
+    ) -> None:
         async def scenario(fleet: Fleet) -> None:
             request = charge(idempotency_key=None, is_named=False, timeout_s=3.0)
             answer = Answer()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.call, request, answer, 1)
                 await anyio.sleep(0.004)
-                # The store has given the program away; only the leader does not know yet.
+                # The store has moved the program to another node; the old leader does not know yet.
                 fleet.store.lead(fleet.leaderships[1], fleet.epoch + 1)
                 await anyio.sleep(0.01)
                 self.assertEqual(len(fleet.application.ledger), 1)
@@ -349,7 +353,7 @@
 
         in_fleet(scenario, nodes=2)
 
-    def test_repeat_that_shares_the_refusal_of_a_waiting_charge_is_told_that_it_did_not_run(
+    def test_repeat_that_joins_a_queued_charge_is_refused_as_not_run_with_it(
         self,
     ) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -364,7 +368,7 @@
 
         in_fleet(scenario)
 
-    def test_program_refused_after_a_lost_answer_is_not_refused_as_not_run(self) -> None:
+    def test_program_refused_after_a_lost_response_is_not_refused_as_not_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             lost = PasslaneError(ErrorCode.CONNECTION_LOST, "reset", verdict=Verdict.MAY_HAVE_RUN)
             errors = [lost, PasslaneError(ErrorCode.LIMIT_EXCEEDED, "too many programs")]
@@ -381,8 +385,8 @@
 
         in_fleet(scenario, nodes=2)
 
-    def test_call_sent_again_to_a_busy_leader_is_not_refused_as_not_run(self) -> None:
-        # The next leader has asked the application what became of the charge.
+    def test_call_resent_to_a_busy_leader_is_not_refused_as_not_run(self) -> None:
+        # The next leader resolves the charge by a status query to the application.
         for make, verdict in ((chat, Verdict.MAY_HAVE_RUN), (charge, Verdict.RAN)):
             with self.subTest(make.__name__):
 
@@ -405,7 +409,7 @@
 
                 in_fleet(scenario, nodes=2)
 
-    def test_call_sent_again_that_is_on_no_record_is_refused_as_not_run(self) -> None:
+    def test_resent_call_without_a_record_is_refused_as_not_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             request = charge(idempotency_key=None, is_named=False, is_resent=True, sequence=9)
             answer = await fleet.call(request)
@@ -415,22 +419,22 @@
         in_fleet(scenario)
 
     def test_leader_change_between_intent_and_outcome_of_a_charge(self) -> None:
-        # The application has run the charge after 5 ms; before that it never will.
+        # With "hang" the application runs the charge after 5 ms, with "unsent" it never does.
         cases = (("hang", 0.006, Verdict.RAN), ("unsent", 0.004, Verdict.NOT_RUN))
-        for behaviour, moment_s, verdict in cases:
+        for behaviour, change_after_s, verdict in cases:
             with self.subTest(behaviour):
 
                 async def scenario(
                     fleet: Fleet,
                     behaviour: str = behaviour,
-                    moment_s: float = moment_s,
+                    change_after_s: float = change_after_s,
                     verdict: Verdict = verdict,
                 ) -> None:
                     fleet.application.behaviours = [behaviour]
                     answer = Answer()
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(fleet.call, charge(), answer, 1)
-                        await anyio.sleep(moment_s)
+                        await anyio.sleep(change_after_s)
                         self.assertEqual(fleet.record().calls[0].state, CallState.BEGUN)
                         fleet.lead(1)
                     assert answer.last is not None
@@ -440,13 +444,13 @@
 
                 in_fleet(scenario, nodes=2)
 
-    def test_two_leaders_write_one_history(self) -> None:
+    def test_two_leaders_write_one_consistent_history(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             answers = [Answer(), Answer()]
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.call, chat("old", timeout_s=8.0), answers[0], 0)
                 await anyio.sleep(0.02)
-                # Node 0 keeps believing that it leads.
+                # Node 0 still acts as the leader.
                 fleet.lead(1, told=False)
                 fleet.leaderships[0].leader = fleet.leaderships[0].address
                 tasks.start_soon(fleet.call, chat("new"), answers[1], 1)
@@ -461,7 +465,7 @@
 
 
 class MemoryAndEndTest(unittest.TestCase):
-    def test_memory_is_released_at_the_end_when_the_engine_comes_back(self) -> None:
+    def test_memory_of_an_ended_program_is_released_after_the_engine_recovers(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             await fleet.call(chat())
             self.assertEqual(len(fleet.record().holds), 1)
@@ -470,7 +474,7 @@
             await fleet.end()
             await anyio.sleep(5)
             self.assertEqual(fleet.nodes[0].releases.pending_count, 1)
-            # Another leader takes the release over.
+            # Another leader takes over the release.
             fleet.lead(1)
             for engine in fleet.engines:
                 engine.refuses_orders = False
@@ -481,7 +485,7 @@
 
         in_fleet(scenario, nodes=2)
 
-    def test_end_stops_a_running_call_and_leaves_nothing_held(self) -> None:
+    def test_end_stops_a_running_call_and_releases_its_memory(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             answer = Answer()
             async with anyio.create_task_group() as tasks:
@@ -497,7 +501,7 @@
 
         in_fleet(scenario)
 
-    def test_sweep_finds_memory_that_nobody_recorded(self) -> None:
+    def test_sweep_releases_memory_without_a_recorded_hold(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             await fleet.call(chat())
             fleet.engines[0].held["forgotten"] = 4
@@ -505,11 +509,11 @@
             await anyio.sleep(60)
             self.assertNotIn("forgotten", fleet.engines[0].held)
             kept = [engine.held.get(PROGRAM) for engine in fleet.engines]
-            self.assertTrue(any(kept), "a running program keeps its memory")
+            self.assertTrue(any(kept), "a running program must keep its memory")
 
         in_fleet(scenario)
 
-    def test_tenants_are_kept_apart(self) -> None:
+    def test_tenants_are_isolated(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             await fleet.call(chat())
             foreign = await fleet.call(chat(tenant_id=OTHER_TENANT))
@@ -520,8 +524,8 @@
 
 
 class PlantedDefectTest(unittest.TestCase):
-    def test_a_lost_leader_that_promises_not_run_is_noticed(self) -> None:
-        name = "test_unnamed_charge_cut_off_with_its_leader_is_not_refused_as_not_run"
+    def test_false_not_run_of_an_aborted_call_is_detected(self) -> None:
+        name = "test_unnamed_charge_aborted_by_its_leader_is_not_refused_as_not_run"
         suite = unittest.TestSuite([LeaderChangeTest(name)])
         defect = Replacement(
             CallMachine, "verdict_if_cut_off", property(lambda _machine: Verdict.NOT_RUN)
