--- a/src/passlane/node/model_dispatcher.py
+++ b/src/passlane/node/model_dispatcher.py
@@ -41,7 +41,7 @@
 
 
 class CallSchedulerInterface(Protocol):
-    """The part of ``scheduling.scheduler.Scheduler`` that is used here."""
+    """The part of ``decisions.scheduling.call_scheduler.Scheduler`` that is used here."""
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
         """Handle one event and return instructions."""
--- a/tests/node/test_calls_under_failure.py
+++ b/tests/node/test_calls_under_failure.py
@@ -131,8 +131,8 @@
                     request = chat(str(number), sequence=number, is_named=True)
                     tasks.start_soon(fleet.call, request, answers[number])
                     await anyio.sleep(0.01)
-            asked = [turn.content for turn in fleet.record().turns if turn.role == "user"]
-            self.assertEqual(asked, ["0", "1", "2", "3"])
+            user_turns = [turn.content for turn in fleet.record().turns if turn.role == "user"]
+            self.assertEqual(user_turns, ["0", "1", "2", "3"])
             gap = await fleet.call(chat(sequence=9, is_named=True))
             self.assertEqual(gap.refused.code, ErrorCode.WRONG_SEQUENCE)
             self.assertEqual(gap.refused.verdict, Verdict.NOT_RUN)
