--- a/src/passlane/node/admission.py
+++ b/src/passlane/node/admission.py
@@ -1,4 +1,8 @@
-"""Which requests a node takes: its own bound, each tenant's rate and concurrency."""
+"""Admission of calls at a node.
+
+Enforces the node's maximum number of requests, and the rate limit and concurrency limit of
+each tenant. A request over a limit is refused at once, with a time to retry after.
+"""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -8,58 +12,64 @@
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.identifiers import TenantId
 
-FULL_RETRY_AFTER_S = 1.0
-"""Advice to callers when the node has as many requests as it may."""
+NODE_FULL_RETRY_AFTER_S = 1.0
+"""Retry time for callers when the node has reached its maximum number of requests."""
 MIN_LIMITERS_BEFORE_SWEEP = 64
-"""So many tenants are remembered before idle ones are looked for."""
+"""Number of tracked tenants below which idle ones are not searched for."""
 
 
 class Admission:
-    """Admits requests or refuses them at once, with the time to come back.
+    """Admits requests or refuses them at once.
+
+    Limits of a tenant apply to each node separately; nodes do not share their counts.
 
-    Limits of a tenant hold for each node: what a node leads is bounded there, without
-    asking the others.
+    Parameters
+    ----------
+    max_requests
+        Number of requests that may be in flight at a time, over all tenants.
     """
 
     def __init__(self, max_requests: int) -> None:
         self._max_requests = max_requests
-        self._requests = 0
-        self._tenants: dict[TenantId, TenantLimiter] = {}
-        self._sweep_above = MIN_LIMITERS_BEFORE_SWEEP
+        self._in_flight = 0
+        self._limiters: dict[TenantId, TenantLimiter] = {}
+        self._sweep_threshold = MIN_LIMITERS_BEFORE_SWEEP
 
     @property
     def remembered_tenants(self) -> int:
-        """Tenants whose rate or calls in flight are remembered now."""
-        return len(self._tenants)
+        """Number of tenants that have a limiter in memory."""
+        return len(self._limiters)
 
     @property
     def in_flight(self) -> int:
-        """Requests admitted and not yet answered."""
-        return self._requests
+        """Number of requests that were admitted and not answered yet."""
+        return self._in_flight
 
     def limit_requests(self, max_requests: int) -> None:
-        """Change how many requests are admitted at a time; those in flight go on."""
+        """Change the maximum number of requests; requests in flight continue."""
         self._max_requests = max_requests
 
     @contextmanager
     def admit(self, tenant_id: TenantId, tenant: TenantBody | None, now: float) -> Iterator[None]:
-        """Hold a place for one request of a tenant.
+        """Count one request of a tenant as in flight while the context is open.
 
         Raises
         ------
         PasslaneError
-            ``FORBIDDEN`` for a tenant that the configuration does not know;
-            ``QUEUE_FULL`` or ``LIMIT_EXCEEDED`` with a time to come back.
+            ``FORBIDDEN`` if the configuration does not contain the tenant;
+            ``QUEUE_FULL`` if the node has reached its maximum number of requests;
+            ``LIMIT_EXCEEDED`` if the tenant has reached its rate or concurrency limit.
+            The last two give a time to retry after.
         """
         if tenant is None:
             raise PasslaneError(
                 ErrorCode.FORBIDDEN, "the tenant is not configured", retry_after_s=5.0
             )
-        if self._requests >= self._max_requests:
+        if self._in_flight >= self._max_requests:
             raise PasslaneError(
                 ErrorCode.QUEUE_FULL,
-                "this node has as many requests as it takes",
-                retry_after_s=FULL_RETRY_AFTER_S,
+                "the node has reached its maximum number of requests",
+                retry_after_s=NODE_FULL_RETRY_AFTER_S,
             )
         limiter = self._limiter(tenant_id, tenant, now)
         admission = limiter.admit(now)
@@ -67,11 +77,11 @@
             raise PasslaneError(
                 ErrorCode.LIMIT_EXCEEDED, admission.reason, retry_after_s=admission.retry_after_s
             )
-        self._requests += 1
+        self._in_flight += 1
         try:
             yield
         finally:
-            self._requests -= 1
+            self._in_flight -= 1
             limiter.release()
 
     def _limiter(self, tenant_id: TenantId, tenant: TenantBody, now: float) -> TenantLimiter:
@@ -79,24 +89,24 @@
             calls_per_second=tenant.calls_per_second,
             max_calls_in_flight=tenant.max_calls_in_flight,
         )
-        limiter = self._tenants.get(tenant_id)
+        limiter = self._limiters.get(tenant_id)
         if limiter is None:
-            self._forget_idle(now)
-            limiter = self._tenants[tenant_id] = TenantLimiter(limits)
+            self._drop_idle_limiters(now)
+            limiter = self._limiters[tenant_id] = TenantLimiter(limits)
         limiter.change(limits)
         return limiter
 
-    def _forget_idle(self, now: float) -> None:
-        """Drop the limiters of idle tenants, each time that twice as many are remembered.
+    def _drop_idle_limiters(self, now: float) -> None:
+        """Drop the limiters of idle tenants each time that the number of limiters has doubled.
 
-        A tenant is idle when its rate is saved up in full and no call is in flight, so
-        forgetting it gives it nothing.
+        A tenant is idle when its token bucket is full and none of its calls is in flight, so
+        a new limiter would behave the same.
         """
-        if len(self._tenants) < self._sweep_above:
+        if len(self._limiters) < self._sweep_threshold:
             return
-        self._tenants = {
+        self._limiters = {
             tenant_id: limiter
-            for tenant_id, limiter in self._tenants.items()
+            for tenant_id, limiter in self._limiters.items()
             if not limiter.is_idle(now)
         }
-        self._sweep_above = max(2 * len(self._tenants), MIN_LIMITERS_BEFORE_SWEEP)
+        self._sweep_threshold = max(2 * len(self._limiters), MIN_LIMITERS_BEFORE_SWEEP)
--- a/src/passlane/node/drain_progress.py
+++ b/src/passlane/node/drain_progress.py
@@ -1,4 +1,4 @@
-"""Counts this node's calls in flight at what operators are draining."""
+"""Reports how many calls this node has in flight at each target that operators are draining."""
 
 from passlane.configuration.documents import DrainKind
 from passlane.configuration.view import ConfigurationView, DrainTarget
@@ -15,13 +15,13 @@
     node_id: NodeId,
     own_requests: int,
 ) -> tuple[TargetInFlight, ...]:
-    """Return the calls in flight at each drained target; targets without any are left out.
+    """Return the number of calls in flight at each drained target, without targets that have none.
 
     Parameters
     ----------
     own_requests
-        Callers' requests that this node has not answered yet; they count where the node
-        itself is drained.
+        Number of callers' requests that this node has not answered yet; counted if the node
+        itself is being drained.
     """
 
     def count(target: DrainTarget) -> int:
--- a/src/passlane/node/fencing.py
+++ b/src/passlane/node/fencing.py
@@ -1,23 +1,23 @@
-"""Fencing tokens of requests and orders that concern one program at an engine.
+"""Fencing tokens of the requests and orders that a node sends to an engine for a program.
 
-Epochs are doubled, which leaves a token between two epochs: the last release of an
-ended program is newer than any request of its leader, so a request that arrives at
-the engine after it is refused and holds nothing.
+The token of an epoch is ``2 * epoch``. ``2 * epoch + 1`` is the token of the final release of
+an ended program: it is greater than the token of every request of the same leader, so the
+engine refuses a request that arrives after the release.
 """
 
 from passlane.identifiers import Epoch
 
 
 def chat_token(epoch: Epoch) -> int:
-    """Return the token of chat requests, and of releases while the program goes on."""
+    """Return the token of chat requests, and of releases while the program is running."""
     return 2 * epoch
 
 
 def final_release_token(epoch: Epoch) -> int:
-    """Return the token of the release after the program's end."""
+    """Return the token of the release after the program has ended."""
     return 2 * epoch + 1
 
 
 def program_scope(program_id: str) -> str:
-    """Return the scope in which an engine compares these tokens."""
+    """Return the scope within which an engine compares these tokens."""
     return f"program:{program_id}"
--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests: what is refused, and that idle tenants are forgotten."""
+"""Admission of requests: refusals, and limiters of idle tenants that are dropped."""
 
 import unittest
 
@@ -15,14 +15,14 @@
         with admission.admit(TenantId(tenant), TENANT, now):
             pass
 
-    def test_idle_tenants_are_forgotten_at_the_size_designed_for(self):
+    def test_limiters_of_idle_tenants_are_dropped_among_many_tenants(self):
         admission = Admission(max_requests=100)
         for number in range(39_000):
             self.admit(admission, f"t{number}", number * 0.1)
         self.assertLessEqual(admission.remembered_tenants, MIN_LIMITERS_BEFORE_SWEEP)
 
-    def test_a_tenant_that_used_up_its_rate_is_not_forgotten(self):
-        """Forgetting it would give it another burst."""
+    def test_limiter_of_a_tenant_without_remaining_rate_is_kept(self):
+        """A new limiter would allow the tenant another burst."""
         admission = Admission(max_requests=100)
         self.admit(admission, "busy", 0.0)
         self.admit(admission, "busy", 0.0)
@@ -33,19 +33,19 @@
         self.assertIs(ErrorCode.LIMIT_EXCEEDED, caught.exception.code)
         self.assertIsNotNone(caught.exception.retry_after_s)
 
-    def test_a_tenant_with_a_call_in_flight_is_not_forgotten(self):
+    def test_limiter_of_a_tenant_with_a_call_in_flight_is_kept(self):
         admission = Admission(max_requests=100)
         with admission.admit(TenantId("long"), TENANT, 0.0):
             for number in range(3 * MIN_LIMITERS_BEFORE_SWEEP):
                 self.admit(admission, f"t{number}", 100.0)
             self.assertGreaterEqual(admission.remembered_tenants, 1)
-            held = [admission.admit(TenantId("long"), TENANT, 100.0 + i) for i in range(5)]
-            for context in held[:4]:
+            contexts = [admission.admit(TenantId("long"), TENANT, 100.0 + i) for i in range(5)]
+            for context in contexts[:4]:
                 context.__enter__()
             with self.assertRaises(PasslaneError) as caught:
-                held[4].__enter__()
+                contexts[4].__enter__()
             self.assertIn("in flight", str(caught.exception))
-            for context in held[:4]:
+            for context in contexts[:4]:
                 context.__exit__(None, None, None)
         self.assertEqual(0, admission.in_flight)
 
--- a/tests/node/test_drain_progress.py
+++ b/tests/node/test_drain_progress.py
@@ -1,4 +1,4 @@
-"""Calls in flight at what is being drained, as a node reports them."""
+"""Calls in flight at drained targets, as a node reports them in its heartbeats."""
 
 import unittest
 from types import SimpleNamespace
