--- a/src/passlane/node/heartbeat.py
+++ b/src/passlane/node/heartbeat.py
@@ -1,4 +1,8 @@
-"""Sends a node's heartbeats to its region's store leader and carries out the replies."""
+"""Sends a node's heartbeats to the store leader of its region and applies the replies.
+
+A reply brings the node's lease, the partition table, configuration changes and handovers.
+``HeartbeatLoop`` owns the lease; the node implements ``HeartbeatListener``.
+"""
 
 import random as random_module
 from collections.abc import Sequence
@@ -18,82 +22,82 @@
 from passlane.settings.model import Settings
 
 JITTER_FRACTION = 0.2
-"""Intervals vary by so much of their length, so that nodes do not fall into step."""
+"""Random variation of an interval, as a fraction, so that nodes do not synchronize."""
 
-JOINING_FRACTION = 0.25
-"""A node without a lease asks again after this part of the heartbeat interval."""
+NO_LEASE_INTERVAL_FRACTION = 0.25
+"""Interval of a node without a lease, as a fraction of the heartbeat interval."""
 
-AWAITING_FRACTION = 0.05
-"""A node that has released a partition, or waits for one that another has released, asks
-again after this part of the interval."""
+AWAITED_INTERVAL_FRACTION = 0.05
+"""Interval of a node that waits for a partition to be assigned, as a fraction of the heartbeat
+interval: it has released the partition, or is to lead one that another node has released."""
 
 logger = get_logger(__name__)
 
 
 def longest_pause_s(heartbeat_s: float) -> float:
-    """Return the longest time in seconds between two heartbeats of a node."""
+    """Return the maximum time in seconds between two heartbeats of a node with a lease."""
     return heartbeat_s * (1.0 + JITTER_FRACTION)
 
 
 class ConfigurationPosition(Protocol):
-    """How far a node is with the configuration."""
+    """Revisions of the configuration that a node has."""
 
     @property
     def held_revision(self) -> Revision:
-        """Newest revision held, pending or accepted."""
+        """Newest revision received, pending or accepted."""
         ...
 
     @property
     def revision_in_force(self) -> Revision:
-        """Revision acted on."""
+        """Revision that the node applies."""
         ...
 
     @property
     def floor_revision(self) -> Revision:
-        """Floor of the snapshot that the configuration began with."""
+        """Floor of the snapshot that the configuration started from."""
         ...
 
 
 class HeartbeatListener(Protocol):
-    """The node's part that acts on what heartbeats bring."""
+    """The part of the node that applies the replies to heartbeats."""
 
     @property
     def configuration(self) -> ConfigurationPosition:
-        """The configuration held now."""
+        """The configuration that the node has now."""
         ...
 
     @property
     def is_draining(self) -> bool:
-        """Whether the node wants to give up what it leads and get nothing new."""
+        """Whether the node hands over its partitions and gets no new ones."""
         ...
 
     @property
     def in_flight_at_drained(self) -> tuple[TargetInFlight, ...]:
-        """Calls in flight at what is being drained."""
+        """Number of calls in flight at each drained target."""
         ...
 
     def take_configuration(
         self, delta: ConfigurationDelta | None, accepted_revision: Revision
     ) -> None:
-        """Take in changes, and act on what is accepted and held."""
+        """Add changes, then apply the newest revision that is both accepted and received."""
         ...
 
     def take_leaving_engines(self, names: Sequence[EngineId]) -> None:
-        """Send no new work to machines of these names."""
+        """Send no new work to the engines of these names."""
         ...
 
     def take_membership_change(self, change: MembershipChange) -> None:
-        """Begin or stop to lead a partition, or begin to hand it over."""
+        """Start or stop leading a partition, or start or cancel its handover."""
         ...
 
 
 class HeartbeatLoop:
-    """The node's side of membership.
+    """Sends heartbeats, maintains the node's lease and notifies the listener of changes.
 
     Parameters
     ----------
     incarnation
-        Differs for each start of the process, for example 63 random bits; not 0.
+        Different for each start of the process, for example 63 random bits; not 0.
     """
 
     def __init__(
@@ -108,9 +112,9 @@
         self._store = store
         self._listener = listener
         self._random = random
-        self._wanted = anyio.Event()
-        self._awaited: dict[Partition, float] = {}
-        self._replied = anyio.Event()
+        self._send_requested = anyio.Event()
+        self._awaited_until: dict[Partition, float] = {}
+        self._reply_received = anyio.Event()
         self.lease = NodeLease(
             NodeId(settings.process.name),
             incarnation,
@@ -119,77 +123,77 @@
 
     @property
     def has_lease(self) -> bool:
-        """Whether the node may act as a leader right now."""
+        """Whether the node may act as a leader now."""
         return self.lease.is_valid(anyio.current_time())
 
     def beat_soon(self) -> None:
-        """Send the next heartbeat at once, because something has changed here."""
-        self._wanted.set()
+        """Send the next heartbeat immediately, because the node's state has changed."""
+        self._send_requested.set()
 
     def release(self, partition: Partition) -> None:
-        """Stop leading a partition; call once its last call has finished."""
-        self._tell(self.lease.release(partition))
-        self._await_table(partition)
+        """Stop leading a partition; to be called after its last call has finished."""
+        self._notify_listener(self.lease.release(partition))
+        self._await_assignment(partition)
 
     async def wait_released(self) -> None:
-        """Return once the partition table gives away all that this node has released.
+        """Wait until the partition table has reassigned every partition that this node released.
 
-        Returns too when the lease ends: then others take over without the releases.
+        Returns also when the lease ends: then other nodes may lead without the releases.
         """
         while self.lease.releases and self.has_lease:
             with anyio.move_on_after(self.lease.valid_until - anyio.current_time()):
-                await self._replied.wait()
+                await self._reply_received.wait()
 
     def expect(self, partition: Partition) -> None:
-        """Ask often for a while: a partition was released that this node is to lead."""
-        self._await_table(partition)
+        """Send heartbeats often until a released partition is assigned, for at most ``lease_s``."""
+        self._await_assignment(partition)
 
-    def _await_table(self, partition: Partition) -> None:
-        self._awaited[partition] = anyio.current_time() + self._settings.membership.lease_s
+    def _await_assignment(self, partition: Partition) -> None:
+        self._awaited_until[partition] = anyio.current_time() + self._settings.membership.lease_s
         self.beat_soon()
 
-    def _forget_awaited(self, reply: HeartbeatReply) -> None:
-        """Stop to ask often for partitions that the table has just given to someone."""
+    def _drop_assigned(self, reply: HeartbeatReply) -> None:
+        """Stop waiting for partitions that the reply assigns, or whose waiting time is over."""
         now = anyio.current_time()
-        news = {assignment.partition for assignment in reply.table or ()}
-        self._awaited = {
+        assigned = {assignment.partition for assignment in reply.table or ()}
+        self._awaited_until = {
             partition: until
-            for partition, until in self._awaited.items()
-            if until > now and partition not in news
+            for partition, until in self._awaited_until.items()
+            if until > now and partition not in assigned
         }
 
     async def run(self) -> None:
-        """Send heartbeats and watch the lease until cancelled."""
+        """Send heartbeats and monitor the lease until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._watch_lease)
             while True:
-                self._wanted = anyio.Event()
-                await self._beat()
-                with anyio.move_on_after(self._pause_s()):
-                    await self._wanted.wait()
+                self._send_requested = anyio.Event()
+                await self._send_heartbeat()
+                with anyio.move_on_after(self._interval_s()):
+                    await self._send_requested.wait()
 
-    def _pause_s(self) -> float:
-        pause_s = self._settings.membership.heartbeat_s
+    def _interval_s(self) -> float:
+        interval_s = self._settings.membership.heartbeat_s
         if not self.has_lease:
-            pause_s *= JOINING_FRACTION
-        elif self._awaited:
-            pause_s *= AWAITING_FRACTION
-        return pause_s * self._random.uniform(1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION)
+            interval_s *= NO_LEASE_INTERVAL_FRACTION
+        elif self._awaited_until:
+            interval_s *= AWAITED_INTERVAL_FRACTION
+        return interval_s * self._random.uniform(1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeat(self) -> None:
         sent_at = anyio.current_time()
         try:
             reply = await self._store.execute(
-                self._heartbeat(),
+                self._build_heartbeat(),
                 HeartbeatReply,
                 timeout_s=self._settings.membership.lease_s / 2,
             )
         except PasslaneError as error:
             logger.warning("heartbeat_failed", code=error.code.value)
             return
-        self._take_reply(reply, sent_at)
+        self._handle_reply(reply, sent_at)
 
-    def _heartbeat(self) -> NodeHeartbeat:
+    def _build_heartbeat(self) -> NodeHeartbeat:
         configuration = self._listener.configuration
         return NodeHeartbeat(
             node_id=self.lease.node_id,
@@ -208,34 +212,34 @@
     def _own_address(self) -> Address:
         return self._settings.addresses.internal
 
-    def _take_reply(self, reply: HeartbeatReply, sent_at: float) -> None:
-        # Configuration first: a node acts on the newest accepted one before it leads.
-        held_before = self._listener.configuration.held_revision
+    def _handle_reply(self, reply: HeartbeatReply, sent_at: float) -> None:
+        # Configuration first: a node applies the newest accepted revision before it leads.
+        revision_before = self._listener.configuration.held_revision
         self._listener.take_configuration(reply.configuration, reply.accepted_revision)
         self._listener.take_leaving_engines(reply.leaving_engines)
-        self._forget_awaited(reply)
+        self._drop_assigned(reply)
         had_lease = self.has_lease
-        self._tell(self.lease.handle_reply(reply, sent_at, anyio.current_time()))
-        if self._listener.configuration.held_revision > held_before:
-            # The store leader waits to hear that the change is held, or has more of it.
+        self._notify_listener(self.lease.handle_reply(reply, sent_at, anyio.current_time()))
+        if self._listener.configuration.held_revision > revision_before:
+            # The store leader waits for this acknowledgement, or has more changes to send.
             self.beat_soon()
-        self._replied.set()
-        self._replied = anyio.Event()
+        self._reply_received.set()
+        self._reply_received = anyio.Event()
         if self.has_lease != had_lease:
             logger.info("lease_gained", partitions=len(self.lease.led_partitions))
 
     async def _watch_lease(self) -> None:
-        """Notice the end of the lease at the moment it ends, whatever the heartbeats do."""
+        """Handle the end of the lease when it expires, also while no heartbeat is answered."""
         while True:
             now = anyio.current_time()
             lost = self.lease.handle_time(now)
             if lost:
                 logger.warning("lease_lost", partitions=len(lost))
-                self._tell(lost)
+                self._notify_listener(lost)
             remaining_s = self.lease.valid_until - now
-            longest_s = self._settings.membership.heartbeat_s
-            await anyio.sleep(min(remaining_s, longest_s) if remaining_s > 0 else longest_s)
+            max_sleep_s = self._settings.membership.heartbeat_s
+            await anyio.sleep(min(remaining_s, max_sleep_s) if remaining_s > 0 else max_sleep_s)
 
-    def _tell(self, changes: Sequence[MembershipChange]) -> None:
+    def _notify_listener(self, changes: Sequence[MembershipChange]) -> None:
         for change in changes:
             self._listener.take_membership_change(change)
--- a/src/passlane/node/leadership.py
+++ b/src/passlane/node/leadership.py
@@ -1,4 +1,4 @@
-"""Which partitions this node leads right now, and who leads the others."""
+"""Interface to the current leadership of partitions: this node's epochs and other leaders."""
 
 from typing import Protocol
 
@@ -7,16 +7,16 @@
 
 
 class Leadership(Protocol):
-    """What the parts of a node need to know about partitions and leases."""
+    """Leadership of partitions, as the parts of a node see it."""
 
     def epoch_of(self, partition: Partition) -> Epoch | None:
-        """Return the epoch in which this node leads, or ``None``; only under a valid lease."""
+        """Return the epoch in which this node leads, ``None`` if it does not or without a lease."""
         ...
 
     def led_partitions(self) -> tuple[Partition, ...]:
-        """Return the partitions that this node leads as long as its lease is valid."""
+        """Return the partitions that this node leads while its lease is valid."""
         ...
 
     def leader_of(self, partition: Partition) -> Address | None:
-        """Return the internal address of the leader as far as known."""
+        """Return the internal address of the leader, ``None`` if it is unknown."""
         ...
--- a/src/passlane/node/lease_leadership.py
+++ b/src/passlane/node/lease_leadership.py
@@ -1,4 +1,4 @@
-"""Leadership as the node's lease gives it, on the node's own clock."""
+"""Leadership of partitions according to the node's lease, on the node's own clock."""
 
 import anyio
 
@@ -8,7 +8,7 @@
 
 
 class LeaseLeadership:
-    """Answers from the lease at the present moment; implements ``Leadership``.
+    """Evaluates the lease at the current time; implements ``Leadership``.
 
     A partition that is being handed over counts as led until it is released, so that
     its calls in flight can finish.
@@ -18,14 +18,14 @@
         self._lease = lease
 
     def epoch_of(self, partition: Partition) -> Epoch | None:
-        """Return the epoch in which this node leads, ``None`` without a valid lease."""
+        """Return the epoch in which this node leads, ``None`` if it does not or without a lease."""
         return self._lease.epoch_of(partition, anyio.current_time())
 
     def led_partitions(self) -> tuple[Partition, ...]:
-        """Return the partitions that this node leads as long as its lease is valid."""
+        """Return the partitions that this node leads while its lease is valid."""
         return self._lease.led_partitions
 
     def leader_of(self, partition: Partition) -> Address | None:
-        """Return the internal address of the leader as far as known."""
+        """Return the internal address of the leader, ``None`` if it is unknown."""
         assignment = self._lease.leader_of(partition)
         return None if assignment is None else assignment.address
