--- a/src/passlane/node/__init__.py
+++ b/src/passlane/node/__init__.py
@@ -1,1 +1,1 @@
-"""The shell of a node: routes calls to the leader of their program and runs them."""
+"""The node: forwards calls to the leader of their program and runs the calls that it leads."""
--- a/src/passlane/node/program_store.py
+++ b/src/passlane/node/program_store.py
@@ -1,4 +1,4 @@
-"""Typed access to the program records in the store group."""
+"""Typed client for the program records in the store group."""
 
 from typing import Any, Protocol, TypeVar
 
@@ -27,7 +27,7 @@
 ResultType = TypeVar("ResultType", bound=Message)
 
 READ_TIMEOUT_S = 5.0
-"""How long a read or a small command may take, over changes of the store's leader."""
+"""Timeout of a read or a small command, including changes of the store's leader."""
 
 
 class GroupExecutor(Protocol):
@@ -39,7 +39,7 @@
 
 
 class ProgramStore:
-    """Sends commands and queries; a refusal by the store is raised as ``PasslaneError``."""
+    """Sends commands and queries to the store; raises its refusals as ``PasslaneError``."""
 
     def __init__(self, group: GroupExecutor) -> None:
         self._group = group
@@ -57,15 +57,15 @@
         await self._execute(command, StoreDone, timeout_s)
 
     async def end(self, command: EndProgram, timeout_s: float) -> EndProgramResult:
-        """Record the end of a program and return what engines hold for it."""
+        """Record the end of a program and return the engines that may have cache for it."""
         return await self._execute(command, EndProgramResult, timeout_s)
 
     async def record_hold(self, command: RecordHold, timeout_s: float) -> None:
-        """Record that an engine is about to hold memory."""
+        """Record that an engine may have cache for a program from now on."""
         await self._execute(command, StoreDone, timeout_s)
 
     async def record_release(self, command: RecordRelease) -> None:
-        """Record that an engine holds memory no longer."""
+        """Record that an engine has no cache for a program any more."""
         await self._execute(command, StoreDone, READ_TIMEOUT_S)
 
     async def read(self, program_id: ProgramId) -> ProgramRecord:
@@ -73,7 +73,7 @@
         return (await self._execute(ReadProgram(program_id), ProgramResult, READ_TIMEOUT_S)).record
 
     async def list_unsettled(self, partition: Partition | None) -> tuple[ProgramSummary, ...]:
-        """Return the programs that a new leader must look after."""
+        """Return the programs that a new leader must recover."""
         query = ListPrograms(partition=partition, unsettled_only=True)
         return (await self._execute(query, ProgramList, READ_TIMEOUT_S)).programs
 
@@ -87,7 +87,7 @@
         if not isinstance(result, result_type):
             raise PasslaneError(
                 ErrorCode.PROTOCOL_ERROR,
-                f"the store answered {type(request).__name__} by {type(result).__name__}",
+                f"the store answered {type(request).__name__} with {type(result).__name__}",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
         return result
--- a/src/passlane/node/release_loop.py
+++ b/src/passlane/node/release_loop.py
@@ -1,7 +1,8 @@
-"""Releases what engines hold for programs: at their end, and when the scheduler asks.
+"""Releases the cache of programs on engines, at their end and on request of the scheduler.
 
-Each release is a fenced order, sent again until the engine acknowledges it or its life
-has changed; then the release is recorded, so that a later leader need not send it.
+Each release is an order with a fencing token. It is retried until the engine acknowledges it
+or refuses it as stale, or this node no longer leads the partition. An acknowledged release is
+recorded, so that a later leader does not send it again.
 """
 
 import random
@@ -18,7 +19,7 @@
 from passlane.node.fencing import chat_token, final_release_token, program_scope
 from passlane.observability.logging import get_logger
 
-FIRST_DELAY_S = 0.2
+INITIAL_DELAY_S = 0.2
 MAX_DELAY_S = 5.0
 
 _log = get_logger(__name__)
@@ -26,9 +27,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRelease:
-    """A release that no engine has acknowledged yet.
+    """A release that the engine has not acknowledged yet.
 
-    ``is_final`` shuts the engine for the program's requests of this epoch as well.
+    With ``is_final`` the engine also refuses the program's later requests of this epoch.
     """
 
     program_id: ProgramId
@@ -39,7 +40,7 @@
 
 
 class ReleaseLoop:
-    """Works on all pending releases at once, a task for each."""
+    """Sends all pending releases concurrently, with one task for each."""
 
     def __init__(self, services: CallServices, source: random.Random) -> None:
         self._services = services
@@ -48,14 +49,14 @@
 
     @property
     def pending_count(self) -> int:
-        """Releases that were not acknowledged yet; shown as a gauge."""
+        """Number of releases that are not acknowledged yet; exposed as a gauge."""
         return len(self._pending)
 
     def add(self, release: PendingRelease) -> None:
-        """Send a release until it is acknowledged; a repeat changes nothing."""
+        """Send a release until it is acknowledged; has no effect if it is already pending."""
         if release not in self._pending:
             self._pending[release] = None
-            self._services.tasks.start_soon(self._work, release)
+            self._services.tasks.start_soon(self._release_with_retries, release)
 
     def add_holds(
         self,
@@ -64,12 +65,12 @@
         epoch: Epoch,
         holds: tuple[EngineHold, ...],
     ) -> None:
-        """Release what engines hold for an ended program."""
+        """Release the cache of an ended program on all engines that may have it."""
         for hold in holds:
             self.add(PendingRelease(program_id, partition, epoch, hold.engine_id, is_final=True))
 
-    async def _work(self, release: PendingRelease) -> None:
-        delay_s = FIRST_DELAY_S
+    async def _release_with_retries(self, release: PendingRelease) -> None:
+        delay_s = INITIAL_DELAY_S
         try:
             while self._leads(release):
                 if await self._try_release(release):
@@ -80,11 +81,11 @@
             self._pending.pop(release, None)
 
     def _leads(self, release: PendingRelease) -> bool:
-        """Return whether the release is still this node's; if not, a later leader sends it."""
+        """Return whether this node still leads in the epoch; if not, a later leader releases."""
         return self._services.leadership.epoch_of(release.partition) == release.epoch
 
     async def _try_release(self, release: PendingRelease) -> bool:
-        """Send the order and record its success; return whether nothing is left to do."""
+        """Send the order and record the release; return whether no retry is needed."""
         engine = self._services.configuration().engines.get(release.engine_id)
         incarnation = self._services.engines.incarnation_of(release.engine_id)
         try:
@@ -114,9 +115,9 @@
         )
 
     async def _record(self, release: PendingRelease, incarnation: int) -> None:
-        """Record that the engine holds nothing in this life or an earlier one.
+        """Record that the engine has no cache for the program, up to this incarnation.
 
-        An engine that was removed from the configuration is taken as gone.
+        An engine that is no longer in the configuration counts as having no cache.
         """
         command = RecordRelease(
             program_id=release.program_id,
--- a/src/passlane/node/subscription.py
+++ b/src/passlane/node/subscription.py
@@ -1,4 +1,7 @@
-"""The flow of one call's events to one caller."""
+"""Subscription of one caller to the events of one call.
+
+Buffers the events until the caller reads them, and skips text that the caller already has.
+"""
 
 from collections import deque
 from collections.abc import AsyncIterator
@@ -10,10 +13,15 @@
 
 
 class Subscription:
-    """Events for one caller, who has ``resume_from`` tokens already; has one reader.
+    """Buffered events of a call for one reader.
+
+    Consecutive text chunks that are waiting are returned as one chunk. The buffer contains at
+    most one answer, whose size is bounded by the call's ``max_tokens``.
 
-    Tokens that have gathered while the reader was busy are given as one chunk. The buffer
-    holds one answer at most, which the call's ``max_tokens`` bounds.
+    Parameters
+    ----------
+    resume_from
+        Number of tokens that the caller already has.
     """
 
     def __init__(self, resume_from: int = 0) -> None:
@@ -23,7 +31,7 @@
         self.is_open = True
 
     def push(self, event: CallEvent) -> None:
-        """Give an event to the caller; tokens that it has already are left out."""
+        """Add an event; chunks of tokens that the caller already has are dropped."""
         if not self.is_open:
             return
         if isinstance(event, TextChunk):
@@ -35,7 +43,7 @@
             self.close()
 
     def fail(self, error: PasslaneError) -> None:
-        """End the flow by an exception, which a forwarding node acts on."""
+        """End the events with an exception, which a forwarding node handles."""
         if self.is_open:
             self._append(error)
             self.close()
@@ -45,21 +53,21 @@
         self._filled.set()
 
     def close(self) -> None:
-        """End the flow after what was pushed."""
+        """End the events after those already pushed."""
         self.is_open = False
         self._filled.set()
 
     def release(self) -> None:
-        """Free the flow when its reader has gone."""
+        """Close the subscription and drop its events, because its reader has gone."""
         self.close()
         self._events.clear()
 
     def __aiter__(self) -> AsyncIterator[CallEvent]:
-        """Give the events until the last one."""
+        """Iterate over the events until the last one."""
         return self
 
     async def __anext__(self) -> CallEvent:
-        """Return the next event; raise what ``fail`` was given."""
+        """Return the next event; raise the error passed to ``fail``."""
         while not self._events:
             if not self.is_open:
                 raise StopAsyncIteration
@@ -69,11 +77,11 @@
         if isinstance(event, PasslaneError):
             raise event
         if isinstance(event, TextChunk):
-            return self._with_following(event)
+            return self._merge_following(event)
         return event
 
-    def _with_following(self, first: TextChunk) -> TextChunk:
-        """Return a chunk together with those right behind it."""
+    def _merge_following(self, first: TextChunk) -> TextChunk:
+        """Merge a chunk with the chunks that directly follow it."""
         if not self._events or not isinstance(self._events[0], TextChunk):
             return first
         texts = [first.text]
