--- a/src/passlane/node/program_host.py
+++ b/src/passlane/node/program_host.py
@@ -1,4 +1,8 @@
-"""Shell of one program: its queue, the call that runs, and callers that wait."""
+"""Runs the calls of one program in order.
+
+``ProgramHost`` connects the program's queue with the running call and with the callers that
+subscribe to calls. It settles calls without an outcome before the program continues.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
@@ -29,15 +33,15 @@
 )
 from passlane.programs.recorded_answer import recorded_answer
 
-WAITING_POLL_S = 0.02
-"""Seconds between two looks whether calls that wait for an earlier one are gone."""
+IDLE_POLL_INTERVAL_S = 0.02
+"""Seconds between checks whether any call still waits, while no call is running."""
 
 BUSY_RETRY_AFTER_S = 0.2
 
 
 @dataclass
 class WaitingCall:
-    """A call whose turn has not come."""
+    """A call that waits for earlier calls of its program."""
 
     request: CallRequest
     planned: PlannedCall
@@ -47,14 +51,14 @@
 
 
 class ProgramHost:
-    """Runs the calls of one program in order.
+    """Queue, running call and subscriptions of one program.
 
     Parameters
     ----------
     next_run_number
-        Gives a number that is used once within this process, for attempt ids.
+        Returns a number that is unique within this process, for attempt ids.
     on_stale
-        Told when the program in memory may differ from its record and must be reloaded.
+        Called when the program in memory may differ from its record and must be reloaded.
     """
 
     def __init__(
@@ -72,7 +76,7 @@
         self._runner: CallRunner | None = None
         self._idle = anyio.Event()
         self._idle.set()
-        self._armed_expiry: float | None = None
+        self._scheduled_expiry: float | None = None
         self._stop: StopRequested | None = None
         self._is_closed = False
 
@@ -83,23 +87,23 @@
 
     @property
     def waiting_count(self) -> int:
-        """Calls that wait for their turn."""
+        """Number of calls that wait for earlier calls of the program."""
         return len(self._waiting)
 
     def is_under_way(self, call_id: CallId) -> bool:
-        """Whether a call waits or runs."""
+        """Return whether a call waits or runs."""
         is_running = self._runner is not None and self._runner.call_id == call_id
         return is_running or call_id in self._waiting
 
     # Callers.
 
     def submit(self, request: CallRequest, planned: PlannedCall, deadline: float) -> Subscription:
-        """Take a call, or a repeat of one, and return the flow of its events.
+        """Accept a new or repeated call and return a subscription to its events.
 
         Raises
         ------
         PasslaneError
-            When it is refused at once: nothing of it has run by this request.
+            If the call is refused at once; this request has run nothing of it.
         """
         subscription = Subscription(request.resume_from)
         call_id = planned.plan.call_id
@@ -113,17 +117,17 @@
         elif recorded is not None and recorded.state is CallState.FINISHED:
             subscription.push(recorded_answer(recorded))
         else:
-            self._require_open()
-            self._take_new(request, planned, deadline, subscription)
+            self._require_accepting_calls()
+            self._accept_new(request, planned, deadline, subscription)
         return subscription
 
-    def _require_open(self) -> None:
+    def _require_accepting_calls(self) -> None:
         if self.program.is_ended:
             raise PasslaneError(ErrorCode.PROGRAM_ENDED, "the program has ended")
         if self._stop is not None:
             raise PasslaneError(self._stop.code, self._stop.message)
 
-    def _take_new(
+    def _accept_new(
         self,
         request: CallRequest,
         planned: PlannedCall,
@@ -135,15 +139,15 @@
         waiting = WaitingCall(request, planned, deadline, now, [subscription])
         open_call = self.program.open_call
         if open_call is not None and open_call.call.call_id == call_id:
-            self._reopen(waiting, open_call)
+            self._resume_open_call(waiting, open_call)
             return
         self._waiting[call_id] = waiting
         instructions = self.program.queue.add(QueuedCall(call_id, request.sequence, now), now)
-        self._carry_out(instructions)
+        self._apply_instructions(instructions)
         if call_id in self._waiting:
-            self._services.tasks.start_soon(self._watch_waiting, waiting)
+            self._services.tasks.start_soon(self._refuse_at_deadline, waiting)
 
-    def _reopen(self, waiting: WaitingCall, open_call: OpenCall) -> None:
+    def _resume_open_call(self, waiting: WaitingCall, open_call: OpenCall) -> None:
         if not self.program.queue.resume(open_call.call.call_id):
             raise PasslaneError(
                 ErrorCode.QUEUE_FULL,
@@ -153,7 +157,7 @@
         self._start(waiting, open_call.call.sequence, open_call)
 
     def release(self, call_id: CallId, subscription: Subscription) -> None:
-        """Take in that a caller stopped listening."""
+        """Remove the subscription of a caller that has gone."""
         subscription.release()
         if self._runner is not None and self._runner.call_id == call_id:
             self._runner.unsubscribe(subscription)
@@ -165,16 +169,16 @@
                 del self._waiting[call_id]
                 self.program.queue.withdraw(call_id)
 
-    # The queue.
+    # Queue.
 
-    def _carry_out(self, instructions: list[QueueInstruction]) -> None:
+    def _apply_instructions(self, instructions: list[QueueInstruction]) -> None:
         for instruction in instructions:
             match instruction:
                 case RefuseQueuedCall():
                     self._refuse(instruction)
                 case BeginQueuedCall(call_id, sequence):
                     self._start(self._waiting.pop(call_id), sequence, None)
-        self._arm_expiry()
+        self._schedule_expiry()
 
     def _refuse(self, instruction: RefuseQueuedCall) -> None:
         waiting = self._waiting.pop(instruction.call_id)
@@ -184,29 +188,31 @@
         for subscription in waiting.subscriptions:
             subscription.push(refused)
 
-    async def _watch_waiting(self, waiting: WaitingCall) -> None:
-        """Refuse a call whose time is up before its turn came."""
+    async def _refuse_at_deadline(self, waiting: WaitingCall) -> None:
+        """Refuse a call if it still waits at its deadline."""
         call_id = waiting.planned.plan.call_id
         await anyio.sleep_until(waiting.deadline)
         if self._waiting.get(call_id) is waiting:
             self.program.queue.withdraw(call_id)
-            message = "the program's earlier calls took until the deadline"
+            message = "the deadline passed while the call waited for earlier calls of its program"
             self._refuse(RefuseQueuedCall(call_id, ErrorCode.DEADLINE_EXCEEDED, message, None))
 
-    def _arm_expiry(self) -> None:
+    def _schedule_expiry(self) -> None:
         expiry = self.program.queue.next_expiry()
-        if expiry is not None and (self._armed_expiry is None or expiry < self._armed_expiry):
-            self._armed_expiry = expiry
+        if expiry is not None and (
+            self._scheduled_expiry is None or expiry < self._scheduled_expiry
+        ):
+            self._scheduled_expiry = expiry
             self._services.tasks.start_soon(self._advance_at, expiry)
 
     async def _advance_at(self, time: float) -> None:
         await anyio.sleep_until(time)
-        if self._armed_expiry == time:
-            self._armed_expiry = None
+        if self._scheduled_expiry == time:
+            self._scheduled_expiry = None
         if not self._is_closed:
-            self._carry_out(self.program.queue.advance(anyio.current_time()))
+            self._apply_instructions(self.program.queue.advance(anyio.current_time()))
 
-    # The running call.
+    # Running call.
 
     def _start(self, waiting: WaitingCall, sequence: int, reopened: OpenCall | None) -> None:
         planned = waiting.planned
@@ -224,7 +230,7 @@
             reopened=reopened,
         )
         settle = partial(self.settle, keep=plan.call_id)
-        runner = CallRunner(self._services, self.program, set_up, settle, self._on_call_over)
+        runner = CallRunner(self._services, self.program, set_up, settle, self._on_call_finished)
         self._runner = runner
         self._idle = anyio.Event()
         for subscription in waiting.subscriptions:
@@ -234,7 +240,7 @@
     def _attempt_prefix(self, call_id: CallId) -> str:
         return f"{call_id}.{self.program.epoch}.{self._next_run_number()}"
 
-    def _on_call_over(self, runner: CallRunner) -> None:
+    def _on_call_finished(self, runner: CallRunner) -> None:
         if runner is not self._runner:
             return
         self._runner = None
@@ -251,7 +257,7 @@
             return
         now = anyio.current_time()
         queue = self.program.queue
-        self._carry_out(queue.finish(runner.call_id, self.program.next_sequence, now))
+        self._apply_instructions(queue.finish(runner.call_id, self.program.next_sequence, now))
 
     def _keep_open_call(self, runner: CallRunner) -> None:
         call = self.program.calls.get(runner.call_id)
@@ -266,19 +272,19 @@
     # Open calls.
 
     async def settle(self, keep: CallId | None = None) -> None:
-        """Record an outcome for the open call, unless it is ``keep``; the program goes on.
+        """Record an outcome for the open call so that the program continues; not for ``keep``.
 
         Raises
         ------
         PasslaneError
-            When the store does not take the outcome.
+            If the store does not record the outcome.
         """
         open_call = self.program.open_call
         if open_call is None or open_call.call.call_id == keep:
             return
         call = open_call.call
-        is_doubtful = call.kind is CallKind.TOOL and not open_call.proved_not_run
-        if is_doubtful and not call.repeatable:
+        is_in_doubt = call.kind is CallKind.TOOL and not open_call.proved_not_run
+        if is_in_doubt and not call.repeatable:
             prefix = self._attempt_prefix(call.call_id)
             await resolve_operation(self._services, self.program, open_call, prefix)
             return
@@ -293,10 +299,10 @@
         await self._services.store.finish_call(command, STORE_TIMEOUT_S)
         self.program.note_finished(call.call_id, outcome, ())
 
-    # The end.
+    # Stopping.
 
     async def stop(self, code: ErrorCode, message: str) -> None:
-        """Take no more calls, stop a running model call, and wait until nothing runs."""
+        """Refuse new and waiting calls, stop a running model call, and wait until idle."""
         self._stop = StopRequested(code, message)
         for call_id in list(self._waiting):
             self.program.queue.withdraw(call_id)
@@ -307,7 +313,7 @@
         await self.settle()
 
     def resume(self) -> None:
-        """Take calls again, for the program's end could not be recorded."""
+        """Accept calls again, because the program's end could not be recorded."""
         self._stop = None
 
     async def wait_idle(self) -> None:
@@ -316,11 +322,11 @@
             if self._runner is not None:
                 await self._idle.wait()
             else:
-                # Calls wait for one that comes before them in their program.
-                await anyio.sleep(WAITING_POLL_S)
+                # The remaining calls wait for an earlier call that has not arrived.
+                await anyio.sleep(IDLE_POLL_INTERVAL_S)
 
     def abort(self, error: PasslaneError) -> None:
-        """Stop all work at once, for this node no longer leads the program."""
+        """Stop all work immediately, because this node no longer leads the program."""
         self._is_closed = True
         for waiting in self._waiting.values():
             for subscription in waiting.subscriptions:
@@ -337,5 +343,6 @@
     is_same = is_same and request.sequence in (None, recorded.sequence)
     if not is_same:
         raise PasslaneError(
-            ErrorCode.IDEMPOTENCY_MISMATCH, "the key or sequence belongs to another request"
+            ErrorCode.IDEMPOTENCY_MISMATCH,
+            "the idempotency key or sequence number belongs to another request",
         )
