--- a/tests/node/fakes.py
+++ b/tests/node/fakes.py
@@ -1,4 +1,4 @@
-"""Back ends, store and connections in memory, with failures that tests order."""
+"""Backends, store and HTTP connections in memory, with faults that tests inject."""
 
 import random
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -47,7 +47,7 @@
 
 @dataclass
 class FakeResponse:
-    """An answer whose parts come from an iterator."""
+    """A response whose body comes from an iterator."""
 
     status: int
     parts: AsyncIterator[bytes]
@@ -57,20 +57,20 @@
         return self.parts
 
 
-async def one_part(body: bytes) -> AsyncIterator[bytes]:
+async def single_part(body: bytes) -> AsyncIterator[bytes]:
     yield body
 
 
-def json_answer(value: msgspec.Struct, status: int = 200) -> FakeResponse:
+def json_response(value: msgspec.Struct, status: int = 200) -> FakeResponse:
     headers = {"content-type": "application/json"}
-    return FakeResponse(status, one_part(msgspec.json.encode(value)), headers)
+    return FakeResponse(status, single_part(msgspec.json.encode(value)), headers)
 
 
 Server = Callable[[HttpRequest], Awaitable[FakeResponse]]
 
 
 class FakeHttp:
-    """Brings requests to servers in memory; an address without one cannot be reached."""
+    """Passes requests to servers in memory; an address without a server refuses connections."""
 
     def __init__(self) -> None:
         self.servers: dict[Address, Server] = {}
@@ -86,14 +86,14 @@
 
 
 class FakeEngine:
-    """An engine that answers ``answer_tokens`` tokens, one each step.
+    """An engine that generates ``answer_tokens`` tokens, one every ``STEP_S``.
 
     Attributes
     ----------
     break_after
-        For each coming request: tokens after which the connection breaks; ``None``: never.
+        For each of the next requests: tokens after which the connection fails; ``None``: never.
     echo_attempt
-        If set, each stream begins with a token of this earlier attempt.
+        If set, each stream starts with a token of this earlier attempt.
     """
 
     def __init__(self, engine_id: EngineId, answer_tokens: int = 12) -> None:
@@ -107,7 +107,7 @@
         self.tokens_sent = 0
         self.running = 0
         self.refuses_orders = False
-        self._fences: dict[str, int] = {}
+        self._newest_tokens: dict[str, int] = {}
 
     async def serve(self, request: HttpRequest) -> FakeResponse:
         path = request.path.partition("?")[0]
@@ -116,23 +116,23 @@
         if path == "/v1/orders":
             return self._order(msgspec.json.decode(request.body, type=EngineOrder))
         if path == "/v1/cache/events":
-            return json_answer(CacheEvents(self.incarnation, ()))
+            return json_response(CacheEvents(self.incarnation, ()))
         if path == "/v1/cache":
             entries = tuple(CacheEntry(one, tokens) for one, tokens in self.held.items())
-            return json_answer(CacheSnapshot(self.incarnation, 0, entries))
+            return json_response(CacheSnapshot(self.incarnation, 0, entries))
         load = EngineLoad(self.engine_id, self.incarnation, self.running, 0, 0, 0, ("m",))
-        return json_answer(load)
+        return json_response(load)
 
-    def _admit(self, scope: str, token: int) -> bool:
-        if token < self._fences.get(scope, -1):
+    def _accept_token(self, scope: str, token: int) -> bool:
+        if token < self._newest_tokens.get(scope, -1):
             return False
-        self._fences[scope] = token
+        self._newest_tokens[scope] = token
         return True
 
     def _chat(self, chat: EngineChatRequest) -> FakeResponse:
         self.requests.append(chat)
-        if not self._admit(f"program:{chat.program_id}", chat.epoch):
-            return json_answer(OrderReply(False, 1, 0), 409)
+        if not self._accept_token(f"program:{chat.program_id}", chat.epoch):
+            return json_response(OrderReply(False, 1, 0), 409)
         break_after = self.break_after.pop(0) if self.break_after else None
         return FakeResponse(200, self._stream(chat, break_after))
 
@@ -161,10 +161,10 @@
     def _order(self, order: EngineOrder) -> FakeResponse:
         if self.refuses_orders:
             raise HttpConnectionError("unreachable", bytes_left=False)
-        if not self._admit(order.scope, order.fencing_token):
-            return json_answer(OrderReply(False, self.incarnation, 0), 409)
+        if not self._accept_token(order.scope, order.fencing_token):
+            return json_response(OrderReply(False, self.incarnation, 0), 409)
         self.held.pop(order.program_id or "", None)
-        return json_answer(OrderReply(True, self.incarnation, order.fencing_token))
+        return json_response(OrderReply(True, self.incarnation, order.fencing_token))
 
 
 def _event(chunk: EngineChunk) -> bytes:
@@ -172,9 +172,11 @@
 
 
 class FakeApplication:
-    """An application with a ledger; ``behaviours`` orders what the coming requests meet:
-    ``ok``, ``lost`` (runs, answer lost), ``unsent`` (nothing runs, no answer), ``hang``
-    (runs, never answers) or ``refuse``."""
+    """An application that records the operations that it ran in ``ledger``.
+
+    ``behaviours`` gives the outcomes of the next requests: ``ok``, ``lost`` (runs, response
+    lost), ``unsent`` (does not run, no response), ``hang`` (runs, never responds) or ``refuse``.
+    """
 
     def __init__(self) -> None:
         self.ledger: list[str] = []
@@ -189,7 +191,7 @@
         tool = msgspec.json.decode(request.body, type=ToolRequest)
         behaviour = self.behaviours.pop(0) if self.behaviours else "ok"
         if behaviour == "refuse" or tool.operation_id in self.rejected:
-            return json_answer(ToolReply(tool.operation_id, OperationState.REJECTED), 503)
+            return json_response(ToolReply(tool.operation_id, OperationState.REJECTED), 503)
         await anyio.sleep(STEP_S)
         if behaviour != "unsent":
             self.ledger.append(tool.operation_id)
@@ -197,21 +199,21 @@
             await anyio.sleep_forever()
         if behaviour in ("lost", "unsent"):
             raise HttpConnectionError("reset", bytes_left=True)
-        return json_answer(ToolReply(tool.operation_id, OperationState.DONE, '{"receipt":1}'))
+        return json_response(ToolReply(tool.operation_id, OperationState.DONE, '{"receipt":1}'))
 
     def _status(self, quoted: str) -> FakeResponse:
         operation_id = quoted.replace("%2F", "/")
         if operation_id in self.ledger:
-            return json_answer(ToolReply(operation_id, OperationState.DONE, '{"receipt":1}'))
+            return json_response(ToolReply(operation_id, OperationState.DONE, '{"receipt":1}'))
         self.rejected.add(operation_id)
-        return json_answer(ToolReply(operation_id, OperationState.UNKNOWN))
+        return json_response(ToolReply(operation_id, OperationState.UNKNOWN))
 
 
 class FakeStore:
-    """The real state machine of the store, reached without a group.
+    """The state machine of the store, without replication.
 
-    ``fail_next`` maps a command's class to what its coming executions meet: ``lost`` (applied,
-    the answer is lost) or ``down`` (not applied, no answer).
+    ``fail_next`` maps a command's class to the faults of its next executions: ``lost`` (applied,
+    the reply is lost) or ``down`` (not applied, no reply).
     """
 
     def __init__(self) -> None:
@@ -225,18 +227,18 @@
         faults = self.fail_next.get(type(request), [])
         fault = faults.pop(0) if faults else None
         if fault == "down":
-            raise _lost()
+            raise _timeout_error()
         if isinstance(request, StoreCommand):
             result = self.machine.execute(request)
         else:
             result = self.machine.query(request)  # type: ignore[arg-type]
         await anyio.sleep(self.delay_s)
         if fault == "lost":
-            raise _lost()
+            raise _timeout_error()
         return result
 
     def lead(self, node: "FakeLeadership", epoch: int) -> None:
-        """Give all partitions to a node in this epoch."""
+        """Assign all partitions to a node in this epoch."""
         self.machine.execute(
             AssignPartitions(
                 tuple(
@@ -247,12 +249,12 @@
         )
 
 
-def _lost() -> PasslaneError:
+def _timeout_error() -> PasslaneError:
     return PasslaneError(ErrorCode.TIMEOUT, "no answer", verdict=Verdict.MAY_HAVE_RUN)
 
 
 class FakeLeadership:
-    """Leadership of all partitions, switched by hand; each node may believe what it likes."""
+    """Leadership of all partitions as one node sees it, set by tests; nodes may disagree."""
 
     def __init__(self, name: str, port: int) -> None:
         self.node_id = NodeId(name)
@@ -271,7 +273,7 @@
 
 
 def make_configuration(addresses: dict[str, Address], **tool: object) -> ConfigurationView:
-    """Two engines with model ``m`` and an application with ``charge`` and ``look``."""
+    """Return two engines with model ``m`` and an application with tools ``charge`` and ``look``."""
     engines = {
         one: EngineBody(address=addresses[one], zone="z", models=("m",)) for one in ENGINE_IDS
     }
