--- a/src/passlane/node/incoming_partitions.py
+++ b/src/passlane/node/incoming_partitions.py
@@ -1,92 +1,93 @@
-"""Partitions that another node is handing to this one, and calls that wait for them."""
+"""Partitions that another node is handing over to this node, and calls that wait for them.
+
+The next leader of a partition delays calls until the partition arrives, so that senders need
+not retry. The waiting calls are bounded in bytes and in time.
+"""
 
 import anyio
 
 from passlane.identifiers import Epoch, Partition
 from passlane.messages.node import CallRequest, HandoverNotice, HandoverStage
 
-MAX_HELD_BYTES = 4_000_000
-"""Bytes of calls held at a time, over all partitions; others are sent away at once."""
+MAX_WAITING_BYTES = 4_000_000
+"""Bytes of waiting calls, over all partitions; calls beyond this do not wait."""
 
-CALL_OVERHEAD_BYTES = 4_000
-"""Counted for each held call besides its text, for its task and its connection."""
+WAITING_CALL_OVERHEAD_BYTES = 4_000
+"""Bytes counted for each waiting call besides its text, for its task and its connection."""
 
-HOLD_S = 5.0
-"""Longest time that a call is held before its sender is told to look for the leader."""
+MAX_CALL_WAIT_S = 5.0
+"""Maximum wait of a call in seconds; after that its sender must search for the leader."""
 
-ANNOUNCED_S = 60.0
-"""Seconds after which a handover that was announced is no longer waited for."""
+ANNOUNCEMENT_TTL_S = 60.0
+"""Seconds after which calls no longer wait for an announced handover."""
 
 
-class _Incoming:
-    """A partition on its way to this node; ``is_over`` is set when the wait for it ends."""
+class _IncomingPartition:
+    """A partition that is being handed over; ``wait_ended`` is set when calls stop waiting."""
 
-    __slots__ = ("announced_at", "epoch", "is_over")
+    __slots__ = ("announced_at", "epoch", "wait_ended")
 
     def __init__(self, epoch: Epoch, announced_at: float) -> None:
         self.epoch = epoch
         self.announced_at = announced_at
-        self.is_over = anyio.Event()
+        self.wait_ended = anyio.Event()
 
 
 class IncomingPartitions:
-    """Holds calls for partitions that this node is about to lead.
-
-    A held call waits here and not at the old leader or at the node that the caller asked,
-    which would have to ask again and again. What is held is bounded in bytes and in time.
+    """Delays calls of partitions that this node is about to lead.
 
     Attributes
     ----------
-    held_bytes, most_held_bytes
-        Bytes of the calls that wait now, and the most that ever waited at a time.
+    waiting_bytes, peak_waiting_bytes
+        Estimated bytes of the calls that wait now, and the maximum since the start.
     """
 
     def __init__(self) -> None:
-        self._incoming: dict[Partition, _Incoming] = {}
-        self.held_bytes = 0
-        self.most_held_bytes = 0
+        self._incoming: dict[Partition, _IncomingPartition] = {}
+        self.waiting_bytes = 0
+        self.peak_waiting_bytes = 0
 
-    def take_notice(self, notice: HandoverNotice, now: float) -> None:
-        """Begin or end to wait for a partition."""
+    def handle_notice(self, notice: HandoverNotice, now: float) -> None:
+        """Start or stop waiting for a partition."""
         if notice.stage is HandoverStage.CANCELLED:
             self.end_wait(notice.partition)
             return
-        known = self._incoming.get(notice.partition)
-        if known is None or known.epoch < notice.epoch:
+        announced = self._incoming.get(notice.partition)
+        if announced is None or announced.epoch < notice.epoch:
             self.end_wait(notice.partition)
-            self._incoming[notice.partition] = _Incoming(notice.epoch, now)
+            self._incoming[notice.partition] = _IncomingPartition(notice.epoch, now)
 
     def end_wait(self, partition: Partition) -> None:
-        """Let the calls of a partition go on: it has arrived, or will not come."""
+        """Let the waiting calls of a partition continue: it has arrived or will not come."""
         incoming = self._incoming.pop(partition, None)
         if incoming is not None:
-            incoming.is_over.set()
+            incoming.wait_ended.set()
 
-    async def hold(self, partition: Partition, request: CallRequest) -> None:
-        """Wait while a partition is on its way; return at once for any other.
+    async def wait_for_partition(self, partition: Partition, request: CallRequest) -> None:
+        """Wait until an announced partition arrives; return at once for any other.
 
-        Returns without the partition too, when the wait is too long or too much is held:
-        the caller of this method checks whether this node leads.
+        Also returns when the time or the memory for waiting calls is used up, so the caller
+        must check whether this node leads the partition.
         """
         incoming = self._incoming.get(partition)
         if incoming is None:
             return
-        if anyio.current_time() - incoming.announced_at > ANNOUNCED_S:
+        if anyio.current_time() - incoming.announced_at > ANNOUNCEMENT_TTL_S:
             self.end_wait(partition)
             return
-        size = _size_of(request)
-        if self.held_bytes + size > MAX_HELD_BYTES:
+        size = _estimate_bytes(request)
+        if self.waiting_bytes + size > MAX_WAITING_BYTES:
             return
-        self.held_bytes += size
-        self.most_held_bytes = max(self.most_held_bytes, self.held_bytes)
+        self.waiting_bytes += size
+        self.peak_waiting_bytes = max(self.peak_waiting_bytes, self.waiting_bytes)
         try:
-            with anyio.move_on_after(min(HOLD_S, request.timeout_s)):
-                await incoming.is_over.wait()
+            with anyio.move_on_after(min(MAX_CALL_WAIT_S, request.timeout_s)):
+                await incoming.wait_ended.wait()
         finally:
-            self.held_bytes -= size
+            self.waiting_bytes -= size
 
 
-def _size_of(request: CallRequest) -> int:
-    """Return about the memory that a waiting request takes."""
+def _estimate_bytes(request: CallRequest) -> int:
+    """Return the estimated memory of a waiting request in bytes."""
     turns = sum(len(turn.content) for turn in request.turns)
-    return CALL_OVERHEAD_BYTES + turns + len(request.arguments) + len(request.resume_text)
+    return WAITING_CALL_OVERHEAD_BYTES + turns + len(request.arguments) + len(request.resume_text)
--- a/src/passlane/node/leader_service.py
+++ b/src/passlane/node/leader_service.py
@@ -1,4 +1,8 @@
-"""Serves the programs that this node leads."""
+"""Serves the programs that this node leads.
+
+``LeaderService`` admits and runs their calls, creates, reads and ends programs, recovers
+programs of earlier leaders, and redirects calls while a partition is handed over.
+"""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -47,15 +51,15 @@
 _log = get_logger(__name__)
 
 STORE_TIMEOUT_S = 10.0
-LOADING_RETRY_AFTER_S = 1.0
+LOAD_TIMEOUT_RETRY_AFTER_S = 1.0
 UNKNOWN_TENANT_RETRY_AFTER_S = 5.0
-"""When a caller should try again whose tenant the configuration does not name (yet)."""
+"""Retry time for callers of a tenant that the configuration does not contain (yet)."""
 PROGRAM_LIMIT_RETRY_AFTER_S = 10.0
-"""When a tenant that has as many programs as it may should try to begin another."""
+"""Retry time for a tenant that has reached its maximum number of programs."""
 
 
 class LeaderService:
-    """Creates, serves, reads and ends programs of the partitions that this node leads."""
+    """Handles requests for programs of the partitions that this node leads."""
 
     def __init__(
         self,
@@ -79,18 +83,18 @@
     # Calls.
 
     async def serve_call(self, request: CallRequest) -> AsyncIterator[CallEvent]:
-        """Run a call, or join one that runs, and yield its events.
+        """Run a call, or subscribe to the same call if it is in flight, and yield its events.
 
         Raises
         ------
         PasslaneError
-            When it was refused at once, or must go to another node.
+            If the call was refused at once, or must be sent to another node.
         """
         judge = RefusalJudge(request)
-        known = self._directory.host_in_memory(request.program_id)
-        if known is not None:
-            is_under_way = known.is_under_way(call_id_of(request))
-            judge.note_record(known.program, is_under_way=is_under_way)
+        in_memory = self._directory.host_in_memory(request.program_id)
+        if in_memory is not None:
+            is_under_way = in_memory.is_under_way(call_id_of(request))
+            judge.note_record(in_memory.program, is_under_way=is_under_way)
         try:
             async with self._subscribe(request, judge) as subscription:
                 async for event in subscription:
@@ -104,24 +108,26 @@
         return judge.verdict(self._directory.program_in_memory(request.program_id))
 
     def limit_requests(self, max_requests: int) -> None:
-        """Change how many calls are admitted at a time."""
+        """Change the maximum number of calls in flight."""
         self._admission.limit_requests(max_requests)
 
     @asynccontextmanager
     async def _subscribe(
         self, request: CallRequest, judge: RefusalJudge
     ) -> AsyncIterator[Subscription]:
-        """Hold a place for the call and give the flow of its events."""
+        """Admit a call and yield the subscription to its events."""
         deadline = anyio.current_time() + request.timeout_s
-        self._require_staying(request.program_id)
-        await self._incoming.hold(self._directory.partition_of(request.program_id), request)
-        # Only a leader is sure to hold the configuration that knows the tenant.
+        self._require_not_moving(request.program_id)
+        await self._incoming.wait_for_partition(
+            self._directory.partition_of(request.program_id), request
+        )
+        # Only a leader is guaranteed to have the configuration that contains the tenant.
         self._directory.require_epoch(self._directory.partition_of(request.program_id))
         now = anyio.current_time()
         tenant = self._services.configuration().tenants.get(request.tenant_id)
         with self._admission.admit(request.tenant_id, tenant, now):
-            host = await self._host_in_time(request, deadline)
-            self._require_staying(request.program_id)
+            host = await self._host_before_deadline(request, deadline)
+            self._require_not_moving(request.program_id)
             is_under_way = host.is_under_way(call_id_of(request))
             judge.note_record(host.program, is_under_way=is_under_way)
             subscription = self._submit(host, request, deadline)
@@ -131,14 +137,14 @@
             finally:
                 host.release(call_id_of(request), subscription)
 
-    async def _host_in_time(self, request: CallRequest, deadline: float) -> ProgramHost:
-        """Return the call's program; refuse at the caller's deadline if it is not loaded."""
+    async def _host_before_deadline(self, request: CallRequest, deadline: float) -> ProgramHost:
+        """Return the call's program; raise if it is not loaded by the call's deadline."""
         with anyio.move_on_after(deadline - anyio.current_time()):
             return await self._host(request.program_id, request.tenant_id)
         raise PasslaneError(
             ErrorCode.DEADLINE_EXCEEDED,
-            "the program was not loaded within the call's time",
-            retry_after_s=LOADING_RETRY_AFTER_S,
+            "the program was not loaded before the call's deadline",
+            retry_after_s=LOAD_TIMEOUT_RETRY_AFTER_S,
         )
 
     def _submit(self, host: ProgramHost, request: CallRequest, deadline: float) -> Subscription:
@@ -147,8 +153,8 @@
         planned = plan_call(request, self._services.configuration(), application_id)
         return host.submit(request, planned, deadline)
 
-    def _require_staying(self, program_id: ProgramId) -> None:
-        """Refuse work for a partition that is about to be given up."""
+    def _require_not_moving(self, program_id: ProgramId) -> None:
+        """Raise ``NotLeaderError`` if the program's partition is being handed over."""
         partition = self._directory.partition_of(program_id)
         if partition in self._successors:
             raise NotLeaderError(
@@ -156,7 +162,7 @@
             )
 
     async def _host(self, program_id: ProgramId, tenant_id: TenantId) -> ProgramHost:
-        """Return a program of this tenant; another tenant's is as unknown as none."""
+        """Return a program of this tenant; raise ``UNKNOWN_PROGRAM`` for one of another tenant."""
         host = await self._directory.host(program_id)
         if host.program.tenant_id != tenant_id:
             raise PasslaneError(ErrorCode.UNKNOWN_PROGRAM, "there is no such program")
@@ -165,8 +171,8 @@
     # Programs.
 
     async def create(self, request: CreateProgramRequest) -> ProgramResult:
-        """Record a new program; the same request again gives the same program."""
-        self._require_staying(request.program_id)
+        """Record a new program; a repeated request returns the same program."""
+        self._require_not_moving(request.program_id)
         partition = self._directory.partition_of(request.program_id)
         epoch = self._directory.require_epoch(partition)
         limits = self._limits_of(request)
@@ -181,7 +187,7 @@
             max_programs=self._services.configuration().tenants[request.tenant_id].max_programs,
         )
         record = await self._record_new(command)
-        self._directory.adopt(record, epoch)
+        self._directory.get_or_add(record, epoch)
         self._services.reports.publish_created(request)
         return ProgramResult(record)
 
@@ -194,9 +200,9 @@
             raise
 
     def _limits_of(self, request: CreateProgramRequest) -> BudgetDecision:
-        """Return the budget and life that the tenant and its policy allow the program.
+        """Return the budget and lifetime that the tenant and its policy allow the program.
 
-        A sub-agent that asks for no budget spends from its parent's.
+        A sub-agent without a requested budget spends from its parent's budget.
         """
         if request.tenant_id not in self._services.configuration().tenants:
             raise PasslaneError(
@@ -208,14 +214,14 @@
         facts = program_facts(
             request.tenant_id, request.program_id, request.budget, is_sub_agent=is_sub_agent
         )
-        asked = None if request.budget == Amounts() else request.budget
-        decision = self._services.policies.budget(facts, asked)
-        budget = Amounts() if asked is None and is_sub_agent else decision.budget
-        lives = [one for one in (request.deadline_s, decision.deadline_s) if one is not None]
-        return BudgetDecision(budget, min(lives, default=None), decision.tool_pause_s)
+        requested = None if request.budget == Amounts() else request.budget
+        decision = self._services.policies.budget(facts, requested)
+        budget = Amounts() if requested is None and is_sub_agent else decision.budget
+        lifetimes = [one for one in (request.deadline_s, decision.deadline_s) if one is not None]
+        return BudgetDecision(budget, min(lifetimes, default=None), decision.tool_pause_s)
 
     async def explain(self, request: ExplainProgram) -> ProgramExplanation:
-        """Say why the program's last model call ran where and when it did."""
+        """Return the reason for the placement of the program's last model call, and its policy."""
         host = await self._directory.host(request.program_id)
         program = host.program
         facts = call_facts(program, "", program.next_sequence, 0)
@@ -235,13 +241,13 @@
         return ProgramResult(record)
 
     async def end(self, request: EndProgramRequest) -> StoreDone:
-        """End a program: stop its calls, record the end, release what engines hold."""
+        """End a program: stop its calls, record the end, release its cache on engines."""
         host = await self._host(request.program_id, request.tenant_id)
         await self.end_host(host, ErrorCode.PROGRAM_ENDED, "the program is ending")
         return StoreDone()
 
     async def end_host(self, host: ProgramHost, code: ErrorCode, message: str) -> None:
-        """End a program that is in memory; callers that wait get ``code``."""
+        """End a program that is in memory; its waiting callers receive ``code``."""
         program = host.program
         if program.is_ended:
             return
@@ -259,42 +265,42 @@
         self._services.models.note_program_ended(program.program_id)
         self._releases.add_holds(program.program_id, program.partition, program.epoch, result.holds)
         for child_id in result.ended_children:
-            await self._tell_ended(child_id)
+            await self._notify_ended(child_id)
 
-    async def _tell_ended(self, program_id: ProgramId) -> None:
-        """Tell the leader of a sub-agent that it ended; what is missed, the sweep finds."""
+    async def _notify_ended(self, program_id: ProgramId) -> None:
+        """Notify the leader of a sub-agent that it ended; the sweep covers lost notices."""
         notice = ProgramEndedNotice(program_id)
         partition = self._directory.partition_of(program_id)
         if self._services.leadership.epoch_of(partition) is not None:
-            await self.note_ended(notice)
+            await self.handle_program_ended(notice)
             return
         leader = self._services.leadership.leader_of(partition)
         if leader is not None:
             await self._caller.send(leader, notice)
 
-    async def note_ended(self, notice: ProgramEndedNotice) -> None:
-        """Release what engines hold for a sub-agent that ended with its parent."""
+    async def handle_program_ended(self, notice: ProgramEndedNotice) -> None:
+        """Release the cache on engines of a sub-agent that ended with its parent."""
         try:
-            await self.look_after(notice.program_id)
+            await self.recover_program(notice.program_id)
         except PasslaneError as error:
-            # The sweep of unsettled programs comes back to it.
+            # The sweep of unsettled programs retries.
             _log.info(
                 "ended_program_not_settled", program_id=notice.program_id, code=error.code.value
             )
 
-    async def look_after(self, program_id: ProgramId) -> None:
-        """Settle what an earlier leader left: doubtful operations and held memory.
+    async def recover_program(self, program_id: ProgramId) -> None:
+        """Settle what an earlier leader left: operations in doubt and cache on engines.
 
         Raises
         ------
         PasslaneError
-            When the store could not be asked; to be tried again.
+            If the store could not be reached; the caller must retry.
         """
         partition = self._directory.partition_of(program_id)
         epoch = self._directory.require_epoch(partition)
         record = await self._services.store.read(program_id)
         if record.state is ProgramState.ENDED:
-            host = self._directory.adopt(record, epoch)
+            host = self._directory.get_or_add(record, epoch)
             if not host.program.is_ended:
                 await host.stop(ErrorCode.PROGRAM_ENDED, "the program has ended")
                 host.program.is_ended = True
@@ -304,17 +310,17 @@
             self._releases.add_holds(program_id, partition, epoch, holds)
             return
         host = await self._directory.host(program_id)
-        if host.is_idle and _has_doubtful_operation(host.program):
+        if host.is_idle and _has_operation_in_doubt(host.program):
             await host.settle()
 
     # Handover.
 
-    def redirect(self, partition: Partition, successor: Address) -> None:
-        """Take no new calls for a partition; send them to its next leader."""
+    def redirect_calls(self, partition: Partition, successor: Address) -> None:
+        """Refuse new calls of a partition and redirect them to its next leader."""
         self._successors[partition] = successor
 
-    async def wait_quiet(self, partition: Partition, timeout_s: float) -> None:
-        """Wait for a moment at which no call of a partition runs, but not for long."""
+    async def wait_partition_idle(self, partition: Partition, timeout_s: float) -> None:
+        """Wait until no call of a partition is in flight, for at most ``timeout_s`` seconds."""
         with anyio.move_on_after(timeout_s):
             while busy := self._busy_hosts(partition):
                 await busy[0].wait_idle()
@@ -323,26 +329,29 @@
         return [host for host in self._directory.hosts_of(partition) if not host.is_idle]
 
     def forget_partition(self, partition: Partition) -> None:
-        """Drop what is in memory of a partition that is led elsewhere now."""
+        """Drop the programs of a partition from memory, because another node leads it now."""
         self._directory.drop_partition(partition)
 
-    def keep_partition(self, partition: Partition) -> None:
-        """Take calls for a partition (again)."""
+    def accept_calls(self, partition: Partition) -> None:
+        """Accept calls of a partition; stop redirecting them."""
         self._successors.pop(partition, None)
 
     def successor_of(self, partition: Partition) -> Address | None:
-        """Return where the calls of a partition are sent while it is handed over."""
+        """Return the node to which calls of a partition are redirected, if any."""
         return self._successors.get(partition)
 
-    def forget_arrived(self) -> None:
-        """Drop the successors that the own partition table names by now; call now and then."""
+    def drop_confirmed_successors(self) -> None:
+        """Stop redirecting to successors that this node's partition table names as leaders.
+
+        To be called periodically.
+        """
         leadership = self._services.leadership
         for partition, successor in list(self._successors.items()):
             if leadership.leader_of(partition) == successor:
                 del self._successors[partition]
 
 
-def _has_doubtful_operation(program: LedProgram) -> bool:
+def _has_operation_in_doubt(program: LedProgram) -> bool:
     open_call = program.open_call
     if open_call is None or open_call.proved_not_run:
         return False
--- a/src/passlane/node/led_program.py
+++ b/src/passlane/node/led_program.py
@@ -1,4 +1,8 @@
-"""A program as its leading node keeps it in memory."""
+"""The state of a program in the memory of the node that leads it.
+
+Starts from the program's stored record and is updated after each change is recorded in the
+store.
+"""
 
 from dataclasses import dataclass
 
@@ -22,14 +26,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenCall:
-    """A recorded call without an outcome that nothing works on.
+    """A recorded call that has no outcome and is not running.
 
     Attributes
     ----------
     texts
-        Tokens of its answer that were generated so far.
+        Tokens of its answer that have been generated so far.
     proved_not_run
-        Whether this leader knows that nothing of it ran.
+        Whether this leader knows that no part of it has run.
     """
 
     call: CallRecord
@@ -37,7 +41,7 @@
     proved_not_run: bool = False
 
     def abandoned_outcome(self) -> CallOutcome:
-        """Return the outcome to record when the program goes on without this call."""
+        """Return the outcome to record when the program continues without this call."""
         verdict = Verdict.NOT_RUN if self.proved_not_run else Verdict.MAY_HAVE_RUN
         spent = Amounts() if self.proved_not_run else self.call.reserved
         return CallOutcome(
@@ -49,18 +53,18 @@
 
 
 class LedProgram:
-    """History, calls and queue of a program, valid for one epoch of its partition.
+    """History, calls and queue of a program; valid for one epoch of its partition.
 
     Attributes
     ----------
     prompt_tokens
-        Estimated tokens of the history.
+        Estimated number of tokens of the history.
     spent_tokens
         Tokens spent by its own calls.
     pause_s
-        Usual pause between two of its model calls.
+        Expected pause in seconds between two of its model calls.
     deadline
-        Local monotonic time in seconds at which the program's life is over.
+        Local monotonic time in seconds at which the program must end; ``None``: no deadline.
     """
 
     def __init__(self, record: ProgramRecord, epoch: Epoch, now: float) -> None:
@@ -92,14 +96,14 @@
         return None
 
     def note_begun(self, call: CallRecord, turns: tuple[Turn, ...]) -> None:
-        """Take in that a call's intent is recorded; its turns are appended once."""
+        """Apply a recorded intent of a call; its turns are appended only once."""
         if call.call_id not in self.calls:
             self._append(turns)
         self.calls[call.call_id] = call
         self.next_sequence = max(self.next_sequence, call.sequence + 1)
 
     def note_finished(self, call_id: CallId, outcome: CallOutcome, turns: tuple[Turn, ...]) -> None:
-        """Take in that a call's outcome is recorded."""
+        """Apply the recorded outcome of a call."""
         call = self.calls[call_id]
         self.calls[call_id] = msgspec.structs.replace(
             call, state=CallState.FINISHED, outcome=outcome
@@ -114,9 +118,9 @@
         self.prompt_tokens += estimate_tokens(turns)
 
     def note_hold(self, hold: EngineHold) -> None:
-        """Take in that an engine may hold memory for the program."""
+        """Add an engine that may have cache for the program."""
         self.holds[hold.engine_id] = max(hold.incarnation, self.holds.get(hold.engine_id, 0))
 
-    def note_release(self, engine_id: EngineId) -> None:
-        """Take in that an engine holds nothing any more."""
+    def remove_hold(self, engine_id: EngineId) -> None:
+        """Remove an engine that has no cache for the program any more."""
         self.holds.pop(engine_id, None)
--- a/src/passlane/node/memory_sweep.py
+++ b/src/passlane/node/memory_sweep.py
@@ -1,4 +1,7 @@
-"""Finds what the releases missed: unsettled programs, and cached memory of ended ones."""
+"""Recovers unsettled programs, and finds engine caches that were not released.
+
+Runs when this node gains a partition, and periodically over all partitions that it leads.
+"""
 
 import random
 from collections.abc import Iterable
@@ -17,14 +20,14 @@
 from passlane.observability.logging import get_logger
 
 SWEEP_INTERVAL_S = 30.0
-FIRST_RETRY_S = 0.2
-MAX_RETRY_S = 5.0
+INITIAL_RETRY_DELAY_S = 0.2
+MAX_RETRY_DELAY_S = 5.0
 
 _log = get_logger(__name__)
 
 
 class MemorySweep:
-    """Looks after programs that a former leader left, and compares caches with programs."""
+    """Recovers programs of earlier leaders, and releases the cache of programs that have ended."""
 
     def __init__(
         self,
@@ -43,48 +46,48 @@
         self._random = source
         self._gained: set[Partition] = set()
 
-    def partition_gained(self, partition: Partition) -> None:
-        """Look after the unsettled programs of a partition that was just gained."""
+    def schedule_recovery(self, partition: Partition) -> None:
+        """Start to recover the unsettled programs of a partition that this node has gained."""
         is_first = not self._gained
         self._gained.add(partition)
         if is_first:
             self._services.tasks.start_soon(self._recover_gained)
 
     async def _recover_gained(self) -> None:
-        """Recover all partitions gained at once by one query; go on until it succeeds."""
-        delay_s = FIRST_RETRY_S
+        """Recover all gained partitions with one query; retry with backoff until it succeeds."""
+        delay_s = INITIAL_RETRY_DELAY_S
         while self._gained:
             partitions = frozenset(self._gained)
-            if await self._look_after_unsettled(partitions):
+            if await self._recover_unsettled(partitions):
                 self._gained -= partitions
                 continue
             await anyio.sleep(delay_s * self._random.uniform(0.8, 1.2))
-            delay_s = min(2 * delay_s, MAX_RETRY_S)
+            delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
 
-    async def _look_after_unsettled(self, partitions: frozenset[Partition]) -> bool:
-        """Return whether every unsettled program of the partitions is looked after."""
-        only = next(iter(partitions)) if len(partitions) == 1 else None
+    async def _recover_unsettled(self, partitions: frozenset[Partition]) -> bool:
+        """Recover the unsettled programs of the partitions; ``False`` if a retry is needed."""
+        single_partition = next(iter(partitions)) if len(partitions) == 1 else None
         try:
-            summaries = await self._services.store.list_unsettled(only)
+            summaries = await self._services.store.list_unsettled(single_partition)
         except PasslaneError as error:
             _log.warning("unsettled programs not listed", code=error.code.value)
             return False
-        is_done = True
+        is_complete = True
         for summary in summaries:
             if summary.partition in partitions:
-                is_done = await self._look_after(summary.program_id) and is_done
-        return is_done
+                is_complete = await self._recover_program(summary.program_id) and is_complete
+        return is_complete
 
-    async def _look_after(self, program_id: ProgramId) -> bool:
+    async def _recover_program(self, program_id: ProgramId) -> bool:
         try:
-            await self._leader.look_after(program_id)
+            await self._leader.recover_program(program_id)
         except PasslaneError as error:
-            # A partition that is led elsewhere by now is looked after there.
+            # Another node leads the partition now and recovers its programs.
             return error.code is ErrorCode.NOT_LEADER
         return True
 
     async def run(self) -> None:
-        """Sweep now and then until cancelled."""
+        """Sweep periodically until cancelled."""
         while True:
             await anyio.sleep(SWEEP_INTERVAL_S * self._random.uniform(0.8, 1.2))
             await self._sweep()
@@ -97,7 +100,7 @@
         )
         if not led:
             return
-        await self._look_after_unsettled(led)
+        await self._recover_unsettled(led)
         for engine_id in sorted(self._poller.watched):
             await self._sweep_engine(engine_id)
 
@@ -108,11 +111,15 @@
             _log.info("engine_not_swept", engine_id=engine_id, code=error.code.value)
             return
         if snapshot is not None:
-            await self._compare(engine_id, (entry.program_id for entry in snapshot.entries))
+            await self._release_stale_cache(
+                engine_id, (entry.program_id for entry in snapshot.entries)
+            )
 
-    async def _compare(self, engine_id: EngineId, cached: Iterable[ProgramId]) -> None:
-        """Release the memory of programs led here that have ended or never were."""
-        for program_id in cached:
+    async def _release_stale_cache(
+        self, engine_id: EngineId, cached_programs: Iterable[ProgramId]
+    ) -> None:
+        """Release the cache of programs led here that have ended or do not exist."""
+        for program_id in cached_programs:
             partition = self._directory.partition_of(program_id)
             epoch = self._services.leadership.epoch_of(partition)
             if epoch is None or await self._is_running(program_id):
--- a/src/passlane/node/node_core.py
+++ b/src/passlane/node/node_core.py
@@ -1,4 +1,8 @@
-"""The parts of a running node, wired together; made anew for each start of the service."""
+"""The parts of a running node and how they are connected.
+
+``build_core`` creates a new ``NodeCore`` for each run of the service; ``register_handlers``
+makes it reachable for other nodes.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -48,7 +52,7 @@
 
 @dataclass(frozen=True)
 class NodeCore:
-    """Everything that lives as long as one run of the node."""
+    """The parts that exist for one run of the node."""
 
     services: CallServices
     directory: ProgramDirectory
@@ -60,8 +64,8 @@
     sweep: MemorySweep
 
 
-class SchedulerOrders:
-    """Carries out the scheduler's orders about caches; implements ``CacheOrders``."""
+class CacheOrderExecutor:
+    """Executes the scheduler's orders about caches on engines; implements ``CacheOrders``."""
 
     def __init__(
         self,
@@ -76,11 +80,11 @@
         self._poller = poller
 
     def release_cache(self, program_id: ProgramId, engine_id: EngineId) -> None:
-        """Release what an engine holds for a program that pauses; its end has its own way."""
+        """Release the cache of a paused program; an ended program is released separately."""
         program = self._directory.program_in_memory(program_id)
         if program is None or program.is_ended:
             return
-        program.note_release(engine_id)
+        program.remove_hold(engine_id)
         self._releases.add(
             PendingRelease(program_id, program.partition, program.epoch, engine_id, False)
         )
@@ -106,11 +110,11 @@
             await self._services.record_hold(program, destination)
             await self._services.engines.client(engines[destination].address).order(order)
         except PasslaneError as error:
-            # The cache is computed anew where it is missed; nothing else depends on it.
+            # The cache is recomputed where it is missing; nothing else depends on the move.
             _log.info("cache not moved", program_id=program_id, code=error.code.value)
 
     def note_use(self, engine_id: EngineId) -> None:
-        """Poll an engine often while this node sends calls to it."""
+        """Record that this node uses an engine, so that it is polled often."""
         self._poller.note_use(engine_id)
 
     def watch(self, engine_ids: frozenset[EngineId]) -> None:
@@ -118,14 +122,14 @@
         self._poller.watch(engine_ids)
 
     def fetch_snapshot(self, engine_id: EngineId) -> None:
-        """Fetch an engine's whole cache view."""
+        """Fetch a full snapshot of an engine's cache."""
         self._poller.fetch_snapshot(engine_id)
 
 
 def engines_to_avoid(
     configuration: ConfigurationView, leaving: frozenset[EngineId]
 ) -> frozenset[EngineId]:
-    """Return the engines that get no new work: drained by operators or leaving by themselves."""
+    """Return the engines that get no new work: drained by operators, or leaving on their own."""
     drained = {
         engine_id
         for engine_id in configuration.engines
@@ -146,7 +150,7 @@
     reports: CallReports,
     policies: PolicyGovernor,
 ) -> NodeCore:
-    """Return the parts of a node, wired together; their tasks run in ``tasks``."""
+    """Create and connect the parts of a node; their tasks run in ``tasks``."""
     source = environment.random
     http = environment.http_client
     services = CallServices(
@@ -170,7 +174,7 @@
     leader = LeaderService(
         services, directory, admission, releases, caller, NodeId(settings.process.name), incoming
     )
-    services.models.orders = SchedulerOrders(services, directory, releases, poller)
+    services.models.orders = CacheOrderExecutor(services, directory, releases, poller)
     return NodeCore(
         services=services,
         directory=directory,
@@ -199,10 +203,10 @@
 
 
 def register_handlers(core: NodeCore, router: Router) -> None:
-    """Let other nodes reach the programs that this one leads."""
+    """Register the handlers through which other nodes use the programs that this node leads."""
     router.add_stream(CallRequest, core.leader.serve_call)
     router.add_unary(CreateProgramRequest, core.leader.create)
     router.add_unary(EndProgramRequest, core.leader.end)
     router.add_unary(ReadProgramRequest, core.leader.read)
     router.add_unary(ExplainProgram, core.leader.explain)
-    router.add_one_way(ProgramEndedNotice, core.leader.note_ended)
+    router.add_one_way(ProgramEndedNotice, core.leader.handle_program_ended)
--- a/src/passlane/node/node_metrics.py
+++ b/src/passlane/node/node_metrics.py
@@ -1,4 +1,8 @@
-"""Metrics of a node: calls by outcome and latency, and gauges of what it holds."""
+"""Metrics of a node.
+
+Counters of calls, attempts, refusals and policy failures, latencies of calls, and gauges of
+the state of the node's parts.
+"""
 
 from passlane.errors import ErrorCode, Verdict
 from passlane.identifiers import ProgramId
@@ -12,7 +16,7 @@
 
 
 class NodeMetrics:
-    """Counts what happens; implements ``ReportSink`` and ``FailureSink``."""
+    """Updates the metrics from reports; implements ``ReportSink`` and ``FailureSink``."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
@@ -35,7 +39,7 @@
         self._programs = metrics.counter("programs", "Programs created and ended", ("event",))
 
     def take(self, report: CallReport) -> None:
-        """Count a call."""
+        """Count a finished call and record its latency."""
         kind = report.request.kind.value
         answer = report.answer
         result = ANSWERED if isinstance(answer, CallAnswered) else answer.code.value
@@ -45,27 +49,27 @@
             self._first_token.observe(report.first_token_at - report.arrived_at)
 
     def take_created(self, request: CreateProgramRequest) -> None:
-        """Count a new program."""
+        """Count a created program."""
         self._programs.labels("created").inc()
 
     def take_ended(self, program_id: ProgramId) -> None:
-        """Count a program's end."""
+        """Count an ended program."""
         self._programs.labels("ended").inc()
 
     def take_attempt(self, report: AttemptReport) -> None:
-        """Count an attempt."""
+        """Count an attempt at a backend."""
         self._attempts.labels(report.kind.value, report.verdict.value).inc()
 
     def take_refusal(self, code: ErrorCode, verdict: Verdict) -> None:
-        """Count a refusal."""
+        """Count an error returned to a caller."""
         self._refusals.labels(code.value, verdict.value).inc()
 
     def take_policy_failure(self, report: PolicyProblemReport) -> None:
         """Count the failures of a policy."""
         self._policy_failures.labels(report.policy).inc(report.times)
 
-    def watch(self, core: NodeCore) -> None:
-        """Show what the running parts hold, whenever the metrics are read."""
+    def register_gauges(self, core: NodeCore) -> None:
+        """Register gauges that read the state of ``core`` whenever the metrics are exposed."""
         gauge = self._metrics.gauge
         gauge("pending_releases", "Releases of engine memory not acknowledged yet").set_function(
             lambda: core.releases.pending_count
--- a/src/passlane/node/partition_handover.py
+++ b/src/passlane/node/partition_handover.py
@@ -1,4 +1,8 @@
-"""Hands partitions to their next leaders, and prepares to take over those of others."""
+"""Hands partitions over to their next leaders, and prepares to receive those of other nodes.
+
+The store leader requests a handover. The old leader finishes the partition's calls and
+releases it; the next leader delays new calls until the partition table names it.
+"""
 
 import anyio
 
@@ -13,19 +17,19 @@
 from passlane.observability.logging import get_logger
 from passlane.transport.interfaces import Caller, Router
 
-QUIET_WAIT_S = 2.0
-"""New calls are still taken for so long, in the hope for a moment without any."""
+IDLE_WAIT_S = 2.0
+"""Seconds for which new calls are still accepted while waiting for the partition to be idle."""
 
 _log = get_logger(__name__)
 
 
 class PartitionHandover:
-    """Both sides of a handover.
+    """Runs handovers as the old leader, and handles notices as the next one.
 
     Parameters
     ----------
     timeout_s
-        Longest time in seconds that calls of a partition may take to finish.
+        Maximum time in seconds for the calls of a partition to finish.
     """
 
     def __init__(
@@ -43,32 +47,35 @@
         self._timeout_s = timeout_s
 
     def register(self, router: Router) -> None:
-        """Let other nodes announce what they hand over."""
-        router.add_one_way(HandoverNotice, self._take_notice)
+        """Receive the order notices of other nodes."""
+        router.add_one_way(HandoverNotice, self._handle_notice)
 
     async def hand_over(self, order: HandoverRequested) -> None:
-        """Release a partition to its next leader at a moment when none of its calls runs.
+        """Release a partition to its next leader when none of its calls is running.
+
+        1. Accept new calls until the partition is idle, for at most ``IDLE_WAIT_S``.
+        2. Redirect new calls to the next leader, where they wait for the partition.
+        3. Wait until the calls that run here have finished, or for at most ``timeout_s``.
+        4. Release the partition.
 
-        Calls that come are taken until there is such a moment, or for ``QUIET_WAIT_S``.
-        After that they are sent to the next leader, which holds them until the last call
-        that runs here has ended.
+        Stops after step 1 or 3 if the store leader no longer requests this handover.
         """
         partition, successor = order.partition, order.to_address
         await self._notify(successor, partition, order.epoch, HandoverStage.BEGUN)
-        await self._leader.wait_quiet(partition, QUIET_WAIT_S)
-        if not self._stands(order):
+        await self._leader.wait_partition_idle(partition, IDLE_WAIT_S)
+        if not self._is_current(order):
             return
-        self._leader.redirect(partition, successor)
-        await self._leader.wait_quiet(partition, self._timeout_s)
-        if not self._stands(order):
+        self._leader.redirect_calls(partition, successor)
+        await self._leader.wait_partition_idle(partition, self._timeout_s)
+        if not self._is_current(order):
             return
         self._heartbeat.release(partition)
-        # Nodes that do not know of the change yet are still shown the way.
-        self._leader.redirect(partition, successor)
+        # Nodes without the new partition table still send calls here.
+        self._leader.redirect_calls(partition, successor)
         await self._notify(successor, partition, order.epoch, HandoverStage.RELEASED)
 
-    def _stands(self, order: HandoverRequested) -> bool:
-        """Return whether the store leader still wants this handover."""
+    def _is_current(self, order: HandoverRequested) -> bool:
+        """Return whether this is still the handover that the store leader requests."""
         current = self._heartbeat.lease.handover_of(order.partition)
         return (
             current is not None
@@ -77,9 +84,9 @@
         )
 
     async def cancel(self, partition: Partition, epoch: Epoch) -> None:
-        """Keep a partition that was to be handed over."""
+        """Cancel the handover of a partition and accept its calls again."""
         successor = self._leader.successor_of(partition)
-        self._leader.keep_partition(partition)
+        self._leader.accept_calls(partition)
         if successor is not None:
             await self._notify(successor, partition, epoch, HandoverStage.CANCELLED)
 
@@ -90,10 +97,10 @@
         try:
             await self._caller.send(successor, notice)
         except PasslaneError as error:
-            # It only saves time; the partition table decides.
+            # The notice only shortens the wait; the partition table decides who leads.
             _log.info("handover_notice_lost", stage=stage.value, code=error.code.value)
 
-    async def _take_notice(self, notice: HandoverNotice) -> None:
-        self._incoming.take_notice(notice, anyio.current_time())
+    async def _handle_notice(self, notice: HandoverNotice) -> None:
+        self._incoming.handle_notice(notice, anyio.current_time())
         if notice.stage is HandoverStage.RELEASED:
             self._heartbeat.expect(notice.partition)
--- a/src/passlane/node/program_directory.py
+++ b/src/passlane/node/program_directory.py
@@ -1,4 +1,8 @@
-"""The programs that this node has in memory, loaded from the store on first use."""
+"""The programs that this node has in memory.
+
+A program is loaded from the store on first use, is valid for one epoch of its partition, and
+is dropped when it is idle or when this node no longer leads it.
+"""
 
 from itertools import count
 
@@ -14,12 +18,12 @@
 from passlane.node.program_host import ProgramHost
 from passlane.programs.partitions import partition_of
 
-IDLE_S = 600.0
-"""A program that was not used for this long is dropped from memory."""
+IDLE_TIMEOUT_S = 600.0
+"""Seconds without use after which an idle program is dropped from memory."""
 
 
 class ProgramDirectory:
-    """Loads, keeps and drops programs. A program is valid for one epoch of its partition."""
+    """Loads programs, keeps them in memory and drops them."""
 
     def __init__(self, services: CallServices, partition_count: int) -> None:
         self._services = services
@@ -43,7 +47,7 @@
         Raises
         ------
         NotLeaderError
-            When it does not lead it now.
+            If this node does not lead it.
         """
         epoch = self._services.leadership.epoch_of(partition)
         if epoch is None:
@@ -57,7 +61,7 @@
         Raises
         ------
         PasslaneError
-            ``NOT_LEADER``, ``UNKNOWN_PROGRAM``, or as the store fails.
+            ``NOT_LEADER``, ``UNKNOWN_PROGRAM``, or an error of the store.
         """
         while True:
             epoch = self.require_epoch(self.partition_of(program_id))
@@ -77,25 +81,25 @@
                 raise PasslaneError(
                     ErrorCode.NOT_LEADER, "leadership changed while the program was loaded"
                 )
-            return self.adopt(record, epoch)
+            return self.get_or_add(record, epoch)
         finally:
             del self._loading[program_id]
             done.set()
 
-    def adopt(self, record: ProgramRecord, epoch: Epoch) -> ProgramHost:
-        """Keep a program whose record was read or written in this epoch."""
-        known = self._hosts.get(record.program_id)
-        if known is not None and known.program.epoch == epoch:
-            return known
+    def get_or_add(self, record: ProgramRecord, epoch: Epoch) -> ProgramHost:
+        """Return the program of this epoch; create it from the record if it is not in memory."""
+        loaded = self._hosts.get(record.program_id)
+        if loaded is not None and loaded.program.epoch == epoch:
+            return loaded
         program = LedProgram(record, epoch, anyio.current_time())
-        program.pause_s = self._usual_pause_s(program)
+        program.pause_s = self._expected_pause_s(program)
         host = ProgramHost(
             self._services, program, lambda: next(self._run_numbers), self._drop_stale
         )
         self._hosts[record.program_id] = host
         return host
 
-    def _usual_pause_s(self, program: LedProgram) -> float:
+    def _expected_pause_s(self, program: LedProgram) -> float:
         facts = program_facts(
             program.tenant_id,
             program.program_id,
@@ -106,9 +110,9 @@
         return DEFAULT_PAUSE_S if decision.tool_pause_s is None else decision.tool_pause_s
 
     def _drop_stale(self, host: ProgramHost) -> None:
-        """Drop a program that must be read again; its callers ask this node again."""
+        """Drop a program that must be reloaded; its callers retry at this node."""
         leader = self._services.leadership.leader_of(host.program.partition)
-        self._drop(host, NotLeaderError("the program is loaded again", leader))
+        self._drop(host, NotLeaderError("the program is being reloaded", leader))
 
     def _drop(self, host: ProgramHost, error: PasslaneError) -> None:
         if self._hosts.get(host.program.program_id) is host:
@@ -116,29 +120,29 @@
         host.abort(error)
 
     def drop_partition(self, partition: Partition) -> None:
-        """Stop all work for a partition that this node leads no longer."""
+        """Drop the programs of a partition that this node no longer leads, and stop their work."""
         for host in self.hosts:
             if host.program.partition == partition:
                 self._drop(host, self._services.not_leader_error(host.program))
 
     def host_in_memory(self, program_id: ProgramId) -> ProgramHost | None:
-        """Return a program if it is in memory and still led here."""
+        """Return a program if it is in memory and this node still leads it."""
         host = self._hosts.get(program_id)
         if host is None or not self._services.leads(host.program):
             return None
         return host
 
     def program_in_memory(self, program_id: ProgramId) -> LedProgram | None:
-        """Return the record of a program in memory; see ``host_in_memory``."""
+        """Return the state of a program in memory; see ``host_in_memory``."""
         host = self.host_in_memory(program_id)
         return None if host is None else host.program
 
     def hosts_of(self, partition: Partition) -> list[ProgramHost]:
-        """Return the programs in memory of a partition."""
+        """Return the programs of a partition that are in memory."""
         return [host for host in self.hosts if host.program.partition == partition]
 
     def drop_idle(self, now: float) -> None:
-        """Drop programs that have not been used for a while."""
+        """Drop idle programs that were not used for ``IDLE_TIMEOUT_S``."""
         for host in self.hosts:
-            if host.is_idle and now - host.program.last_used_at > IDLE_S:
+            if host.is_idle and now - host.program.last_used_at > IDLE_TIMEOUT_S:
                 del self._hosts[host.program.program_id]
--- a/src/passlane/node/service.py
+++ b/src/passlane/node/service.py
@@ -1,4 +1,8 @@
-"""The node's service: takes callers' requests, and leads the programs of its partitions."""
+"""The service of a node: accepts callers' requests and leads the programs of its partitions.
+
+``NodeService`` owns the node's configuration, its heartbeat loop and, while it runs, the
+``NodeCore``. It applies the replies to heartbeats and forwards callers' requests.
+"""
 
 from collections.abc import Sequence
 
@@ -50,7 +54,7 @@
 from passlane.settings.model import Settings
 from passlane.transport.interfaces import Caller, Router
 
-DRAIN_RETRY_AFTER_S = 1.0
+UNAVAILABLE_RETRY_AFTER_S = 1.0
 UNARY_TIMEOUT_S = 15.0
 INCARNATION_BITS = 62
 
@@ -58,20 +62,20 @@
 
 
 class NodeService:
-    """One node. ``run`` must be under way for requests to be taken.
+    """One node. It accepts requests only while ``run`` is running.
 
     Parameters
     ----------
     settings
         The process's settings.
     environment
-        The outside world.
+        Network, disk and random numbers of the process.
     caller, router
-        Connections to other processes, and where requests from them arrive.
+        Sends requests to other processes, and receives requests from them.
     store
         Client of the region's store group.
     metrics
-        Where the node's counters and gauges are shown.
+        Registry of the node's counters and gauges; none are registered if ``None``.
     """
 
     def __init__(
@@ -99,7 +103,7 @@
         self._leaving_engines: frozenset[EngineId] = frozenset()
         self._is_draining = False
         self._requests = 0
-        self._quieter = anyio.Event()
+        self._load_decreased = anyio.Event()
         self._core: NodeCore | None = None
         self._heartbeat = self._new_heartbeat()
 
@@ -109,7 +113,7 @@
         return HeartbeatLoop(self._settings, self._store, self, source, incarnation)
 
     def _new_recorder(self) -> TraceRecorder | None:
-        """Return the trace recorder if the settings ask for one; a file for each start."""
+        """Return the recorder if the settings name a trace file; each start has its own file."""
         node = self._settings.node
         if node.trace_file is None:
             return None
@@ -124,23 +128,23 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether the node takes callers' requests."""
+        """Whether the node accepts callers' requests."""
         return self._core is not None and self._heartbeat.has_lease and not self.is_draining
 
     @property
     def configuration(self) -> ConfigurationView:
-        """The configuration that the node holds and acts on."""
+        """The configuration that the node has received and applies."""
         return self._configuration
 
     @property
     def is_draining(self) -> bool:
-        """Whether the node refuses new requests and gives up its partitions."""
+        """Whether the node refuses new requests and hands over its partitions."""
         own = NodeId(self._settings.process.name)
         return self._is_draining or own in self._configuration.draining_nodes()
 
     @property
     def in_flight_at_drained(self) -> tuple[TargetInFlight, ...]:
-        """Calls in flight at what operators are draining."""
+        """Number of calls in flight at each target that operators are draining."""
         if self._core is None:
             return ()
         services = self._core.services
@@ -149,7 +153,7 @@
             self._configuration, services.models, services.tools, own, self._requests
         )
 
-    # Life.
+    # Lifecycle.
 
     async def run(self) -> None:
         """Serve until cancelled."""
@@ -157,10 +161,10 @@
             core = self._build_core(tasks)
             self._core = core
             if self._metrics is not None:
-                self._metrics.watch(core)
+                self._metrics.register_gauges(core)
             register_handlers(core, self._local)
-            self._handover_of(core).register(self._local)
-            self._tell_engines()
+            self._new_handover(core).register(self._local)
+            self._update_engines()
             try:
                 tasks.start_soon(self._heartbeat.run)
                 tasks.start_soon(core.services.models.run)
@@ -184,7 +188,7 @@
             policies=self._policies,
         )
 
-    def _handover_of(self, core: NodeCore) -> PartitionHandover:
+    def _new_handover(self, core: NodeCore) -> PartitionHandover:
         return PartitionHandover(
             core.leader,
             core.incoming,
@@ -194,81 +198,81 @@
         )
 
     async def drain(self) -> None:
-        """Refuse new requests, finish those in flight and give up all partitions."""
+        """Refuse new requests, finish those in flight and hand over all partitions."""
         self._is_draining = True
         self._heartbeat.beat_soon()
         with anyio.move_on_after(self._settings.node.drain_timeout_s) as scope:
             while self._requests > 0 or self._heartbeat.lease.led_partitions:
-                self._quieter = anyio.Event()
-                await self._quieter.wait()
+                self._load_decreased = anyio.Event()
+                await self._load_decreased.wait()
             await self._heartbeat.wait_released()
-            # Until each node has the new table, calls that it sends here are redirected.
+            # Nodes without the new partition table still send calls here, which are redirected.
             await anyio.sleep(longest_pause_s(self._settings.membership.heartbeat_s))
         if scope.cancelled_caught:
             _log.warning("drain cut short", requests=self._requests)
 
-    # What heartbeats bring.
+    # Replies to heartbeats.
 
     def take_configuration(
         self, delta: ConfigurationDelta | None, accepted_revision: Revision
     ) -> None:
-        """Take in changes, and act on what is accepted and held."""
+        """Add changes, then apply the newest revision that is both accepted and received."""
         before = self._configuration.revision_in_force
         if delta is not None:
             self._configuration = self._configuration.apply_delta(delta)
         self._configuration = self._configuration.accept(accepted_revision)
         if self._configuration.revision_in_force != before:
             self._policies.update(self._configuration)
-            self._tell_engines()
+            self._update_engines()
 
     def take_leaving_engines(self, names: Sequence[EngineId]) -> None:
-        """Send no new work to engines of these names."""
+        """Send no new work to the engines of these names."""
         leaving = frozenset(names)
         if leaving != self._leaving_engines:
             self._leaving_engines = leaving
-            self._tell_engines()
+            self._update_engines()
 
-    def _tell_engines(self) -> None:
+    def _update_engines(self) -> None:
         if self._core is not None:
             configuration = self._configuration
             avoided = engines_to_avoid(configuration, self._leaving_engines)
             self._core.services.models.change_engines(dict(configuration.engines), avoided)
 
     def take_membership_change(self, change: MembershipChange) -> None:
-        """Begin or stop to lead a partition, or begin to hand it over."""
+        """Start or stop leading a partition, or start or cancel its handover."""
         core = self._core
         if core is None:
             return
         match change:
             case LeadershipGained(partition, _):
-                core.leader.keep_partition(partition)
+                core.leader.accept_calls(partition)
                 core.incoming.end_wait(partition)
-                core.sweep.partition_gained(partition)
+                core.sweep.schedule_recovery(partition)
             case LeadershipLost(partition, _):
                 core.leader.forget_partition(partition)
-                core.leader.keep_partition(partition)
-                self._quieter.set()
+                core.leader.accept_calls(partition)
+                self._load_decreased.set()
             case HandoverRequested():
-                core.services.tasks.start_soon(self._handover_of(core).hand_over, change)
+                core.services.tasks.start_soon(self._new_handover(core).hand_over, change)
             case HandoverCancelled(partition, epoch):
-                core.services.tasks.start_soon(self._handover_of(core).cancel, partition, epoch)
+                core.services.tasks.start_soon(self._new_handover(core).cancel, partition, epoch)
 
-    # Callers.
+    # Requests of callers.
 
     def new_identifier(self) -> str:
         """Return a new identifier of 128 random bits."""
         return f"{self._environment.random.getrandbits(128):032x}"
 
     async def run_call(self, request: CallRequest, emit: Emit) -> None:
-        """Run a call wherever its program is led and give its events to ``emit``.
+        """Run a call at the leader of its program and pass its events to ``emit``.
 
         Raises
         ------
         PasslaneError
-            When it was refused or failed; with its verdict.
+            If the call was refused or failed; with its verdict.
         """
         try:
-            core = self._require_open()
+            core = self._require_accepting()
         except PasslaneError as error:
             refusal = error_with_verdict(error, verdict_without_record(request))
             self._reports.publish_refusal(refusal.code, refusal.verdict)
@@ -278,20 +282,20 @@
             await core.forwarder.run_call(request, emit)
         finally:
             self._requests -= 1
-            self._quieter.set()
+            self._load_decreased.set()
 
     async def create_program(self, request: CreateProgramRequest) -> ProgramRecord:
         """Create a program and return its record; raise ``PasslaneError``."""
-        return await self._ask_for_record(request)
+        return await self._request_record(request)
 
     async def read_program(self, request: ReadProgramRequest) -> ProgramRecord:
         """Return a program's record; raise ``PasslaneError``."""
-        return await self._ask_for_record(request)
+        return await self._request_record(request)
 
-    async def _ask_for_record(
+    async def _request_record(
         self, request: CreateProgramRequest | ReadProgramRequest
     ) -> ProgramRecord:
-        core = self._require_open()
+        core = self._require_accepting()
         result = await core.forwarder.ask(
             request.program_id, request, ProgramResult, UNARY_TIMEOUT_S
         )
@@ -299,19 +303,21 @@
 
     async def end_program(self, request: EndProgramRequest) -> None:
         """End a program; raise ``PasslaneError``."""
-        core = self._require_open()
+        core = self._require_accepting()
         await core.forwarder.ask(request.program_id, request, StoreDone, UNARY_TIMEOUT_S)
 
-    def _require_open(self) -> NodeCore:
-        """Return the running parts; refuse while the node starts or drains."""
+    def _require_accepting(self) -> NodeCore:
+        """Return the node's parts; raise ``PasslaneError`` while the node starts or drains."""
         if self._core is None:
             raise PasslaneError(
-                ErrorCode.UNAVAILABLE, "the node is starting", retry_after_s=DRAIN_RETRY_AFTER_S
+                ErrorCode.UNAVAILABLE,
+                "the node is starting",
+                retry_after_s=UNAVAILABLE_RETRY_AFTER_S,
             )
         if self.is_draining:
             raise PasslaneError(
                 ErrorCode.DRAINING,
-                "the node is stopping; ask another one",
-                retry_after_s=DRAIN_RETRY_AFTER_S,
+                "the node is draining; send the request to another node",
+                retry_after_s=UNAVAILABLE_RETRY_AFTER_S,
             )
         return self._core
--- a/tests/node/nodes.py
+++ b/tests/node/nodes.py
@@ -1,4 +1,4 @@
-"""Nodes without heartbeats that share one store, for tests on a virtual clock."""
+"""Nodes without heartbeats that share one store, on a virtual clock."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import aclosing, asynccontextmanager
@@ -44,7 +44,7 @@
 
 
 class FakeNetwork:
-    """Connections between nodes in memory; a node in ``cut`` cannot be reached."""
+    """Connections between nodes in memory; nodes in ``cut`` are unreachable."""
 
     def __init__(self) -> None:
         self.routers: dict[Address, MessageRouter] = {}
@@ -57,7 +57,7 @@
         return self.routers[address]
 
     def cut_off(self, address: Address) -> None:
-        """Break all streams of a node and let nothing reach it."""
+        """Cancel all streams to a node and make it unreachable."""
         self.cut.add(address)
         for scope in tuple(self._streams.get(address, ())):
             scope.cancel()
@@ -94,7 +94,7 @@
 
 @dataclass
 class Answer:
-    """What a caller got of one call."""
+    """The events of one call that its caller received."""
 
     texts: list[str] = field(default_factory=list)
     last: CallAnswered | CallRefused | None = None
@@ -161,7 +161,7 @@
         return core
 
     def lead(self, number: int, *, told: bool = True) -> None:
-        """Let a node lead; with ``told`` the others know, and stop what they did."""
+        """Let a node lead all partitions; with ``told``, the other nodes stop leading."""
         self.epoch += 1
         chosen = self.leaderships[number]
         self.store.lead(chosen, self.epoch)
@@ -173,7 +173,7 @@
                 for partition in chosen.led_partitions():
                     core.leader.forget_partition(partition)
         for partition in chosen.led_partitions():
-            self.nodes[number].sweep.partition_gained(partition)
+            self.nodes[number].sweep.schedule_recovery(partition)
 
     async def create(self, tenant: TenantId = TENANT, **fields: object) -> None:
         values: dict[str, object] = {
@@ -191,7 +191,7 @@
     async def call(
         self, request: CallRequest, answer: Answer | None = None, node: int = 0
     ) -> Answer:
-        """Run a call from a node's side of the callers; a refusal is its last event too."""
+        """Run a call as a caller of this node; an error becomes its last event."""
         answer = answer or Answer()
         try:
             await self.nodes[node].forwarder.run_call(request, answer.emit)
@@ -200,7 +200,7 @@
         return answer
 
     def record(self) -> ProgramRecord:
-        """Return the program as the store has it."""
+        """Return the record of ``PROGRAM`` in the store."""
         program = self.store.machine.programs.find(PROGRAM)
         assert program is not None
         return program.to_record()
@@ -243,7 +243,7 @@
 def in_fleet(
     scenario: Callable[[Fleet], Awaitable[None]], nodes: int = 1, seed: int = 7, **tool: object
 ) -> None:
-    """Run a scenario on the virtual clock, node 0 leading and the program created."""
+    """Run a scenario on the virtual clock; node 0 leads and ``PROGRAM`` exists."""
 
     async def main() -> None:
         with anyio.fail_after(300):
--- a/tests/node/test_partition_handover.py
+++ b/tests/node/test_partition_handover.py
@@ -1,4 +1,4 @@
-"""The old leader's side of a handover: what runs there ends there, and little waits."""
+"""Handover at the old leader: running calls finish there, and new calls wait only briefly."""
 
 import unittest
 from types import SimpleNamespace
@@ -9,15 +9,15 @@
 from node.nodes import PROGRAM, Answer, Fleet, chat, in_fleet, whole_text
 from passlane.identifiers import Epoch, NodeId, Partition, ProgramId
 from passlane.membership.events import HandoverRequested
-from passlane.node.partition_handover import QUIET_WAIT_S, PartitionHandover
+from passlane.node.partition_handover import IDLE_WAIT_S, PartitionHandover
 
 OTHER = ProgramId("p-2")
 LONG_ANSWER = 400
-"""Tokens; 1.2 s."""
+"""Tokens; generated in 1.2 s."""
 
 
 class FakeHeartbeat:
-    """Carries out a release as the store leader would, after a moment."""
+    """Assigns the partition to node 1 when it is released, as the store leader does."""
 
     def __init__(self, fleet: Fleet, order: HandoverRequested) -> None:
         self._fleet = fleet
@@ -31,7 +31,7 @@
         self._fleet.nodes[1].incoming.end_wait(partition)
 
     def expect(self, partition: Partition) -> None:
-        """Ask nothing: the release above has changed the table already."""
+        """Do nothing: ``release`` has already changed the leadership."""
 
 
 def handover_of(fleet: Fleet) -> tuple[PartitionHandover, FakeHeartbeat, HandoverRequested]:
@@ -55,14 +55,14 @@
 
 
 class PartitionHandoverTest(unittest.TestCase):
-    def test_calls_that_come_while_another_runs_are_still_taken(self) -> None:
+    def test_new_calls_are_accepted_while_another_call_runs(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             await fleet.create(program_id=OTHER)
             handover, heartbeat, order = handover_of(fleet)
             for engine in fleet.engines:
                 engine.answer_tokens = LONG_ANSWER
             long = Answer()
-            began_at = anyio.current_time()
+            started_at = anyio.current_time()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.call, chat(max_tokens=LONG_ANSWER), long)
                 await anyio.sleep(0.1)
@@ -70,15 +70,15 @@
                 await anyio.sleep(0.1)
                 short = await fleet.call(chat(program_id=OTHER, max_tokens=12))
                 self.assertEqual(short.answered.body, whole_text())
-                self.assertLess(anyio.current_time() - began_at, 0.3)
+                self.assertLess(anyio.current_time() - started_at, 0.3)
                 self.assertIsNone(heartbeat.released_at)
             self.assertEqual(long.answered.body, whole_text(LONG_ANSWER))
             assert heartbeat.released_at is not None
-            self.assertLess(heartbeat.released_at - began_at, 1.3)
+            self.assertLess(heartbeat.released_at - started_at, 1.3)
 
         in_fleet(scenario, nodes=2)
 
-    def test_partition_that_is_never_quiet_sends_new_calls_on_and_cuts_off_none(self) -> None:
+    def test_partition_that_is_never_idle_redirects_new_calls_and_interrupts_none(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             await fleet.create(program_id=OTHER)
             handover, heartbeat, order = handover_of(fleet)
@@ -86,39 +86,39 @@
                 engine.answer_tokens = LONG_ANSWER
             answers: list[Answer] = []
 
-            async def call_all_the_time(program_id: ProgramId) -> None:
+            async def call_repeatedly(program_id: ProgramId) -> None:
                 for _ in range(5):
                     request = chat(program_id=program_id, max_tokens=LONG_ANSWER)
                     answers.append(await fleet.call(request))
 
-            began_at = anyio.current_time()
+            started_at = anyio.current_time()
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(call_all_the_time, PROGRAM)
+                tasks.start_soon(call_repeatedly, PROGRAM)
                 await anyio.sleep(0.6)
-                tasks.start_soon(call_all_the_time, OTHER)
+                tasks.start_soon(call_repeatedly, OTHER)
                 tasks.start_soon(handover.hand_over, order)
             bodies = {answer.answered.body for answer in answers}
             self.assertEqual(bodies, {whole_text(LONG_ANSWER)})
             self.assertEqual(len(answers), 10)
             assert heartbeat.released_at is not None
-            self.assertLess(heartbeat.released_at - began_at, 0.6 + QUIET_WAIT_S + 1.3)
+            self.assertLess(heartbeat.released_at - started_at, 0.6 + IDLE_WAIT_S + 1.3)
 
         in_fleet(scenario, nodes=2)
 
-    def test_call_that_waits_for_an_earlier_one_does_not_stop_the_handover(self) -> None:
+    def test_call_that_waits_for_an_earlier_one_does_not_block_the_handover(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             node = fleet.nodes[0]
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.call, chat(sequence=5, is_named=True))
                 await anyio.sleep(0.1)
-                began_at = anyio.current_time()
-                await node.leader.wait_quiet(node.directory.partition_of(PROGRAM), 1.0)
-                self.assertAlmostEqual(anyio.current_time() - began_at, 1.0)
+                started_at = anyio.current_time()
+                await node.leader.wait_partition_idle(node.directory.partition_of(PROGRAM), 1.0)
+                self.assertAlmostEqual(anyio.current_time() - started_at, 1.0)
                 tasks.cancel_scope.cancel()
 
         in_fleet(scenario, nodes=2)
 
-    def test_order_that_was_withdrawn_releases_nothing(self) -> None:
+    def test_cancelled_handover_releases_nothing(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             handover, heartbeat, order = handover_of(fleet)
             for engine in fleet.engines:
--- a/tests/node/test_policies_and_limits.py
+++ b/tests/node/test_policies_and_limits.py
@@ -1,4 +1,4 @@
-"""Policies in force at a node, limits that stop endless programs, and the node's metrics."""
+"""Active policies of a node, limits that stop endless programs, and the node's metrics."""
 
 import unittest
 from dataclasses import replace
@@ -35,7 +35,7 @@
 
 
 def apply_policy(fleet: Fleet, source: str) -> None:
-    """Put a policy in force for all tenants, as an accepted change does."""
+    """Activate a policy for all tenants, as an accepted configuration change does."""
     service = ServiceBody(models=("m",), tools=("charge", "look"), policy="main")
     fleet.configuration = replace(
         fleet.configuration, policies={"main": PolicyBody(source)}, services={"s": service}
@@ -49,18 +49,18 @@
     return program.to_record()
 
 
-def watch_arrivals(fleet: Fleet) -> list[CallArrived]:
-    """Keep what the scheduler of node 0 is told of arriving calls."""
+def record_arrivals(fleet: Fleet) -> list[CallArrived]:
+    """Record the arrivals of calls that the scheduler of node 0 receives."""
     arrivals: list[CallArrived] = []
     models = fleet.nodes[0].services.models
-    tell = models.tell
+    original_tell = models.tell
 
-    def spy(event: Event) -> None:
+    def record_event(event: Event) -> None:
         if isinstance(event, CallArrived):
             arrivals.append(event)
-        tell(event)
+        original_tell(event)
 
-    models.tell = spy  # type: ignore[method-assign]
+    models.tell = record_event  # type: ignore[method-assign]
     return arrivals
 
 
@@ -74,7 +74,7 @@
     def test_class_weight_share_and_budget_of_the_policy_are_used(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             apply_policy(fleet, FIRST_POLICY)
-            arrivals = watch_arrivals(fleet)
+            arrivals = record_arrivals(fleet)
             await fleet.create(program_id=ProgramId("p-2"))
             await fleet.call(chat(program_id=ProgramId("p-2"), max_tokens=20))
             self.assertEqual((arrivals[0].service_class, arrivals[0].weight), (1, 6.0))
@@ -86,7 +86,7 @@
     def test_policy_is_replaced_while_a_call_runs(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             apply_policy(fleet, FIRST_POLICY)
-            arrivals = watch_arrivals(fleet)
+            arrivals = record_arrivals(fleet)
             answers = [Answer(), Answer()]
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.call, chat(), answers[0])
@@ -113,37 +113,37 @@
 
         in_fleet(scenario)
 
-    def test_policy_that_fails_loses_no_call_and_is_reported(self) -> None:
+    def test_failing_policy_is_reported_and_calls_are_still_answered(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            metrics = watch_metrics(fleet)
+            metrics = collect_metrics(fleet)
             apply_policy(fleet, FAULTY_POLICY)
             fleet.tasks.start_soon(Housekeeping(fleet.nodes[0]).run)
             self.assertEqual((await fleet.call(chat())).answered.body, whole_text())
             await anyio.sleep(2 * INTERVAL_S)
-            self.assertEqual(value(metrics, 'policy_failures_total{policy="main"}'), 1.0)
+            self.assertEqual(metric_value(metrics, 'policy_failures_total{policy="main"}'), 1.0)
 
         in_fleet(scenario)
 
 
 class EndlessProgramTest(unittest.TestCase):
-    def test_program_is_ended_when_its_time_is_used_up(self) -> None:
+    def test_program_is_ended_after_its_deadline(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.tasks.start_soon(Housekeeping(fleet.nodes[0]).run)
             name = ProgramId("loop")
             await fleet.create(program_id=name, deadline_s=2.0)
-            began_at = anyio.current_time()
+            started_at = anyio.current_time()
             answer = await fleet.call(chat(program_id=name))
             while not _is_refused(answer):
                 answer = await fleet.call(chat(program_id=name))
             self.assertEqual(answer.refused.code, ErrorCode.LIMIT_EXCEEDED)
-            self.assertLess(anyio.current_time() - began_at, 2.0 + 2 * INTERVAL_S)
+            self.assertLess(anyio.current_time() - started_at, 2.0 + 2 * INTERVAL_S)
             await anyio.sleep(1.0)
             self.assertEqual(record_of(fleet, "loop").state, ProgramState.ENDED)
             self.assertEqual([engine.held for engine in fleet.engines], [{}, {}])
 
         in_fleet(scenario)
 
-    def test_turns_tokens_and_money_are_bounded(self) -> None:
+    def test_turns_and_tokens_of_a_program_are_bounded(self) -> None:
         cases = {
             "turns": (Amounts(tokens=10_000, calls=3, money_micros=100), 3),
             "tokens": (Amounts(tokens=60, calls=100, money_micros=100), 2),
@@ -168,7 +168,7 @@
 
                 in_fleet(scenario)
 
-    def test_charges_stop_at_the_money_of_the_program(self) -> None:
+    def test_charges_stop_at_the_money_budget_of_the_program(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             for key in ("a", "b"):
                 self.assertEqual((await fleet.call(charge(key))).answered.verdict, Verdict.RAN)
@@ -193,32 +193,32 @@
 
 
 class PromptRefusalTest(unittest.TestCase):
-    def test_slow_store_holds_no_caller_beyond_its_time(self) -> None:
+    def test_caller_is_refused_at_its_deadline_while_the_store_is_slow(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             fleet.nodes[0].leader.forget_partition(record_of(fleet, PROGRAM).partition)
             fleet.store.delay_s = 4.0
-            began_at = anyio.current_time()
+            started_at = anyio.current_time()
             answer = await fleet.call(chat(timeout_s=1.0))
             self.assertEqual(answer.refused.code, ErrorCode.DEADLINE_EXCEEDED)
             self.assertEqual(answer.refused.verdict, Verdict.NOT_RUN)
             self.assertIsNotNone(answer.refused.retry_after_s)
-            self.assertAlmostEqual(anyio.current_time() - began_at, 1.0, places=2)
+            self.assertAlmostEqual(anyio.current_time() - started_at, 1.0, places=2)
 
         in_fleet(scenario)
 
 
-def watch_metrics(fleet: Fleet) -> Metrics:
-    """Count what node 0 does from now on."""
+def collect_metrics(fleet: Fleet) -> Metrics:
+    """Return the metrics of node 0, counted from now on."""
     metrics = Metrics()
     node_metrics = NodeMetrics(metrics)
     fleet.reports.sinks.append(node_metrics)
     fleet.reports.failure_sinks.append(node_metrics)
-    node_metrics.watch(fleet.nodes[0])
+    node_metrics.register_gauges(fleet.nodes[0])
     return metrics
 
 
-def value(metrics: Metrics, name: str) -> float:
-    """Return a metric by its name and labels as they are exposed."""
+def metric_value(metrics: Metrics, name: str) -> float:
+    """Return the value of a metric, given its exposed name and labels."""
     for line in metrics.expose().decode().splitlines():
         if line.startswith(f"passlane_{name} "):
             return float(line.rpartition(" ")[2])
@@ -226,32 +226,32 @@
 
 
 class NodeMetricsTest(unittest.TestCase):
-    def test_attempts_refusals_queues_and_held_memory_are_shown(self) -> None:
+    def test_attempts_refusals_queues_and_engine_caches_are_exposed(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            metrics = watch_metrics(fleet)
+            metrics = collect_metrics(fleet)
             for engine in fleet.engines:
                 engine.break_after = [5]
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.call, chat())
                 tasks.start_soon(fleet.call, chat())
                 await anyio.sleep(0.01)
-                self.assertEqual(value(metrics, "calls_queued_in_programs"), 1.0)
-                self.assertEqual(value(metrics, "requests_in_flight"), 2.0)
+                self.assertEqual(metric_value(metrics, "calls_queued_in_programs"), 1.0)
+                self.assertEqual(metric_value(metrics, "requests_in_flight"), 2.0)
             attempts = 'attempts_total{kind="model",verdict="%s"}'
-            self.assertEqual(value(metrics, attempts % "ran"), 2.0)
-            self.assertEqual(value(metrics, attempts % "may_have_run"), 2.0)
-            self.assertEqual(value(metrics, "held_engine_memories"), 2.0)
+            self.assertEqual(metric_value(metrics, attempts % "ran"), 2.0)
+            self.assertEqual(metric_value(metrics, attempts % "may_have_run"), 2.0)
+            self.assertEqual(metric_value(metrics, "held_engine_memories"), 2.0)
             fleet.nodes[0].leader.limit_requests(0)
             await fleet.call(chat())
             refusals = 'refusals_total{code="queue_full",verdict="not_run"}'
-            self.assertEqual(value(metrics, refusals), 1.0)
-            self.assertEqual(value(metrics, "requests_in_flight"), 0.0)
+            self.assertEqual(metric_value(metrics, refusals), 1.0)
+            self.assertEqual(metric_value(metrics, "requests_in_flight"), 0.0)
 
         in_fleet(scenario)
 
     def test_refusal_that_its_receiver_raises_is_counted_once(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            metrics = watch_metrics(fleet)
+            metrics = collect_metrics(fleet)
 
             async def emit(event: CallEvent) -> None:
                 if isinstance(event, CallRefused):
@@ -261,20 +261,20 @@
             with self.assertRaises(PasslaneError):
                 await fleet.nodes[0].forwarder.run_call(early, emit)
             refusals = 'refusals_total{code="wrong_sequence",verdict="not_run"}'
-            self.assertEqual(value(metrics, refusals), 1.0)
+            self.assertEqual(metric_value(metrics, refusals), 1.0)
 
         in_fleet(scenario)
 
-    def test_calls_that_wait_for_an_engine_are_shown(self) -> None:
+    def test_calls_that_wait_for_an_engine_are_exposed(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            metrics = watch_metrics(fleet)
+            metrics = collect_metrics(fleet)
             fleet.nodes[0].services.models.change_engines(
                 dict(fleet.configuration.engines), frozenset(fleet.configuration.engines)
             )
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.call, chat(timeout_s=0.5))
                 await anyio.sleep(0.1)
-                self.assertEqual(value(metrics, "calls_queued_for_engines"), 1.0)
+                self.assertEqual(metric_value(metrics, "calls_queued_for_engines"), 1.0)
 
         in_fleet(scenario)
 
