--- a/src/passlane/store/__init__.py
+++ b/src/passlane/store/__init__.py
@@ -1,1 +1,1 @@
-"""The store group: program records as a replicated state machine, and its service."""
+"""The store group: a replicated state machine of program records, and its service."""
--- a/src/passlane/store/accounts.py
+++ b/src/passlane/store/accounts.py
@@ -1,46 +1,50 @@
-"""What a program may spend, has reserved and has spent."""
+"""Budget accounting of programs: limits, reservations and spending.
+
+A call reserves its maximum cost in the accounts of its program and of all ancestors, and
+settles the reservation once it has finished.
+"""
 
 from passlane.errors import ErrorCode
 from passlane.messages.common import Amounts
 from passlane.store.refusal import CommandRefusedError
 
-NOTHING = Amounts()
+NO_AMOUNTS = Amounts()
 
 
 class Account:
-    """The budget of one program, also spent by its sub-agents.
+    """The budget of one program, shared with its sub-agents.
 
-    ``limit`` is ``None`` for a sub-agent without a limit of its own. What is reserved
-    counts like spent until it is settled, so that a crash can only underspend.
+    ``limit`` is ``None`` for a sub-agent without a limit of its own. Reserved amounts
+    count as spent until they are settled, so that a crash never leads to overspending.
     """
 
     __slots__ = ("limit", "reserved", "spent")
 
     def __init__(
-        self, limit: Amounts | None, reserved: Amounts = NOTHING, spent: Amounts = NOTHING
+        self, limit: Amounts | None, reserved: Amounts = NO_AMOUNTS, spent: Amounts = NO_AMOUNTS
     ) -> None:
         self.limit = limit
         self.reserved = reserved
         self.spent = spent
 
     def can_reserve(self, amounts: Amounts) -> bool:
-        """Return whether ``amounts`` fit beside what is reserved and spent."""
+        """Return whether ``amounts`` fit within the limit, given what is reserved and spent."""
         if self.limit is None:
             return True
         return self.spent.plus(self.reserved).plus(amounts).fits_within(self.limit)
 
     def reserve(self, amounts: Amounts) -> None:
-        """Add ``amounts`` to what is reserved."""
+        """Add ``amounts`` to the reserved amounts."""
         self.reserved = self.reserved.plus(amounts)
 
     def settle(self, reserved: Amounts, spent: Amounts) -> None:
-        """Replace a reservation by what was spent of it."""
+        """Release a reservation and record the amounts spent."""
         self.reserved = self.reserved.minus(reserved)
         self.spent = self.spent.plus(spent)
 
 
 class AccountChain:
-    """The accounts that a program spends from: its own and those of all its ancestors."""
+    """The accounts charged for a program: its own and those of all its ancestors."""
 
     __slots__ = ("_accounts",)
 
@@ -53,8 +57,8 @@
         Raises
         ------
         CommandRefusedError
-            ``BAD_REQUEST`` for a negative amount; ``BUDGET_EXCEEDED`` when an account
-            has not enough left. Nothing is reserved then.
+            ``BAD_REQUEST`` for a negative amount; ``BUDGET_EXCEEDED`` when the remaining
+            budget of an account is too small. No account is changed in either case.
         """
         require_not_negative(amounts)
         for account in self._accounts:
@@ -66,13 +70,13 @@
             account.reserve(amounts)
 
     def settle(self, reserved: Amounts, spent: Amounts) -> None:
-        """Replace a reservation by what was spent of it, in each account.
+        """Release a reservation and record the amounts spent, in each account.
 
         Raises
         ------
         CommandRefusedError
             ``BAD_REQUEST`` for a negative amount; ``BUDGET_EXCEEDED`` when more was
-            spent than reserved. Nothing is settled then.
+            spent than reserved. No account is changed in either case.
         """
         require_not_negative(spent)
         if not spent.fits_within(reserved):
@@ -83,12 +87,12 @@
             account.settle(reserved, spent)
 
     def renew_reservation(self, old: Amounts, new: Amounts) -> None:
-        """Count reservation ``old`` as spent and reserve ``new`` in each account.
+        """Record reservation ``old`` as spent and reserve ``new``, in each account.
 
         Raises
         ------
         CommandRefusedError
-            As ``reserve``; nothing is changed then.
+            As ``reserve``; no account is changed then.
         """
         self.reserve(new)
         for account in self._accounts:
@@ -96,6 +100,6 @@
 
 
 def require_not_negative(amounts: Amounts) -> None:
-    """Refuse amounts with a part below zero, which would enlarge a budget."""
+    """Refuse amounts with a negative component, which would enlarge a budget."""
     if amounts.tokens < 0 or amounts.calls < 0 or amounts.money_micros < 0:
         raise CommandRefusedError(ErrorCode.BAD_REQUEST, "an amount is negative")
--- a/src/passlane/store/assignments.py
+++ b/src/passlane/store/assignments.py
@@ -1,4 +1,8 @@
-"""The partition table: which node leads which partition, in which epoch."""
+"""The partition table: the leader and epoch of each partition.
+
+Part of the replicated state of the store group. Commands with an epoch other than the
+recorded one are refused.
+"""
 
 from passlane.errors import ErrorCode
 from passlane.identifiers import Epoch, Partition
@@ -6,18 +10,18 @@
 from passlane.store.refusal import CommandRefusedError
 
 NEVER_ASSIGNED = Epoch(0)
-"""Recorded epoch of a partition that no node has led yet."""
+"""Epoch of a partition that has never had a leader."""
 
 
 class AssignmentTable:
-    """Assignments by partition, and a version that grows with each change."""
+    """Assignments by partition, with a version that increases with each change."""
 
     def __init__(self) -> None:
         self._by_partition: dict[Partition, PartitionAssignment] = {}
-        # In the order of changes: a partition that is assigned anew moves to the end.
-        self._changed_in: dict[Partition, int] = {}
-        # Answers of ``changed_since`` for the present version, by the version asked about.
-        self._changes: dict[int, tuple[PartitionAssignment, ...]] = {}
+        # Ordered by version: a reassigned partition moves to the end.
+        self._changed_at_version: dict[Partition, int] = {}
+        # Results of ``changed_since`` at the current version, by its argument.
+        self._cached_changes: dict[int, tuple[PartitionAssignment, ...]] = {}
         self.version = 0
 
     def epoch_of(self, partition: Partition) -> Epoch:
@@ -26,23 +30,23 @@
         return NEVER_ASSIGNED if assignment is None else assignment.epoch
 
     def all(self) -> tuple[PartitionAssignment, ...]:
-        """Return all assignments by number of the partition."""
+        """Return all assignments, ordered by partition."""
         return tuple(self._by_partition[number] for number in sorted(self._by_partition))
 
     def changed_since(self, version: int) -> tuple[PartitionAssignment, ...]:
-        """Return what a holder of the table as of ``version`` lacks, by partition.
+        """Return the assignments that changed after ``version``, ordered by partition.
 
-        Many nodes lack the same after a change, so each answer is worked out once.
+        Results are cached, because many nodes request the same changes.
         """
-        known = self._changes.get(version)
-        if known is None:
-            known = self._changes[version] = self._find_changed_since(version)
-        return known
+        cached = self._cached_changes.get(version)
+        if cached is None:
+            cached = self._cached_changes[version] = self._find_changed_since(version)
+        return cached
 
     def _find_changed_since(self, version: int) -> tuple[PartitionAssignment, ...]:
         changed: list[Partition] = []
-        for partition in reversed(self._changed_in):
-            if self._changed_in[partition] <= version:
+        for partition in reversed(self._changed_at_version):
+            if self._changed_at_version[partition] <= version:
                 break
             changed.append(partition)
         return tuple(self._by_partition[partition] for partition in sorted(changed))
@@ -53,7 +57,7 @@
         Raises
         ------
         CommandRefusedError
-            ``STALE_EPOCH``: another node leads by now, or the epoch was never given.
+            ``STALE_EPOCH`` when another node leads by now or the epoch was never assigned.
         """
         recorded = self.epoch_of(partition)
         if epoch == recorded and epoch != NEVER_ASSIGNED:
@@ -64,7 +68,7 @@
         )
 
     def assign(self, command: AssignPartitions) -> None:
-        """Record new leaders, all or none; sent again it changes nothing.
+        """Record new leaders, all or none. Idempotent.
 
         Raises
         ------
@@ -88,16 +92,16 @@
         if not changed:
             return
         self.version += 1
-        self._changes.clear()
+        self._cached_changes.clear()
         for assignment in changed:
             self._by_partition[assignment.partition] = assignment
-            self._changed_in.pop(assignment.partition, None)
-            self._changed_in[assignment.partition] = self.version
+            self._changed_at_version.pop(assignment.partition, None)
+            self._changed_at_version[assignment.partition] = self.version
 
     def restore(self, assignments: tuple[PartitionAssignment, ...], version: int) -> None:
-        """Replace the table by that of a snapshot."""
+        """Replace the table with that of a snapshot."""
         self._by_partition = {assignment.partition: assignment for assignment in assignments}
-        # A snapshot does not tell when each changed: holders of older tables get all.
-        self._changed_in = {partition: version for partition in self._by_partition}
-        self._changes.clear()
+        # A snapshot lacks the version of each change: older tables get every assignment.
+        self._changed_at_version = {partition: version for partition in self._by_partition}
+        self._cached_changes.clear()
         self.version = version
--- a/src/passlane/store/calls.py
+++ b/src/passlane/store/calls.py
@@ -1,4 +1,7 @@
-"""Beginning and finishing calls: order, budget, idempotency."""
+"""Beginning and finishing calls: sequence, budget and idempotency checks.
+
+A program has at most one open call. Repeated commands return the recorded call.
+"""
 
 import msgspec
 
@@ -19,17 +22,17 @@
 def begin_call(
     program: StoredProgram, accounts: AccountChain, command: BeginCall
 ) -> BeginCallResult:
-    """Record the intent of a call, or find it recorded.
+    """Record a call before it runs, or return its existing record.
 
     Raises
     ------
     CommandRefusedError
         ``IDEMPOTENCY_MISMATCH``, ``PROGRAM_ENDED``, ``WRONG_SEQUENCE``,
-        ``BUDGET_EXCEEDED`` or ``BAD_REQUEST``; nothing is changed then.
+        ``BUDGET_EXCEEDED`` or ``BAD_REQUEST``; the state is unchanged then.
     """
     recorded = program.calls.get(command.call_id)
     if recorded is not None:
-        call = _begin_again(program, accounts, recorded, command)
+        call = _begin_repeated(program, accounts, recorded, command)
     else:
         call = _begin_new(program, accounts, command)
     history = tuple(program.turns) if command.want_history else ()
@@ -67,23 +70,23 @@
     return call
 
 
-def _begin_again(
+def _begin_repeated(
     program: StoredProgram, accounts: AccountChain, recorded: CallRecord, command: BeginCall
 ) -> CallRecord:
-    same = (
+    is_same_request = (
         recorded.request_digest == command.request_digest and recorded.sequence == command.sequence
     )
-    if not same:
+    if not is_same_request:
         raise CommandRefusedError(
             ErrorCode.IDEMPOTENCY_MISMATCH, "the call's identifier belongs to another request"
         )
-    runs_again = (
+    needs_rerun = (
         recorded.state is CallState.BEGUN
         and recorded.repeatable
         and recorded.epoch < command.epoch
         and not program.is_ended
     )
-    if not runs_again:
+    if not needs_rerun:
         return recorded
     accounts.renew_reservation(recorded.reserved, command.reserve)
     call = msgspec.structs.replace(recorded, reserved=command.reserve, epoch=command.epoch)
@@ -92,7 +95,7 @@
 
 
 def finish_call(program: StoredProgram, accounts: AccountChain, command: FinishCall) -> None:
-    """Record the outcome of a call; the first outcome stays.
+    """Record the outcome of a call. The first outcome is final.
 
     Raises
     ------
@@ -110,13 +113,13 @@
         call, state=CallState.FINISHED, outcome=command.outcome
     )
     program.open_call = None
-    program.turns.extend(_share_text(command))
+    program.turns.extend(_turns_sharing_body(command))
     if command.hold is not None:
         program.record_hold(command.hold)
 
 
-def _share_text(command: FinishCall) -> tuple[Turn, ...]:
-    """Return the new turns; one that repeats the outcome's text shares its string."""
+def _turns_sharing_body(command: FinishCall) -> tuple[Turn, ...]:
+    """Return the new turns; a turn equal to the outcome's body shares its string."""
     body = command.outcome.body
     return tuple(
         Turn(role=turn.role, content=body, name=turn.name) if turn.content == body else turn
--- a/src/passlane/store/drains.py
+++ b/src/passlane/store/drains.py
@@ -1,4 +1,7 @@
-"""Nodes that operators have marked as leaving, by documents of kind ``drain``."""
+"""Nodes that operators drain with documents of kind ``drain``.
+
+Derived from the region's accepted configuration.
+"""
 
 from passlane.configuration.documents import DocumentKind, DrainBody, DrainKind
 from passlane.configuration.ledger import ConfigurationLedger
@@ -8,7 +11,7 @@
 
 
 class DrainedNodes:
-    """The nodes that accepted drain documents name, worked out once for each revision."""
+    """The nodes named by accepted drain documents, computed once per revision."""
 
     def __init__(self, configuration: ConfigurationLedger) -> None:
         self._configuration = configuration
@@ -16,12 +19,12 @@
         self._as_of = (NO_REVISION, NO_REVISION)
 
     def nodes(self) -> frozenset[NodeId]:
-        """Return the nodes to be drained according to the accepted configuration."""
-        held = self._configuration
-        as_of = (held.held_revision, held.accepted_revision)
+        """Return the nodes to drain according to the accepted configuration."""
+        ledger = self._configuration
+        as_of = (ledger.held_revision, ledger.accepted_revision)
         if as_of != self._as_of:
             self._as_of = as_of
-            drains = held.accepted_of(DocumentKind.DRAIN)
+            drains = ledger.accepted_of(DocumentKind.DRAIN)
             self._nodes = frozenset(
                 NodeId(body.target)
                 for body in map(parse_recorded, drains)
--- a/src/passlane/store/machine.py
+++ b/src/passlane/store/machine.py
@@ -1,8 +1,8 @@
 """The replicated state machine of the store group.
 
-Deterministic: its state depends on the commands alone. Programs are held in a mutable
-form, so that a command costs the same whether a history has one turn or hundreds;
-records are built only when they are read.
+Deterministic: the state depends only on the commands. Programs are stored in a mutable
+form, so that the cost of a command does not depend on the length of a program's history.
+Immutable records are built only for reads and snapshots.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -42,7 +42,7 @@
 from passlane.store.program import StoredProgram
 from passlane.store.program_table import ProgramTable
 from passlane.store.refusal import CommandRefusedError
-from passlane.store.snapshot import RestoredState, encode_parts, head_of
+from passlane.store.snapshot import RestoredState, encode_parts, header_of
 
 DONE = StoreDone()
 
@@ -91,7 +91,7 @@
             return error.to_result()
 
     def query(self, query: StoreQuery) -> Message:
-        """Answer a query from the state as it is."""
+        """Answer a query from the current state."""
         match query:
             case ReadProgram():
                 return self._read_program(query.program_id)
@@ -101,33 +101,34 @@
                 return Assignments(assignments=self.assignments.all())
 
     def snapshot_parts(self) -> Iterator[bytes]:
-        """Return the whole state as of this call, encoded, in parts.
+        """Return the encoded state as of this call, in parts.
 
-        Commands may be applied between two parts. There is one snapshot at a time.
+        Commands may be applied between two parts. Only one snapshot runs at a time.
         """
-        head = head_of(self.assignments, self.configuration)
+        header = header_of(self.assignments, self.configuration)
         accepted, pending = self.configuration.dump()
-        return encode_parts(head, accepted, pending, self.programs.start_capture())
+        return encode_parts(header, accepted, pending, self.programs.start_capture())
 
     def restore_parts(self, parts: Iterable[bytes]) -> Iterator[None]:
-        """Replace the state by that of a snapshot, at the end; yields after each part.
+        """Replace the state with that of a snapshot; yield after each decoded part.
 
         Raises
         ------
         ValueError
-            When the bytes are no snapshot of a known format; the state stays as it was.
+            When the bytes are not a snapshot of a known format. The state is replaced only
+            after the last part, so it is unchanged then.
         """
         restored = RestoredState()
         for part in parts:
             restored.add(part)
             yield
-        head = restored.head()
+        header = restored.header()
         self.programs = restored.programs
-        self.assignments.restore(head.assignments, head.table_version)
-        head.configuration.load_into(self.configuration, restored.accepted, restored.pending)
+        self.assignments.restore(header.assignments, header.table_version)
+        header.configuration.load_into(self.configuration, restored.accepted, restored.pending)
 
     def _program_of(self, command: ProgramCommand) -> StoredProgram:
-        """Return the program of a command, once its epoch proved current."""
+        """Return the program of a command after checking the command's epoch."""
         self.assignments.require_current(command.partition, command.epoch)
         return self.programs.get(command.program_id, command.partition)
 
@@ -183,12 +184,12 @@
         return ProgramResult(record=program.to_record())
 
     def _list_programs(self, query: ListPrograms) -> Message:
-        chosen = [
+        summaries = [
             program.to_summary()
             for program in self._programs_in(query.partition)
             if not query.unsettled_only or not program.is_settled
         ]
-        return ProgramList(programs=tuple(chosen))
+        return ProgramList(programs=tuple(summaries))
 
     def _programs_in(self, partition: Partition | None) -> list[StoredProgram]:
         if partition is None:
--- a/src/passlane/store/program.py
+++ b/src/passlane/store/program.py
@@ -1,4 +1,7 @@
-"""One program as the store holds it: mutable, so that a command costs no copy of it."""
+"""The stored state of one program.
+
+Mutable, so that commands apply without copying the program's history.
+"""
 
 from passlane.identifiers import CallId, EngineId, Partition, ProgramId, TenantId
 from passlane.messages.common import Amounts
@@ -14,16 +17,16 @@
 
 
 class StoredProgram:
-    """A program's history, calls, account and what engines hold for it.
+    """A program's history, calls, account and engine holds.
 
     Attributes
     ----------
     calls
         Call records by id, in the order in which the calls began.
     open_call
-        The one call that has begun and has no outcome yet.
+        The call that has begun and has no outcome yet, if any.
     holds
-        Incarnation of the engine by engine that holds memory for the program.
+        Incarnation of each engine that holds memory for the program, by engine.
     children
         Sub-agents whose records exist, in the order of their creation.
     """
@@ -84,29 +87,29 @@
 
     @property
     def is_settled(self) -> bool:
-        """Whether no call is open and, after the end, no engine holds memory for it."""
+        """Whether no call is open and, if the program has ended, no engine holds memory for it."""
         return self.open_call is None and not (self.is_ended and self.holds)
 
     def record_hold(self, hold: EngineHold) -> None:
-        """Note that an engine holds memory; a newer incarnation replaces an older."""
+        """Record that an engine holds memory; a newer incarnation replaces an older one."""
         if self.holds.get(hold.engine_id, -1) < hold.incarnation:
             self.holds[hold.engine_id] = hold.incarnation
 
     def record_release(self, hold: EngineHold) -> None:
-        """Note that the engine of ``hold`` holds nothing in that or an older incarnation."""
+        """Remove the hold of the engine in the incarnation of ``hold`` or an older one."""
         incarnation = self.holds.get(hold.engine_id)
         if incarnation is not None and incarnation <= hold.incarnation:
             del self.holds[hold.engine_id]
 
     def engine_holds(self) -> tuple[EngineHold, ...]:
-        """Return what engines hold for the program."""
+        """Return the engines that hold memory for the program, with their incarnations."""
         return tuple(
             EngineHold(engine_id=engine_id, incarnation=incarnation)
             for engine_id, incarnation in self.holds.items()
         )
 
     def to_record(self) -> ProgramRecord:
-        """Return the whole record; costs time in proportion to turns and calls."""
+        """Return the whole record; takes time proportional to the number of turns and calls."""
         return ProgramRecord(
             program_id=self.program_id,
             tenant_id=self.tenant_id,
@@ -125,7 +128,7 @@
         )
 
     def to_summary(self) -> ProgramSummary:
-        """Return the line about the program for lists."""
+        """Return the summary of the program for lists."""
         return ProgramSummary(
             program_id=self.program_id,
             tenant_id=self.tenant_id,
--- a/src/passlane/store/snapshot.py
+++ b/src/passlane/store/snapshot.py
@@ -1,8 +1,8 @@
 """The snapshot of the store's state machine: its format and its codec.
 
-A snapshot is a head, then parts with documents, then parts with programs in the order
-of their creation. A part is small, so that encoding one holds up the loop for
-milliseconds; only a program of very long history makes a larger one.
+A snapshot consists of a header, parts with documents, and parts with programs in the
+order of their creation. Parts are small, so that encoding one blocks the event loop only
+for milliseconds; only a program with a very long history makes a larger part.
 """
 
 from collections.abc import Iterator
@@ -26,15 +26,15 @@
 from passlane.store.snapshot_capture import SnapshotCapture
 
 FORMAT_VERSION = 2
-"""Grows with each change of the snapshot's layout; 1 was not divided into parts."""
+"""Increased with each change of the snapshot's layout."""
 
-DOCUMENTS_IN_PART = 500
+MAX_DOCUMENTS_PER_PART = 500
 
-ITEMS_IN_PART = 200
-"""A part ends with the program that brings its turns and calls to this number."""
+ITEMS_PER_PART = 200
+"""A part ends with the program whose turns and calls bring it to this number of items."""
 
 
-class ConfigurationHead(msgspec.Struct, frozen=True):
+class ConfigurationHeader(msgspec.Struct, frozen=True):
     """Revisions of the region's ledger of documents."""
 
     held_revision: Revision
@@ -42,7 +42,7 @@
     floor_revision: Revision
 
     @classmethod
-    def of(cls, ledger: ConfigurationLedger) -> "ConfigurationHead":
+    def of(cls, ledger: ConfigurationLedger) -> "ConfigurationHeader":
         """Return the revisions of ``ledger``."""
         return cls(
             held_revision=ledger.held_revision,
@@ -53,7 +53,7 @@
     def load_into(
         self, ledger: ConfigurationLedger, accepted: list[Document], pending: list[Document]
     ) -> None:
-        """Replace what ``ledger`` holds."""
+        """Replace the contents of ``ledger``."""
         ledger.load(
             tuple(accepted),
             tuple(pending),
@@ -63,13 +63,13 @@
         )
 
 
-class SnapshotHead(msgspec.Struct, frozen=True, tag="head"):
-    """First part: the partition table and the revisions."""
+class SnapshotHeader(msgspec.Struct, frozen=True, tag="head"):
+    """The first part: the partition table and the revisions of the configuration."""
 
     format_version: int
     assignments: tuple[PartitionAssignment, ...]
     table_version: int
-    configuration: ConfigurationHead
+    configuration: ConfigurationHeader
 
 
 class AcceptedDocuments(msgspec.Struct, frozen=True, tag="accepted"):
@@ -85,35 +85,35 @@
 
 
 class Programs(msgspec.Struct, frozen=True, tag="programs"):
-    """Some of the programs; a sub-agent stands after its parent."""
+    """Some of the programs; a sub-agent comes after its parent."""
 
     records: tuple[ProgramRecord, ...]
 
 
-SnapshotPart = SnapshotHead | AcceptedDocuments | PendingDocuments | Programs
+SnapshotPart = SnapshotHeader | AcceptedDocuments | PendingDocuments | Programs
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder: msgspec.msgpack.Decoder[SnapshotPart] = msgspec.msgpack.Decoder(SnapshotPart)
 
 
-def head_of(assignments: AssignmentTable, configuration: ConfigurationLedger) -> SnapshotHead:
-    """Return the first part."""
-    return SnapshotHead(
+def header_of(assignments: AssignmentTable, configuration: ConfigurationLedger) -> SnapshotHeader:
+    """Return the header of a snapshot."""
+    return SnapshotHeader(
         format_version=FORMAT_VERSION,
         assignments=assignments.all(),
         table_version=assignments.version,
-        configuration=ConfigurationHead.of(configuration),
+        configuration=ConfigurationHeader.of(configuration),
     )
 
 
 def encode_parts(
-    head: SnapshotHead,
+    header: SnapshotHeader,
     accepted: tuple[Document, ...],
     pending: tuple[Document, ...],
     capture: SnapshotCapture,
 ) -> Iterator[bytes]:
-    """Yield all parts as MessagePack, each made when it is asked for."""
-    yield _encoder.encode(head)
+    """Yield all parts as MessagePack; each is encoded on demand."""
+    yield _encoder.encode(header)
     for documents in _groups_of_documents(accepted):
         yield _encoder.encode(AcceptedDocuments(documents))
     for documents in _groups_of_documents(pending):
@@ -123,8 +123,8 @@
 
 
 def _groups_of_documents(documents: tuple[Document, ...]) -> Iterator[tuple[Document, ...]]:
-    for start in range(0, len(documents), DOCUMENTS_IN_PART):
-        yield documents[start : start + DOCUMENTS_IN_PART]
+    for start in range(0, len(documents), MAX_DOCUMENTS_PER_PART):
+        yield documents[start : start + MAX_DOCUMENTS_PER_PART]
 
 
 def _groups_of_records(capture: SnapshotCapture) -> Iterator[tuple[ProgramRecord, ...]]:
@@ -133,7 +133,7 @@
     for record in capture.records():
         group.append(record)
         items += 1 + len(record.turns) + len(record.calls)
-        if items >= ITEMS_IN_PART:
+        if items >= ITEMS_PER_PART:
             yield tuple(group)
             group = []
             items = 0
@@ -142,10 +142,10 @@
 
 
 class RestoredState:
-    """The state as far as the parts of a snapshot were added, in order."""
+    """The state built from the parts of a snapshot, which are added in order."""
 
     def __init__(self) -> None:
-        self._head: SnapshotHead | None = None
+        self._header: SnapshotHeader | None = None
         self.accepted: list[Document] = []
         self.pending: list[Document] = []
         self.programs = ProgramTable()
@@ -156,15 +156,15 @@
         Raises
         ------
         ValueError
-            When the bytes are no part, or of a format that this version does not know.
+            When the bytes are not a part or have an unknown format.
         """
         try:
             part = _decoder.decode(data)
         except msgspec.DecodeError as error:
             raise ValueError(f"not a part of a store snapshot: {error}") from error
         match part:
-            case SnapshotHead():
-                self._take_head(part)
+            case SnapshotHeader():
+                self._set_header(part)
             case AcceptedDocuments():
                 self.accepted.extend(part.documents)
             case PendingDocuments():
@@ -173,16 +173,18 @@
                 for record in part.records:
                     self._add_program(record)
 
-    def head(self) -> SnapshotHead:
-        """Return the first part; raise ``ValueError`` if there was none."""
-        if self._head is None:
-            raise ValueError("the store snapshot has no head")
-        return self._head
+    def header(self) -> SnapshotHeader:
+        """Return the header; raise ``ValueError`` if it was not added."""
+        if self._header is None:
+            raise ValueError("the store snapshot has no header")
+        return self._header
 
-    def _take_head(self, head: SnapshotHead) -> None:
-        if head.format_version != FORMAT_VERSION:
-            raise ValueError(f"store snapshot has unknown format {head.format_version}")
-        self._head = head
+    def _set_header(self, header: SnapshotHeader) -> None:
+        if header.format_version != FORMAT_VERSION:
+            raise ValueError(
+                f"store snapshot has format {header.format_version}, expected {FORMAT_VERSION}"
+            )
+        self._header = header
 
     def _add_program(self, record: ProgramRecord) -> None:
         parent = None if record.parent_id is None else self.programs.find(record.parent_id)
@@ -191,7 +193,7 @@
 
 
 def program_from_record(record: ProgramRecord, depth: int) -> StoredProgram:
-    """Return the program that a record was made of, at ``depth`` levels below its root."""
+    """Return the program of a record, ``depth`` levels below its root program."""
     program = StoredProgram(
         program_id=record.program_id,
         tenant_id=record.tenant_id,
@@ -205,7 +207,7 @@
     program.account = Account(program.account.limit, record.reserved, record.spent)
     program.state = ProgramState(record.state)
     program.next_sequence = record.next_sequence
-    program.turns = _turns_sharing_bodies(record)
+    program.turns = _turns_sharing_strings(record)
     program.calls = {call.call_id: call for call in record.calls}
     program.holds = {hold.engine_id: hold.incarnation for hold in record.holds}
     for call in record.calls:
@@ -214,8 +216,8 @@
     return program
 
 
-def _turns_sharing_bodies(record: ProgramRecord) -> list[Turn]:
-    """Return the turns; an answer's text is held once for its turn and its call."""
+def _turns_sharing_strings(record: ProgramRecord) -> list[Turn]:
+    """Return the turns; a turn equal to a call's body shares its string."""
     bodies = {call.outcome.body: call.outcome.body for call in record.calls if call.outcome}
     return [
         Turn(role=turn.role, content=bodies[turn.content], name=turn.name)
--- a/src/passlane/store/snapshot_capture.py
+++ b/src/passlane/store/snapshot_capture.py
@@ -1,9 +1,8 @@
-"""Takes the records of all programs as of one moment, while commands go on.
+"""A consistent view of all programs for a snapshot, while commands continue (copy on write).
 
-A snapshot of gigabytes takes seconds to encode, and the loop cannot stop for so long.
-So records are taken one at a time; a program that is about to change before its turn
-has its record taken at once. Records share the turns with the live program, so taking
-one costs microseconds and little memory.
+Encoding a large snapshot takes too long to block the event loop. Records are therefore
+captured one at a time, and a program that is about to change is captured first. Records
+share their turns with the live program, so a capture takes little time and memory.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,27 +13,27 @@
 
 
 class SnapshotCapture:
-    """The programs that a snapshot has still to take, in the order of their creation.
+    """The programs that are not captured yet, in the order of their creation.
 
     Parameters
     ----------
     programs
-        All programs at the moment of the snapshot.
+        All programs at the start of the snapshot.
     """
 
     def __init__(self, programs: Iterable[StoredProgram]) -> None:
-        self._waiting = {program.program_id: program for program in programs}
-        self._taken_early: dict[ProgramId, ProgramRecord] = {}
+        self._uncaptured = {program.program_id: program for program in programs}
+        self._captured_early: dict[ProgramId, ProgramRecord] = {}
 
-    def note_change(self, program: StoredProgram) -> None:
-        """Take the record of a program that is about to change."""
+    def capture_before_change(self, program: StoredProgram) -> None:
+        """Capture a program that is about to change, unless it is captured already."""
         program_id = program.program_id
-        if self._waiting.get(program_id) is program and program_id not in self._taken_early:
-            self._taken_early[program_id] = program.to_record()
+        if self._uncaptured.get(program_id) is program and program_id not in self._captured_early:
+            self._captured_early[program_id] = program.to_record()
 
     def records(self) -> Iterator[ProgramRecord]:
-        """Yield each program's record as of the moment of the snapshot, once."""
-        for program_id in list(self._waiting):
-            program = self._waiting.pop(program_id)
-            early = self._taken_early.pop(program_id, None)
+        """Yield the record of each program once, as of the start of the snapshot."""
+        for program_id in list(self._uncaptured):
+            program = self._uncaptured.pop(program_id)
+            early = self._captured_early.pop(program_id, None)
             yield program.to_record() if early is None else early
--- a/tests/store/command_streams.py
+++ b/tests/store/command_streams.py
@@ -1,4 +1,7 @@
-"""Seeded random streams of store commands, with a record of what really happened."""
+"""Seeded random streams of store commands, with a model of the expected state.
+
+Also helpers that build single commands.
+"""
 
 import random
 from dataclasses import dataclass, field
@@ -34,7 +37,7 @@
 
 
 def snapshot_of(machine: StoreStateMachine) -> list[bytes]:
-    """Return a snapshot that no command came in between."""
+    """Return all parts of a snapshot, with no commands applied between them."""
     return list(machine.snapshot_parts())
 
 
@@ -102,10 +105,10 @@
 
 @dataclass
 class Stream:
-    """Draws commands of leaders with current, old and invented epochs.
+    """Draws commands of leaders with current, stale and unassigned epochs.
 
-    ``really_spent`` counts by root program the most that the runs which the machine
-    allowed can have cost; ``histories`` holds the turns it confirmed.
+    ``max_spent`` is the maximum cost, by root program, of the runs that the machine
+    allowed; ``histories`` contains the turns that it confirmed.
     """
 
     machine: StoreStateMachine
@@ -114,7 +117,7 @@
     programs: list[str] = field(default_factory=list)
     parents: dict[str, str] = field(default_factory=dict)
     partition: dict[str, int] = field(default_factory=dict)
-    really_spent: dict[str, Amounts] = field(default_factory=dict)
+    max_spent: dict[str, Amounts] = field(default_factory=dict)
     running: dict[tuple[str, int], Amounts] = field(default_factory=dict)
     runs: set[tuple[str, int, int]] = field(default_factory=set)
     histories: dict[str, list[Turn]] = field(default_factory=dict)
@@ -176,19 +179,19 @@
         epoch = self._draw_epoch(number)
         return create(program, number, epoch, parent_id=parent, budget=budget)
 
-    def note(self, command: StoreCommand, result: object) -> None:
-        """Take down what the result of a command allowed to happen."""
+    def record_result(self, command: StoreCommand, result: object) -> None:
+        """Update the expected state from the result of a command."""
         match command, result:
             case AssignPartitions(), StoreDone():
                 for assignment in command.assignments:
                     number = assignment.partition
                     self.epochs[number] = max(self.epochs[number], assignment.epoch)
             case BeginCall(), BeginCallResult():
-                self._note_begun(command, result)
+                self._record_begun(command, result)
             case FinishCall(), StoreDone():
-                self._note_finished(command)
+                self._record_finished(command)
 
-    def _note_begun(self, command: BeginCall, result: BeginCallResult) -> None:
+    def _record_begun(self, command: BeginCall, result: BeginCallResult) -> None:
         key = (command.program_id, command.sequence)
         if result.call.state is CallState.FINISHED or (*key, command.epoch) in self.runs:
             return
@@ -202,7 +205,7 @@
             self._add_spent(command.program_id, earlier)
         self.running[key] = command.reserve
 
-    def _note_finished(self, command: FinishCall) -> None:
+    def _record_finished(self, command: FinishCall) -> None:
         sequence = int(command.call_id.rpartition("/")[2])
         if self.running.pop((command.program_id, sequence), None) is None:
             return
@@ -211,4 +214,4 @@
 
     def _add_spent(self, program: str, amounts: Amounts) -> None:
         root = self.root(program)
-        self.really_spent[root] = self.really_spent.get(root, Amounts()).plus(amounts)
+        self.max_spent[root] = self.max_spent.get(root, Amounts()).plus(amounts)
--- a/tests/store/test_drains.py
+++ b/tests/store/test_drains.py
@@ -1,4 +1,4 @@
-"""Nodes that accepted drain documents name."""
+"""Drain documents: which nodes they drain, also next to invalid documents."""
 
 import unittest
 
@@ -16,7 +16,7 @@
         self.drained = DrainedNodes(self.ledger)
 
     def put(self, name: str, body: str | None, kind: str = DocumentKind.DRAIN) -> None:
-        """Append a change and accept it."""
+        """Append and accept a change."""
         revision = Revision(self.ledger.held_revision + 1)
         change = Document(kind=kind, name=name, version=1, revision=revision, body=body)
         self.ledger.append(change)
@@ -26,14 +26,14 @@
         body = DrainBody(target_kind=target_kind, target=target)
         self.put(f"{target_kind}-{target}", encode_body(body))
 
-    def test_only_drains_of_nodes_count_until_they_are_deleted(self) -> None:
+    def test_only_drains_of_nodes_apply_until_deleted(self) -> None:
         self.put_drain("node", "n1")
         self.put_drain("engine", "e1")
         self.assertEqual(self.drained.nodes(), {"n1"})
         self.put("node-n1", None)
         self.assertEqual(self.drained.nodes(), frozenset())
 
-    def test_document_that_cannot_be_parsed_hides_no_other(self) -> None:
+    def test_invalid_document_does_not_hide_others(self) -> None:
         self.put("broken", '{"target_kind": "moon"}')
         self.put("unknown", "{}", kind="no-such-kind")
         self.put_drain("node", "n1")
--- a/tests/store/test_machine.py
+++ b/tests/store/test_machine.py
@@ -1,4 +1,4 @@
-"""The store's state machine under random streams, duplicates, two leaders and crashes."""
+"""The store's state machine: random command streams, duplicates, two leaders and crashes."""
 
 import random
 import unittest
@@ -56,12 +56,12 @@
 
 
 class RandomStreamTest(unittest.TestCase):
-    """Streams with duplicates, stale and invented epochs, and crash with replay."""
+    """Streams with duplicates, stale and unassigned epochs, and a crash with replay."""
 
     SEEDS = range(40)
     COMMANDS = 1_000
 
-    def test_promises_hold_and_replay_gives_equal_state(self) -> None:
+    def test_invariants_hold_and_replay_gives_equal_state(self) -> None:
         turns = 0
         for seed in self.SEEDS:
             with self.subTest(seed=seed):
@@ -76,7 +76,7 @@
         for index in range(self.COMMANDS):
             command = stream.draw()
             result = run(machine, command)
-            stream.note(command, result)
+            stream.record_result(command, result)
             self._check_epoch(stream, command, result)
             if index == snapshot_at:
                 restore(replica, snapshot_of(machine))
@@ -104,7 +104,7 @@
 
     def _check_budget(self, record: ProgramRecord, stream: Stream) -> None:
         root = record.program_id
-        possible = stream.really_spent.get(root, Amounts())
+        possible = stream.max_spent.get(root, Amounts())
         for (program, _), reserved in stream.running.items():
             if stream.root(program) == root:
                 possible = possible.plus(reserved)
@@ -125,7 +125,7 @@
         self.assertEqual(snapshot_of(self.machine), before)
         return result.code
 
-    def test_a_tenant_begins_no_more_programs_than_it_may(self) -> None:
+    def test_running_programs_of_a_tenant_are_limited(self) -> None:
         limit = 2  # "p" is one of them.
         run(self.machine, create("q", max_programs=limit))
         self.assertEqual(self.refusal(create("r", max_programs=limit)), ErrorCode.LIMIT_EXCEEDED)
@@ -145,26 +145,26 @@
             run(machine, create("r", max_programs=limit))
             self.assertIsInstance(run(machine, create("s", max_programs=limit)), StoreRefusal)
 
-    def test_old_and_invented_epochs_are_refused(self) -> None:
+    def test_stale_and_unassigned_epochs_are_refused(self) -> None:
         run(self.machine, assign(0, 2))
         self.assertEqual(self.refusal(begin("p", 0, epoch=1)), ErrorCode.STALE_EPOCH)
         self.assertEqual(self.refusal(begin("p", 0, epoch=3)), ErrorCode.STALE_EPOCH)
         self.assertEqual(self.refusal(create("q", partition=1, epoch=0)), ErrorCode.STALE_EPOCH)
         self.assertIsInstance(run(self.machine, begin("p", 0, epoch=2)), BeginCallResult)
 
-    def test_only_one_of_two_racing_assignments_wins(self) -> None:
+    def test_only_one_of_two_concurrent_assignments_succeeds(self) -> None:
         self.assertIsInstance(run(self.machine, assign(0, 2, "a")), StoreDone)
         self.assertEqual(self.refusal(assign(0, 2, "b")), ErrorCode.STALE_EPOCH)
         self.assertIsInstance(run(self.machine, assign(0, 2, "a")), StoreDone)
 
-    def test_one_call_at_a_time_and_in_order(self) -> None:
+    def test_calls_begin_one_at_a_time_and_in_sequence(self) -> None:
         self.assertEqual(self.refusal(begin("p", 1)), ErrorCode.WRONG_SEQUENCE)
         run(self.machine, begin("p", 0))
         self.assertEqual(self.refusal(begin("p", 1)), ErrorCode.WRONG_SEQUENCE)
         run(self.machine, finish("p", 0))
         self.assertIsInstance(run(self.machine, begin("p", 1)), BeginCallResult)
 
-    def test_repeat_gets_recorded_call_and_other_request_is_refused(self) -> None:
+    def test_repeated_request_gets_recorded_call_and_different_request_is_refused(self) -> None:
         run(self.machine, begin("p", 0))
         run(self.machine, finish("p", 0))
         again = run(self.machine, begin("p", 0, want_history=True))
@@ -178,7 +178,7 @@
         foreign = create("p", budget=Amounts(tokens=1))
         self.assertEqual(self.refusal(foreign), ErrorCode.IDEMPOTENCY_MISMATCH)
 
-    def test_first_outcome_stays(self) -> None:
+    def test_first_outcome_is_final(self) -> None:
         run(self.machine, begin("p", 0))
         run(self.machine, finish("p", 0))
         before = snapshot_of(self.machine)
@@ -188,7 +188,7 @@
         self.assertIsInstance(run(self.machine, late), StoreDone)
         self.assertEqual(snapshot_of(self.machine), before)
 
-    def test_second_run_under_a_new_leader_is_paid_again(self) -> None:
+    def test_second_run_under_a_new_leader_is_charged_again(self) -> None:
         run(self.machine, begin("p", 0, reserve=Amounts(tokens=150)))
         run(self.machine, assign(0, 2))
         again = begin("p", 0, epoch=2, reserve=Amounts(tokens=150))
@@ -200,7 +200,7 @@
         third = begin("p", 0, epoch=3, reserve=Amounts(tokens=150))
         self.assertEqual(self.refusal(third), ErrorCode.BUDGET_EXCEEDED)
 
-    def test_call_that_must_not_repeat_is_not_begun_again(self) -> None:
+    def test_non_repeatable_call_is_not_begun_again(self) -> None:
         run(self.machine, begin("p", 0, repeatable=False))
         run(self.machine, assign(0, 2))
         result = run(self.machine, begin("p", 0, epoch=2, repeatable=False))
@@ -208,7 +208,7 @@
         self.assertTrue(result.already_recorded)
         self.assertEqual(result.call.epoch, 1)
 
-    def test_sub_agents_spend_their_ancestors_budget(self) -> None:
+    def test_sub_agents_are_charged_to_the_budgets_of_their_ancestors(self) -> None:
         run(self.machine, assign(1, 1))
         run(self.machine, create("c", 1, parent_id="p", budget=Amounts()))
         capped = Amounts(tokens=20, calls=9)
@@ -224,11 +224,11 @@
     def test_parent_and_sub_agent_under_two_leaders_share_one_budget(self) -> None:
         run(self.machine, assign(1, 1, "n2"))
         run(self.machine, create("c", 1, parent_id="p", budget=Amounts()))
-        most = BUDGET.tokens
-        run(self.machine, begin("p", 0, reserve=Amounts(tokens=most // 2, calls=1)))
-        child = begin("c", 0, 1, reserve=Amounts(tokens=most // 2, calls=1))
+        budget_tokens = BUDGET.tokens
+        run(self.machine, begin("p", 0, reserve=Amounts(tokens=budget_tokens // 2, calls=1)))
+        child = begin("c", 0, 1, reserve=Amounts(tokens=budget_tokens // 2, calls=1))
         self.assertIsInstance(run(self.machine, child), BeginCallResult)
-        # Both leaders are lost with what they had reserved, and two others run both again.
+        # Both leaders fail with open reservations, and two others run both calls again.
         run(self.machine, assign(0, 2, "n3"))
         run(self.machine, assign(1, 2, "n4"))
         again = begin("c", 0, 1, epoch=2, reserve=Amounts(tokens=1, calls=1))
@@ -238,10 +238,10 @@
         self.assertIsInstance(run(self.machine, again), BeginCallResult)
         record = read(self.machine, "p")
         self.assertTrue(record.spent.plus(record.reserved).fits_within(BUDGET))
-        # The first run of the child counts in full, because nobody knows what it cost.
-        self.assertEqual(record.spent.tokens, 5 + most // 2)
+        # The first run of the child is charged in full, because its cost is unknown.
+        self.assertEqual(record.spent.tokens, 5 + budget_tokens // 2)
 
-    def test_repeats_after_a_snapshot_get_the_first_answers(self) -> None:
+    def test_repeated_commands_after_a_snapshot_get_the_first_results(self) -> None:
         run(self.machine, begin("p", 0))
         run(self.machine, finish("p", 0))
         run(self.machine, begin("p", 1, repeatable=False))
@@ -254,14 +254,14 @@
             self.assertNotIsInstance(run(restored, command), StoreRefusal)
         self.assertEqual(snapshot_of(restored), before)
 
-    def test_spending_more_than_reserved_or_below_zero_is_refused(self) -> None:
+    def test_negative_reservation_or_spending_above_the_reservation_is_refused(self) -> None:
         negative = begin("p", 0, reserve=Amounts(tokens=-1))
         self.assertEqual(self.refusal(negative), ErrorCode.BAD_REQUEST)
         run(self.machine, begin("p", 0))
         too_much = finish("p", 0, spent=Amounts(tokens=11, calls=1))
         self.assertEqual(self.refusal(too_much), ErrorCode.BUDGET_EXCEEDED)
 
-    def test_end_reaches_sub_agents_and_removal_waits_for_release(self) -> None:
+    def test_end_includes_sub_agents_and_unsettled_programs_are_kept(self) -> None:
         run(self.machine, create("c", parent_id="p"))
         run(self.machine, begin("c", 0))
         hold = EngineHold(EngineId("e"), 4)
@@ -282,7 +282,7 @@
         again = run(self.machine, EndProgram(*names))
         self.assertEqual(again, EndProgramResult(holds=(hold,)))
 
-    def test_bytes_that_are_no_command_change_nothing(self) -> None:
+    def test_invalid_bytes_change_nothing(self) -> None:
         before = snapshot_of(self.machine)
         refusal = _results.decode(self.machine.apply(2, b"\xff\x00"))
         self.assertIsInstance(refusal, StoreRefusal)
@@ -293,7 +293,7 @@
 
 
 class RegionConfigurationTest(unittest.TestCase):
-    def test_configuration_survives_a_snapshot_and_a_gap_changes_nothing(self) -> None:
+    def test_configuration_survives_a_snapshot_and_ignores_a_delta_after_a_gap(self) -> None:
         machine = StoreStateMachine()
         document = Document(kind="tenant", name="a", version=1, revision=Revision(1), body="{}")
         first = ConfigurationDelta(Revision(0), Revision(1), Revision(1), (document,))
--- a/tests/store/test_snapshot.py
+++ b/tests/store/test_snapshot.py
@@ -1,4 +1,4 @@
-"""A snapshot that is taken while commands go on."""
+"""Snapshots that are encoded while commands continue."""
 
 import random
 import unittest
@@ -9,12 +9,12 @@
 from store.command_streams import Stream, restore, snapshot_of
 
 
-class SnapshotUnderWayTest(unittest.TestCase):
+class ConcurrentSnapshotTest(unittest.TestCase):
     SEEDS = range(25)
     COMMANDS_BEFORE = 300
 
     def setUp(self) -> None:
-        small_parts = mock.patch.object(snapshot, "ITEMS_IN_PART", 4)
+        small_parts = mock.patch.object(snapshot, "ITEMS_PER_PART", 4)
         small_parts.start()
         self.addCleanup(small_parts.stop)
 
@@ -23,10 +23,10 @@
         before = len(machine.programs)
         for _ in range(commands):
             command = stream.draw()
-            stream.note(command, machine.execute(command))
+            stream.record_result(command, machine.execute(command))
         return max(0, before - len(machine.programs))
 
-    def test_it_shows_the_moment_at_which_it_began(self) -> None:
+    def test_snapshot_has_the_state_at_its_start(self) -> None:
         changed = 0
         removed = 0
         for seed in self.SEEDS:
@@ -47,7 +47,7 @@
         self.assertEqual(changed, len(self.SEEDS))
         self.assertGreater(removed, 0)
 
-    def test_one_that_is_given_up_leaves_nothing_behind(self) -> None:
+    def test_abandoned_snapshot_is_garbage_collected(self) -> None:
         machine = StoreStateMachine()
         stream = Stream(machine, random.Random(1))
         self.advance(machine, stream, self.COMMANDS_BEFORE)
@@ -57,7 +57,7 @@
         self.advance(machine, stream, 20)
         self.assertIsNone(machine.programs._capture)
 
-    def test_state_stays_until_the_last_part_is_restored(self) -> None:
+    def test_state_is_replaced_only_after_the_last_part(self) -> None:
         machine = StoreStateMachine()
         self.advance(machine, Stream(machine, random.Random(2)), self.COMMANDS_BEFORE)
         parts = snapshot_of(machine)
@@ -69,7 +69,7 @@
         self.assertIsNone(next(restoring, None))
         self.assertEqual(snapshot_of(other), parts)
 
-    def test_parts_without_their_head_are_refused(self) -> None:
+    def test_parts_without_a_header_are_refused(self) -> None:
         machine = StoreStateMachine()
         with self.assertRaises(ValueError):
             restore(machine, [])
