--- a/src/passlane/store/configuration_relay.py
+++ b/src/passlane/store/configuration_relay.py
@@ -1,4 +1,8 @@
-"""Fetches the configuration for a region and reports how far the region has come."""
+"""Synchronizes a region's configuration with the control group.
+
+While this replica leads the store group, it reports the region's progress and fetches the
+documents that the region lacks. The configuration itself is part of the replicated state.
+"""
 
 import anyio
 
@@ -14,17 +18,16 @@
 from passlane.store.proposals import propose_until_decided
 
 REPORT_TIMEOUT_S = 2.0
-"""Seconds to wait for the control group's answer to a report."""
+"""Timeout of one report to the control group."""
 
 
 class ConfigurationRelay:
-    """Runs on a region's store leader.
+    """Reports to the control group and replicates its replies; runs on the store leader.
 
-    Each answer of the control group is replicated in the region before any node gets
-    it, so that what the region has reported as held survives its store leader. A report
-    is sent only once a barrier has proved that this replica still led when it was made:
-    in the table of a leader that was replaced unawares the members' leases have ended,
-    so it would report for none of them.
+    Each reply is replicated in the region before any node gets it, so that a reported
+    revision survives a change of the store leader. A report is sent only after a read
+    barrier has confirmed that this replica led when the report was made. A replaced
+    leader sees no valid leases, so its report would leave out the members of the region.
     """
 
     def __init__(
@@ -45,54 +48,54 @@
         self._control = control
 
     async def run(self) -> None:
-        """Report and fetch, again and again, until cancelled."""
+        """Report and fetch periodically until cancelled."""
         while True:
             has_more = await self._exchange()
             if not has_more:
                 await anyio.sleep(self._interval_s)
 
     async def _exchange(self) -> bool:
-        """Send one report and keep the answer; return whether more is to be fetched."""
+        """Send one report and replicate the reply; return whether there is more to fetch."""
         report = self._report()
         try:
-            # Proves that nobody else gave leases when the report was made.
+            # Confirms that no other leader granted leases when the report was made.
             await self._group.read_barrier()
             delta = await self._control.execute(
                 report, ConfigurationDelta, timeout_s=REPORT_TIMEOUT_S
             )
         except PasslaneError:
-            # Deposed, or cut off from the control group: the region goes on with what it holds.
+            # Not the leader, or control group unreachable: keep the current configuration.
             return False
-        held = self._machine.configuration
-        is_news = (
+        ledger = self._machine.configuration
+        is_update = (
             delta.is_snapshot
-            or delta.to_revision > held.held_revision
-            or delta.accepted_revision > held.accepted_revision
+            or delta.to_revision > ledger.held_revision
+            or delta.accepted_revision > ledger.accepted_revision
         )
-        if not is_news:
+        if not is_update:
             return False
         await propose_until_decided(self._group, RecordConfiguration(delta=delta))
-        return held.held_revision < delta.accepted_revision
+        return ledger.held_revision < delta.accepted_revision
 
     def _report(self) -> RegionReport:
-        held = self._machine.configuration
-        progress = self._lease_table.progress(held.held_revision, anyio.current_time())
+        ledger = self._machine.configuration
+        progress = self._lease_table.progress(ledger.held_revision, anyio.current_time())
         if progress is None:
-            # Members may hold a lease of the previous store leader: claim nothing for them.
+            # Members may hold a lease of the previous store leader: report no progress.
             progress = ConfigurationProgress(0, NO_REVISION, NO_REVISION, ())
         return RegionReport(
             region=self._region,
             term=self._group.term,
-            held_revision=held.held_revision,
-            prepared_revision=_or_else(progress.prepared_revision, held.held_revision),
-            revision_in_force=_or_else(progress.revision_in_force, held.accepted_revision),
+            held_revision=ledger.held_revision,
+            prepared_revision=_or_default(progress.prepared_revision, ledger.held_revision),
+            revision_in_force=_or_default(progress.revision_in_force, ledger.accepted_revision),
             member_count=progress.member_count,
             laggards=progress.laggards,
-            held_floor=held.floor_revision,
+            held_floor=ledger.floor_revision,
             in_flight=progress.in_flight,
         )
 
 
-def _or_else(revision: Revision | None, without_members: Revision) -> Revision:
-    """Return the members' revision, or the given one for a region without members."""
-    return without_members if revision is None else revision
+def _or_default(revision: Revision | None, default: Revision) -> Revision:
+    """Return the members' revision, or ``default`` for a region without members."""
+    return default if revision is None else revision
--- a/src/passlane/store/engine_reconciler.py
+++ b/src/passlane/store/engine_reconciler.py
@@ -1,8 +1,9 @@
-"""Brings the engines of a region to the models that the accepted configuration names.
+"""Loads and unloads models so that engines match the accepted configuration.
 
-A duty of the region's store leader: it compares what each engine of the region's zones
-serves with what the configuration wants, again and again, and gives fenced orders. The
-checks are spread evenly, so the cost does not depend on how many engines there are.
+Runs on the store leader of a region. It periodically compares the models that each
+engine in the region's zones serves with the configured ones and sends orders with a
+fencing token. Checks are spread evenly and their rate is bounded, however many engines
+there are.
 """
 
 import anyio
@@ -20,23 +21,23 @@
 from passlane.store.engine_targets import EngineTarget, orders_for
 
 CHECK_INTERVAL_S = 5.0
-"""Seconds between two checks of an engine, while that keeps within the rate below."""
+"""Interval between two checks of an engine, unless ``MAX_CHECKS_PER_S`` requires more."""
 
 MAX_CHECKS_PER_S = 10.0
-MAX_CHECKS_AT_ONCE = 8
+MAX_CONCURRENT_CHECKS = 8
 
 logger = get_logger(__name__)
 
 
 class EngineReconciler:
-    """Checks engines and orders models while this replica leads.
+    """Checks engines and sends them model orders while this replica leads.
 
     Parameters
     ----------
     configuration
-        The region's copy of the configuration; only accepted documents count.
+        The region's copy of the configuration; only accepted documents are used.
     lease_table
-        Tells the zones of the region, by its nodes.
+        Provides the zones of the region's nodes.
     """
 
     def __init__(
@@ -45,35 +46,35 @@
         self._configuration = configuration
         self._lease_table = lease_table
         self._http_client = http_client
-        self._checks_allowed = anyio.Semaphore(MAX_CHECKS_AT_ONCE)
-        self._wanted_since: dict[EngineTarget, float] = {}
+        self._check_limiter = anyio.Semaphore(MAX_CONCURRENT_CHECKS)
+        self._target_since: dict[EngineTarget, float] = {}
         self._targets: tuple[EngineTarget, ...] = ()
         self._as_of = (NO_REVISION, NO_REVISION)
 
     async def run(self) -> None:
-        """Check one engine after the other until cancelled."""
+        """Check the engines in turn until cancelled."""
         async with anyio.create_task_group() as checks:
             while True:
-                targets = self._targets_here()
+                targets = self._targets_in_region()
                 spacing_s = max(CHECK_INTERVAL_S / max(len(targets), 1), 1.0 / MAX_CHECKS_PER_S)
                 for target in targets:
-                    await self._checks_allowed.acquire()
+                    await self._check_limiter.acquire()
                     checks.start_soon(self._check, target)
                     await anyio.sleep(spacing_s)
                 if not targets:
                     await anyio.sleep(CHECK_INTERVAL_S)
 
-    def _targets_here(self) -> tuple[EngineTarget, ...]:
+    def _targets_in_region(self) -> tuple[EngineTarget, ...]:
         """Return the engines in the zones where the region has nodes."""
         now = anyio.current_time()
         zones = {view.zone for view in self._lease_table.views(now)}
         return tuple(target for target in self.targets(now) if target.body.zone in zones)
 
     def targets(self, now: float) -> tuple[EngineTarget, ...]:
-        """Return all engines that accepted documents name, worked out once for each revision."""
-        held = self._configuration
-        # Accepted documents may still arrive in parts: the held revision counts too.
-        as_of = (held.held_revision, held.accepted_revision)
+        """Return the targets of all accepted engine documents, computed once per revision."""
+        ledger = self._configuration
+        # Accepted documents may still arrive in parts, so check the held revision too.
+        as_of = (ledger.held_revision, ledger.accepted_revision)
         if as_of != self._as_of:
             self._as_of = as_of
             self._refresh_targets(now)
@@ -82,26 +83,26 @@
     def _refresh_targets(self, now: float) -> None:
         found = map(target_of, self._configuration.accepted_of(DocumentKind.ENGINE))
         self._targets = tuple(target for target in found if target is not None)
-        self._wanted_since = {
-            target: self._wanted_since.get(target, now) for target in self._targets
+        self._target_since = {
+            target: self._target_since.get(target, now) for target in self._targets
         }
 
     async def _check(self, target: EngineTarget) -> None:
         try:
             await self._reconcile(target)
         except BackendError as error:
-            # Tried again at the next check; an engine that is down needs no model.
+            # Retried at the next check.
             logger.info("engine_not_checked", engine=target.engine_id, code=error.code.value)
         finally:
-            self._checks_allowed.release()
+            self._check_limiter.release()
 
     async def _reconcile(self, target: EngineTarget) -> None:
-        """Compare one engine with its target and give it the orders it needs."""
+        """Compare one engine with its target and send the orders that it needs."""
         client = EngineClient(self._http_client, target.body.address)
         load = await client.read_load()
         now = anyio.current_time()
-        wanted_for_s = now - self._wanted_since.get(target, now)
-        for order in orders_for(target, load, wanted_for_s):
+        target_age_s = now - self._target_since.get(target, now)
+        for order in orders_for(target, load, target_age_s):
             await client.order(order)
             logger.info(
                 "engine_ordered",
@@ -113,7 +114,7 @@
 
 
 def target_of(document: Document) -> EngineTarget | None:
-    """Return the target that an engine's document names; ``None`` for any other document."""
+    """Return the target of an engine document; ``None`` for any other document."""
     body = parse_recorded(document)
     if not isinstance(body, EngineBody):
         return None
--- a/src/passlane/store/engine_targets.py
+++ b/src/passlane/store/engine_targets.py
@@ -1,9 +1,9 @@
-"""Which models an engine should serve, and the orders that bring it there.
+"""Computes the orders that make an engine serve its configured models.
 
-An order's fencing token is the revision of the accepted document that it carries out. So
-a store leader that has been replaced, and still acts on an older revision, is refused by
-the engine; two leaders that act on the same revision give the same orders, which does no
-harm. No state of its own is needed.
+The fencing token of an order is the revision of the accepted document behind it. The
+engine therefore refuses orders of a replaced store leader that acts on an older revision.
+Two leaders that act on the same revision send the same orders, which are idempotent. The
+module keeps no state.
 """
 
 from dataclasses import dataclass
@@ -13,16 +13,16 @@
 from passlane.messages.backends import EngineLoad, EngineOrder, OrderKind
 
 MODELS_SCOPE = "models"
-"""Scope in which an engine compares the tokens of these orders."""
+"""Scope in which an engine compares the fencing tokens of these orders."""
 
 UNLOAD_AFTER_S = 90.0
-"""A model that is not wanted any more stays this long while the engine is busy: longer
-than a call may take, so that no call in flight loses it."""
+"""Delay before a busy engine unloads a model that is no longer configured; above the
+maximum duration of a call, so that no call in flight loses its model."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineTarget:
-    """An engine as the accepted document of ``revision`` wants it."""
+    """The desired state of an engine, from the accepted document of ``revision``."""
 
     engine_id: EngineId
     body: EngineBody
@@ -30,22 +30,22 @@
 
 
 def orders_for(
-    target: EngineTarget, load: EngineLoad, wanted_for_s: float
+    target: EngineTarget, load: EngineLoad, target_age_s: float
 ) -> tuple[EngineOrder, ...]:
-    """Return the orders that an engine needs to serve exactly the models of its target.
+    """Return the orders after which an engine serves exactly the models of its target.
 
     Parameters
     ----------
     load
-        What the engine says it serves; its lag does no harm, since orders may be repeated.
-    wanted_for_s
-        Seconds since the target came into force, as far as this leader knows.
+        Load report of the engine. It may be stale, because orders are idempotent.
+    target_age_s
+        Seconds since this leader first used the target.
     """
-    wanted, loaded = set(target.body.models), set(load.models)
-    orders = [_order(OrderKind.LOAD_MODEL, target, model) for model in sorted(wanted - loaded)]
+    configured, loaded = set(target.body.models), set(load.models)
+    orders = [_order(OrderKind.LOAD_MODEL, target, model) for model in sorted(configured - loaded)]
     is_idle = load.running + load.waiting == 0
-    if is_idle or wanted_for_s >= UNLOAD_AFTER_S:
-        extra = sorted(loaded - wanted)
+    if is_idle or target_age_s >= UNLOAD_AFTER_S:
+        extra = sorted(loaded - configured)
         orders += [_order(OrderKind.UNLOAD_MODEL, target, model) for model in extra]
     return tuple(orders)
 
--- a/src/passlane/store/leader_term.py
+++ b/src/passlane/store/leader_term.py
@@ -1,4 +1,7 @@
-"""What a store leader does in its term besides answering requests."""
+"""The background tasks and heartbeat replies of a store leader in one term.
+
+Owns the lease table, which is rebuilt in each term.
+"""
 
 import anyio
 
@@ -19,20 +22,20 @@
 from passlane.store.retention import RetentionLoop
 
 PLANS_PER_HEARTBEAT = 5
-"""How often in a heartbeat interval the leader looks for partitions to assign."""
+"""Number of partition planning rounds per heartbeat interval."""
 
 logger = get_logger(__name__)
 
 
 class LeaderTerm:
-    """Leases, assignments, configuration and retention, from gaining to losing leadership.
+    """Runs leases, assignments, configuration, engines and retention during one term.
 
     Parameters
     ----------
     number
-        The group's term in which this replica leads.
+        Term of the group in which this replica leads.
     started_at
-        Time on the loop's clock at which this replica was known to lead.
+        Time at which leadership was confirmed, in seconds on the event loop's clock.
     """
 
     def __init__(
@@ -58,7 +61,7 @@
             machine.configuration, self.lease_table, environment.http_client
         )
         self._retention = RetentionLoop(group, machine, retention_s)
-        self._plan_wanted = anyio.Event()
+        self._plan_requested = anyio.Event()
         self._relay: ConfigurationRelay | None = None
         if control is not None:
             self._relay = ConfigurationRelay(
@@ -71,35 +74,35 @@
             )
 
     async def run(self) -> None:
-        """Carry out the duties until cancelled."""
-        async with anyio.create_task_group() as duties:
-            duties.start_soon(self._assign_partitions)
-            duties.start_soon(self._platform.run)
-            duties.start_soon(self._retention.run)
-            duties.start_soon(self._engines.run)
+        """Run the background tasks until cancelled."""
+        async with anyio.create_task_group() as tasks:
+            tasks.start_soon(self._assign_partitions)
+            tasks.start_soon(self._platform.run)
+            tasks.start_soon(self._retention.run)
+            tasks.start_soon(self._engines.run)
             if self._relay is not None:
-                duties.start_soon(self._relay.run)
+                tasks.start_soon(self._relay.run)
 
     def answer(self, heartbeat: NodeHeartbeat) -> HeartbeatReply:
-        """Return the reply to a heartbeat, once a barrier has proved that this is the leader."""
+        """Return the reply to a heartbeat; call only after a read barrier."""
         configuration = self._machine.configuration
         table = self._machine.assignments
         decision = self.lease_table.answer_heartbeat(
             heartbeat, configuration.held_revision, anyio.current_time()
         )
         if heartbeat.released:
-            self._plan_wanted.set()
-        is_table_news = heartbeat.table_version != table.version
-        is_configuration_news = heartbeat.prepared_revision < configuration.held_revision
+            self._plan_requested.set()
+        is_table_outdated = heartbeat.table_version != table.version
+        is_configuration_outdated = heartbeat.prepared_revision < configuration.held_revision
         return HeartbeatReply(
             lease_s=decision.lease_s,
             table_version=table.version,
             accepted_revision=configuration.accepted_revision,
-            table=table.changed_since(heartbeat.table_version) if is_table_news else None,
+            table=table.changed_since(heartbeat.table_version) if is_table_outdated else None,
             configuration=configuration.delta_since(
                 heartbeat.prepared_revision, heartbeat.configuration_floor
             )
-            if is_configuration_news
+            if is_configuration_outdated
             else None,
             leaving_engines=self._platform.leaving_engines,
             handovers=decision.handovers,
@@ -107,13 +110,13 @@
 
     async def _assign_partitions(self) -> None:
         while True:
-            self._plan_wanted = anyio.Event()
+            self._plan_requested = anyio.Event()
             self.lease_table.set_leaving(self._drained.nodes() | self._platform.leaving_nodes)
             planned = self.lease_table.plan_assignments(anyio.current_time())
             if planned:
                 await propose_until_decided(self._group, AssignPartitions(assignments=planned))
                 self.lease_table.record_assignments(self._machine.assignments.all())
                 logger.info("partitions_assigned", partitions=len(planned))
-            # What a node has released waits for its next leader: look at once.
+            # A released partition has no leader, so plan at once.
             with anyio.move_on_after(self._plan_interval_s):
-                await self._plan_wanted.wait()
+                await self._plan_requested.wait()
--- a/src/passlane/store/proposals.py
+++ b/src/passlane/store/proposals.py
@@ -1,4 +1,7 @@
-"""Proposing commands to the store group."""
+"""Proposing commands to the store group.
+
+Encodes commands, decodes their results, and retries idempotent commands.
+"""
 
 import anyio
 
@@ -7,8 +10,8 @@
 from passlane.messages.store import StoreCommand, StoreResult
 from passlane.replication.interfaces import ReplicatedGroup
 
-RETRY_S = 0.1
-"""Seconds between two proposals of a command whose fate is open."""
+RETRY_INTERVAL_S = 0.1
+"""Interval between two proposals of a command whose outcome is unknown."""
 
 _results = message_decoder(StoreResult)
 
@@ -26,7 +29,7 @@
 
 
 async def propose_until_decided(group: ReplicatedGroup, command: StoreCommand) -> Message | None:
-    """Propose an idempotent command until it has a result.
+    """Propose an idempotent command, with retries, until it has a result.
 
     Returns ``None`` once this replica is no longer the leader.
     """
@@ -36,5 +39,5 @@
         except PasslaneError as error:
             if error.code is ErrorCode.NOT_LEADER:
                 return None
-        await anyio.sleep(RETRY_S)
+        await anyio.sleep(RETRY_INTERVAL_S)
     return None
--- a/src/passlane/store/read_barriers.py
+++ b/src/passlane/store/read_barriers.py
@@ -1,4 +1,8 @@
-"""Read barriers shared by the requests that wait for one."""
+"""Read barriers shared by concurrent requests.
+
+The cost of one barrier is spread over all heartbeats and queries that arrive during a
+round trip.
+"""
 
 import anyio
 
@@ -6,8 +10,8 @@
 from passlane.replication.interfaces import ReplicatedGroup
 
 
-class _Round:
-    """One barrier, which all that asked before it began may share."""
+class _Barrier:
+    """One barrier, shared by all requests that arrived before it started."""
 
     def __init__(self) -> None:
         self.is_done = False
@@ -15,38 +19,37 @@
 
 
 class SharedReadBarrier:
-    """Lets requests share a barrier that begins after all of them have come.
+    """Batches requests so that one barrier serves all that arrived before it started.
 
-    While a barrier runs, later requests gather for the next one, because the running
-    one proves nothing about what happened after it began. So the cost of a barrier is
-    spread over all heartbeats and queries that arrive during one round trip.
+    Requests that arrive while a barrier runs wait for the next one, because the running
+    barrier does not cover anything after its start.
     """
 
     def __init__(self, group: ReplicatedGroup) -> None:
         self._group = group
         self._lock = anyio.Lock()
-        self._gathering = _Round()
+        self._next_barrier = _Barrier()
 
     async def wait(self) -> None:
-        """Return once local state holds all that was committed before the call.
+        """Return once the local state includes everything committed before the call.
 
         Raises
         ------
         PasslaneError
             ``NOT_LEADER`` with verdict ``not_run``.
         """
-        own_round = self._gathering
+        barrier = self._next_barrier
         async with self._lock:
-            if not own_round.is_done:
-                await self._run(own_round)
-        if own_round.error is not None:
-            raise own_round.error
-
-    async def _run(self, own_round: _Round) -> None:
-        if self._gathering is own_round:
-            self._gathering = _Round()
+            if not barrier.is_done:
+                await self._run(barrier)
+        if barrier.error is not None:
+            raise barrier.error
+
+    async def _run(self, barrier: _Barrier) -> None:
+        if self._next_barrier is barrier:
+            self._next_barrier = _Barrier()
         try:
             await self._group.read_barrier()
         except PasslaneError as error:
-            own_round.error = error
-        own_round.is_done = True
+            barrier.error = error
+        barrier.is_done = True
--- a/src/passlane/store/retention.py
+++ b/src/passlane/store/retention.py
@@ -1,4 +1,7 @@
-"""Removes the records of ended programs some time after their end."""
+"""Removes the records of ended programs after the retention time.
+
+Runs on the store leader. The times at which programs ended are not replicated.
+"""
 
 import anyio
 
@@ -9,38 +12,40 @@
 from passlane.store.proposals import propose_until_decided
 
 DEFAULT_RETENTION_S = 3_600.0
-"""Seconds for which an ended program can still be read and its calls repeated."""
+"""Time for which an ended program can still be read and its calls repeated."""
 
-SWEEP_S = 10.0
-"""Seconds between two looks at the ended programs."""
+CHECK_INTERVAL_S = 10.0
+"""Interval between two checks for programs to remove."""
 
-MAX_REMOVED_AT_ONCE = 500
-"""Most programs that one command removes, to bound the time it takes to apply."""
+MAX_REMOVALS_PER_COMMAND = 500
+"""Maximum number of programs that one command removes, to bound its execution time."""
 
 
 class RetentionTracker:
-    """Knows since when each ended program has been seen as ended; plain logic.
+    """Tracks how long each ended program has been removable.
 
-    No clock value is replicated: a new store leader counts from its own first look, so
-    a record may stay longer than the retention but never shorter.
+    No timestamps are replicated. A new store leader counts from its own first check, so
+    a record may be kept for longer than the retention time but never for less.
     """
 
     def __init__(self, retention_s: float) -> None:
         self._retention_s = retention_s
-        self._seen_at: dict[ProgramId, float] = {}
+        self._first_seen_at: dict[ProgramId, float] = {}
 
     def due(self, removable: list[ProgramId], now: float) -> list[ProgramId]:
-        """Return the programs of ``removable`` whose retention has passed."""
-        self._seen_at = {program_id: self._seen_at.get(program_id, now) for program_id in removable}
+        """Return the programs of ``removable`` whose retention time has passed."""
+        self._first_seen_at = {
+            program_id: self._first_seen_at.get(program_id, now) for program_id in removable
+        }
         return [
             program_id
             for program_id in removable
-            if now - self._seen_at[program_id] >= self._retention_s
+            if now - self._first_seen_at[program_id] >= self._retention_s
         ]
 
 
 class RetentionLoop:
-    """Runs on the store leader."""
+    """Removes ended programs periodically while this replica leads."""
 
     def __init__(
         self, group: ReplicatedGroup, machine: StoreStateMachine, retention_s: float
@@ -50,16 +55,16 @@
         self._tracker = RetentionTracker(retention_s)
 
     async def run(self) -> None:
-        """Remove what is due, again and again, until cancelled."""
+        """Remove due programs periodically until cancelled."""
         while True:
             due = self._tracker.due(self._removable(), anyio.current_time())
-            for start in range(0, len(due), MAX_REMOVED_AT_ONCE):
-                batch = tuple(due[start : start + MAX_REMOVED_AT_ONCE])
+            for start in range(0, len(due), MAX_REMOVALS_PER_COMMAND):
+                batch = tuple(due[start : start + MAX_REMOVALS_PER_COMMAND])
                 await propose_until_decided(self._group, RemoveEndedPrograms(program_ids=batch))
-            await anyio.sleep(SWEEP_S)
+            await anyio.sleep(CHECK_INTERVAL_S)
 
     def _removable(self) -> list[ProgramId]:
-        """Return the ended and settled programs, sub-agents before their parents."""
+        """Return the ended and settled programs, with sub-agents before their parents."""
         ended = [
             program.program_id
             for program in self._machine.programs
--- a/src/passlane/store/service.py
+++ b/src/passlane/store/service.py
@@ -1,6 +1,7 @@
 """Serves the store group to nodes: commands, queries and heartbeats.
 
-Every replica of the group runs one; the leader's answers, the others name the leader.
+Every replica of the group runs one. Only the leader handles requests; the other replicas
+reply with the address of the leader.
 """
 
 from typing import Any
@@ -35,7 +36,7 @@
 from passlane.transport.interfaces import Router
 
 LEADERSHIP_POLL_S = 0.05
-"""Seconds between two looks at whether this replica leads."""
+"""Interval between two checks whether this replica leads."""
 
 NODE_COMMANDS: tuple[type[Message], ...] = (
     CreateProgram,
@@ -45,8 +46,8 @@
     RecordHold,
     RecordRelease,
 )
-"""Commands that nodes send. The others are proposed by the store leader alone: its
-leases rest on knowing of every assignment, and its region on what it has fetched."""
+"""Commands that nodes may send. Only the store leader proposes the others, because its lease
+table must include every assignment and its region every fetched configuration."""
 
 QUERIES: tuple[type[Message], ...] = (ReadProgram, ListPrograms, ReadAssignments)
 
@@ -59,9 +60,10 @@
     Parameters
     ----------
     control
-        The control group; ``None`` for a region that has none and so no configuration.
+        Client of the control group; ``None`` for a region without one and thus without a
+        configuration.
     retention_s
-        Seconds for which the record of an ended program is kept.
+        Retention time of the records of ended programs, in seconds.
     """
 
     def __init__(
@@ -91,7 +93,7 @@
         router.add_unary(ReadMembers, self._handle_read_members)
 
     async def run(self) -> None:
-        """Take up the leader's duties whenever this replica leads, until cancelled."""
+        """Run the leader's tasks whenever this replica leads, until cancelled."""
         while True:
             if self._group.is_leader:
                 await self._lead()
@@ -102,7 +104,7 @@
         try:
             await self._barrier.wait()
         except PasslaneError:
-            # Deposed before it began; the group logs the change, and ``run`` tries again.
+            # Leadership was lost already; the group logs the change and ``run`` retries.
             return
         term = LeaderTerm(
             number=term_number,
@@ -117,15 +119,15 @@
         logger.info("store_leadership_gained", term=term_number)
         self._term = term
         try:
-            async with anyio.create_task_group() as duties:
-                duties.start_soon(term.run)
-                await self._wait_until_deposed(term_number)
-                duties.cancel_scope.cancel()
+            async with anyio.create_task_group() as tasks:
+                tasks.start_soon(term.run)
+                await self._wait_until_leadership_lost(term_number)
+                tasks.cancel_scope.cancel()
         finally:
             self._term = None
         logger.info("store_leadership_lost", term=term_number)
 
-    async def _wait_until_deposed(self, term_number: int) -> None:
+    async def _wait_until_leadership_lost(self, term_number: int) -> None:
         while True:
             if not self._leads_in(term_number):
                 return
@@ -151,13 +153,13 @@
         return Members(nodes=term.lease_table.views(anyio.current_time()))
 
     async def _term_after_barrier(self) -> LeaderTerm:
-        """Return the current term once it is certain that no later one began before now."""
+        """Return the current term after confirming that no later term began before the call."""
         term = self._term
         if term is None:
             raise self._not_leader()
         await self._barrier.wait()
         if self._term is not term or not self._leads_in(term.number):
-            # Deposed meanwhile, perhaps chosen again: another leader may have given leases.
+            # Leadership changed meanwhile, so another leader may have granted leases.
             raise self._not_leader()
         return term
 
--- a/tests/store/region.py
+++ b/tests/store/region.py
@@ -1,4 +1,7 @@
-"""One region of a store replica and nodes with real heartbeat loops, on a virtual clock."""
+"""A region of one store replica and nodes with real heartbeat loops, on a virtual clock.
+
+The control group is a stub.
+"""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -27,7 +30,7 @@
 
 
 class Region:
-    """One store replica, a control stub, and nodes, in one task group."""
+    """One store replica, a control group stub and nodes in one task group."""
 
     def __init__(
         self,
--- a/tests/store/service_fixture.py
+++ b/tests/store/service_fixture.py
@@ -1,4 +1,7 @@
-"""One store replica without a real group, reached through a caller without a network."""
+"""Fakes for tests of the store service: a group of one replica, a transport without network.
+
+Also a stub of the control group and a listener that records what a node receives.
+"""
 
 import random
 from collections.abc import AsyncIterator, Sequence
@@ -32,7 +35,7 @@
 
 STORE = Address("127.0.0.1", 1)
 CONTROL = Address("127.0.0.1", 2)
-HOP_S = 0.002
+HOP_DELAY_S = 0.002
 
 
 def settings_of(name: str) -> Settings:
@@ -46,9 +49,9 @@
 
 
 class OneReplicaGroup:
-    """Applies each command at once; ``is_leader`` and ``term`` are set by the test.
+    """Applies each command immediately; tests set ``is_leader`` and ``term``.
 
-    ``is_replaced`` stands for a leader that does not know yet that another one leads.
+    ``is_replaced`` makes it a leader that has not yet noticed that another one leads.
     """
 
     def __init__(self, machine: StoreStateMachine) -> None:
@@ -62,14 +65,14 @@
 
     async def propose(self, command: bytes) -> bytes:
         self._require_leadership()
-        await anyio.sleep(HOP_S)
+        await anyio.sleep(HOP_DELAY_S)
         self.commands += 1
         return self.machine.apply(self.commands, command)
 
     async def read_barrier(self) -> None:
         self._require_leadership()
         self.barriers += 1
-        await anyio.sleep(HOP_S)
+        await anyio.sleep(HOP_DELAY_S)
         self._require_leadership()
         if self.is_replaced:
             raise NotLeaderError("another replica leads", None)
@@ -80,7 +83,7 @@
 
 
 class DirectCaller:
-    """Calls the handler that a process has registered, after one hop."""
+    """Calls the registered handler of a process after ``HOP_DELAY_S``."""
 
     def __init__(self) -> None:
         self.routers = {STORE: MessageRouter(), CONTROL: MessageRouter()}
@@ -89,7 +92,7 @@
     async def call(
         self, address: Address, request: Message, reply: type, *, timeout_s: float
     ) -> Any:
-        await anyio.sleep(HOP_S)
+        await anyio.sleep(HOP_DELAY_S)
         if address in self.cut_off:
             raise PasslaneError(ErrorCode.UNAVAILABLE, "cut off", verdict=Verdict.NOT_RUN)
         handler = self.routers[address].unary_handler(request)
@@ -107,7 +110,7 @@
 
 
 class ControlStub:
-    """A control group of one region: accepts what the region has reported as prepared."""
+    """A control group of one region; accepts the revision that the region reports as prepared."""
 
     def __init__(self, router: MessageRouter) -> None:
         self.ledger = ConfigurationLedger()
@@ -127,7 +130,7 @@
 
 
 class RecordingListener:
-    """The node's part that acts on heartbeats; keeps what it was told."""
+    """A ``HeartbeatListener`` that records what it receives."""
 
     def __init__(self) -> None:
         self.configuration = ConfigurationView()
--- a/tests/store/test_engine_reconciler.py
+++ b/tests/store/test_engine_reconciler.py
@@ -1,4 +1,4 @@
-"""Engines come to serve the models that the accepted configuration names."""
+"""Engines converge to the models of the accepted configuration."""
 
 import unittest
 from random import Random
@@ -32,8 +32,8 @@
 ENGINE = "engine-0"
 BODY = EngineBody(address=Address("127.0.0.1", 1), zone="a", models=("agent", "tutor"))
 TARGET = EngineTarget(EngineId(ENGINE), BODY, Revision(7))
-LOADED_S = 30.0
-"""Longer than a check's interval and the download of a model."""
+MODEL_LOAD_WAIT_S = 30.0
+"""Longer than a check interval plus the loading time of a model."""
 
 
 def load_of(*models: str, running: int = 0) -> EngineLoad:
@@ -41,15 +41,15 @@
 
 
 class OrdersTest(unittest.TestCase):
-    def test_missing_models_are_ordered_under_the_revision_of_the_document(self) -> None:
+    def test_load_order_carries_the_revision_of_the_document_as_fencing_token(self) -> None:
         orders = orders_for(TARGET, load_of("agent"), 0.0)
         expected = EngineOrder(OrderKind.LOAD_MODEL, MODELS_SCOPE, 7, argument="tutor")
         self.assertEqual(orders, (expected,))
 
-    def test_an_engine_that_serves_what_it_should_gets_no_order(self) -> None:
+    def test_engine_with_the_configured_models_gets_no_order(self) -> None:
         self.assertEqual(orders_for(TARGET, load_of("tutor", "agent"), 1e6), ())
 
-    def test_a_busy_engine_keeps_an_unwanted_model_until_no_call_can_need_it(self) -> None:
+    def test_busy_engine_unloads_a_removed_model_only_after_the_delay(self) -> None:
         busy = load_of("agent", "tutor", "old", running=1)
         self.assertEqual(orders_for(TARGET, busy, UNLOAD_AFTER_S - 1.0), ())
         unload = orders_for(TARGET, busy, UNLOAD_AFTER_S)
@@ -59,7 +59,7 @@
 
 
 class TargetsTest(unittest.TestCase):
-    def test_an_accepted_document_that_arrives_later_becomes_a_target(self) -> None:
+    def test_accepted_document_of_a_later_part_becomes_a_target(self) -> None:
         source = ConfigurationLedger()
         source.append(Document("service", "s", 1, Revision(1), "{}"))
         source.append(Document("engine", ENGINE, 1, Revision(2), encode_body(BODY)))
@@ -85,23 +85,23 @@
 
 
 class ReconcilerTest(unittest.TestCase):
-    def test_a_changed_document_changes_the_engine_and_fences_older_orders(self) -> None:
+    def test_changed_document_changes_the_engine_and_fences_stale_orders(self) -> None:
         async def main() -> None:
             async with run_cluster(FleetPlan(), seed=5) as cluster:
                 model = cluster.engines[ENGINE].service.model
                 original = list(model.current_load().models)
                 await change_models(cluster, [*original, "tutor"], 1)
-                await anyio.sleep(LOADED_S)
+                await anyio.sleep(MODEL_LOAD_WAIT_S)
                 self.assertIn("tutor", model.current_load().models)
                 await self.expect_stale_order_refused(cluster)
                 await change_models(cluster, original, 2)
-                await anyio.sleep(LOADED_S)
+                await anyio.sleep(MODEL_LOAD_WAIT_S)
                 self.assertEqual(list(model.current_load().models), original)
 
         run_simulation(main, seed=5)
 
     async def expect_stale_order_refused(self, cluster: Cluster) -> None:
-        """A leader that still acts on an older revision cannot undo the change."""
+        """Check that an order of a leader with an older revision is refused."""
         http = SingleConnectionHttpClient(cluster.network.host(OPERATOR_HOST))
         client = EngineClient(http, cluster.engines[ENGINE].address)
         with self.assertRaises(PasslaneError) as caught:
--- a/tests/store/test_platform_watch.py
+++ b/tests/store/test_platform_watch.py
@@ -1,4 +1,4 @@
-"""Machines that the platform's list calls leaving get nothing new after a stated time."""
+"""Machines that the platform lists as leaving are drained within a bounded time."""
 
 import unittest
 from collections.abc import AsyncIterator
@@ -16,16 +16,16 @@
 from passlane.store.leader_term import PLANS_PER_HEARTBEAT
 from passlane.store.platform_watch import POLL_S
 from store.region import PLATFORM, Region, simulate
-from store.service_fixture import HOP_S, settings_of
+from store.service_fixture import HOP_DELAY_S, settings_of
 
 HEARTBEAT_S = settings_of("any").membership.heartbeat_s
-ENGINE_BOUND_S = POLL_S + longest_pause_s(HEARTBEAT_S) + 10 * HOP_S
-"""One look at the list and one heartbeat."""
-NODE_BOUND_S = ENGINE_BOUND_S + HEARTBEAT_S / PLANS_PER_HEARTBEAT
+MAX_ENGINE_DELAY_S = POLL_S + longest_pause_s(HEARTBEAT_S) + 10 * HOP_DELAY_S
+"""Maximum delay of one poll of the list and one heartbeat."""
+MAX_NODE_DELAY_S = MAX_ENGINE_DELAY_S + HEARTBEAT_S / PLANS_PER_HEARTBEAT
 
 
 class FakePlatform:
-    """Serves the list; ``is_reachable`` is changed by tests."""
+    """Serves the list; tests set ``is_reachable``."""
 
     def __init__(self) -> None:
         self.states = {"e0": "live", "e1": "live", "n0": "live", "n1": "live"}
@@ -47,7 +47,7 @@
     def setUp(self) -> None:
         self.platform = FakePlatform()
 
-    def test_each_node_knows_a_leaving_engine_after_one_look_and_one_heartbeat(self) -> None:
+    def test_nodes_receive_leaving_engines_after_one_poll_and_one_heartbeat(self) -> None:
         async def scenario(region: Region) -> None:
             listeners = [region.start_node(f"n{number}")[1] for number in range(2)]
             for wait_s in (5.0, 5.31, 5.77):
@@ -55,12 +55,12 @@
                 await anyio.sleep(wait_s)
                 self.assertEqual([listener.leaving for listener in listeners], [(), ()])
                 self.platform.states["e1"] = "leaving"
-                await anyio.sleep(ENGINE_BOUND_S)
+                await anyio.sleep(MAX_ENGINE_DELAY_S)
                 self.assertEqual([listener.leaving for listener in listeners], [("e1",)] * 2)
 
         simulate(scenario, http_client=self.platform)
 
-    def test_list_out_of_reach_changes_nothing_that_is_known(self) -> None:
+    def test_unreachable_list_keeps_the_last_state(self) -> None:
         async def scenario(region: Region) -> None:
             loop, listener = region.start_node("n0")
             self.platform.states["e1"] = "leaving"
@@ -73,14 +73,14 @@
 
         simulate(scenario, http_client=self.platform)
 
-    def test_leaving_node_is_told_to_hand_over_and_gets_nothing_new(self) -> None:
+    def test_leaving_node_hands_over_its_partitions_and_gets_no_others(self) -> None:
         async def scenario(region: Region) -> None:
             leaving, listener = region.start_node("n0")
             staying, _ = region.start_node("n1")
             await anyio.sleep(6)
             self.assertEqual(len(leaving.lease.led_partitions), 2)
             self.platform.states["n0"] = "leaving"
-            await anyio.sleep(NODE_BOUND_S)
+            await anyio.sleep(MAX_NODE_DELAY_S)
             orders = [one for one in listener.changes if isinstance(one, HandoverRequested)]
             self.assertEqual({order.partition for order in orders}, {*leaving.lease.led_partitions})
             for order in orders:
--- a/tests/store/test_service.py
+++ b/tests/store/test_service.py
@@ -1,4 +1,4 @@
-"""Store service and heartbeat loops of nodes together, on a virtual clock."""
+"""The store service with heartbeat loops of nodes, on a virtual clock."""
 
 import unittest
 from typing import Any
@@ -29,7 +29,9 @@
 
 
 class StoreServiceTest(unittest.TestCase):
-    def test_change_is_accepted_once_all_nodes_hold_it_and_a_cut_off_region_goes_on(self) -> None:
+    def test_change_is_accepted_once_all_nodes_have_it_and_a_partitioned_region_continues(
+        self,
+    ) -> None:
         async def scenario(region: Region) -> None:
             first_revision = region.control.put("first")
             nodes = [region.start_node(f"n{number}") for number in range(2)]
@@ -60,21 +62,23 @@
 
         simulate(scenario)
 
-    def test_leader_that_was_replaced_unawares_reports_nothing(self) -> None:
+    def test_replaced_leader_that_has_not_noticed_sends_no_report(self) -> None:
         async def scenario(region: Region) -> None:
             region.start_node("n0")
             await anyio.sleep(5)
             region.group.is_replaced = True
             await anyio.sleep(1)
             region.control.reports.clear()
-            # Its members' leases end in its own table, but they renew them elsewhere.
+            # Leases expire in its own table, while members renew them at the new leader.
             await anyio.sleep(10)
             self.assertEqual(region.control.reports, [])
             region.tasks.cancel_scope.cancel()
 
         simulate(scenario)
 
-    def test_node_that_cannot_reach_the_store_stops_and_another_takes_over(self) -> None:
+    def test_node_without_store_leader_loses_its_partitions_and_regains_them_in_new_epochs(
+        self,
+    ) -> None:
         async def scenario(region: Region) -> None:
             loop, listener = region.start_node("n0")
             await anyio.sleep(5)
@@ -89,10 +93,10 @@
 
         simulate(scenario)
 
-    def test_leader_of_an_earlier_term_answers_no_heartbeat(self) -> None:
+    def test_leader_of_an_earlier_term_refuses_requests(self) -> None:
         async def scenario(region: Region) -> None:
             await anyio.sleep(0.1)
-            # Deposed and chosen again between two looks: its lease table is of the old term.
+            # Re-elected between two checks, so its lease table belongs to the old term.
             region.group.term = 2
             with self.assertRaises(PasslaneError) as raised:
                 await region.caller.client_of(STORE).execute(ReadMembers(), Members, timeout_s=0.01)
@@ -100,7 +104,7 @@
 
         simulate(scenario)
 
-    def test_drained_node_hands_over_in_order(self) -> None:
+    def test_draining_node_leads_until_it_releases(self) -> None:
         async def scenario(region: Region) -> None:
             leaving, listener = region.start_node("n0")
             staying, _ = region.start_node("n1")
@@ -119,7 +123,7 @@
 
         simulate(scenario)
 
-    def test_node_that_stops_after_its_last_release_leaves_no_lease_to_wait_for(self) -> None:
+    def test_partitions_released_before_a_stop_move_without_waiting_for_the_lease(self) -> None:
         async def scenario(region: Region) -> None:
             leaving, listener = region.start_node("n0")
             staying, _ = region.start_node("n1")
@@ -138,7 +142,7 @@
 
         simulate(scenario)
 
-    def test_stopping_node_that_is_cut_off_waits_no_longer_than_its_lease(self) -> None:
+    def test_stopping_node_without_connection_waits_at_most_its_lease(self) -> None:
         async def scenario(region: Region) -> None:
             leaving, _ = region.start_node("n0")
             await anyio.sleep(5)
@@ -151,7 +155,7 @@
 
         simulate(scenario)
 
-    def test_node_that_awaits_nothing_any_more_asks_at_the_usual_pace(self) -> None:
+    def test_heartbeat_rate_returns_to_normal_once_no_partition_is_expected(self) -> None:
         async def scenario(region: Region) -> None:
             loop, _ = region.start_node("n0")
             await anyio.sleep(5)
@@ -171,7 +175,7 @@
         await anyio.sleep(duration_s)
         return region.group.barriers - before
 
-    def test_heartbeats_at_one_moment_share_a_barrier(self) -> None:
+    def test_concurrent_queries_share_a_barrier(self) -> None:
         async def scenario(region: Region) -> None:
             await anyio.sleep(0.1)
             before = region.group.barriers
@@ -186,7 +190,7 @@
     async def _read_list(self, client: Any) -> None:
         await client.execute(ListPrograms(), ProgramList, timeout_s=1.0)
 
-    def test_ended_programs_go_after_their_retention(self) -> None:
+    def test_ended_programs_are_removed_after_the_retention_time(self) -> None:
         async def scenario(region: Region) -> None:
             region.start_node("n0")
             await anyio.sleep(5)
