--- a/src/passlane/control/service.py
+++ b/src/passlane/control/service.py
@@ -1,4 +1,8 @@
-"""Serves the control group's messages on one replica; only the leader answers."""
+"""Serves the messages of the control group on one replica.
+
+Only the leader handles requests; the other replicas reply with the address of the leader.
+The leader also proposes the regions and the accepted revisions.
+"""
 
 from collections.abc import Callable
 
@@ -6,7 +10,7 @@
 
 from passlane.configuration.documents import DocumentKind, PolicyBody
 from passlane.configuration.parsing import parse_body, parse_kind
-from passlane.control.state.leader_duties import LeaderDuties
+from passlane.control.state.leader_proposals import LeaderProposals
 from passlane.control.state.machine import ControlStateMachine
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.base import Message, encode_message, message_decoder
@@ -32,30 +36,30 @@
 from passlane.transport.interfaces import Router
 
 PolicyChecker = Callable[[str, int], list[str]]
-"""Checks a policy's source within a number of steps; returns the problems found."""
+"""Checks the source of a policy within a maximum number of steps; returns the problems."""
 
-LEADERSHIP_CHECK_S = 0.1
+LEADERSHIP_CHECK_INTERVAL_S = 0.1
 RETRY_DELAY_S = 0.5
-SHOWN_PENDING_CHANGES = 100
+MAX_LISTED_PENDING_CHANGES = 100
 
 _result_decoder = message_decoder(ControlResult)
 _log = get_logger(__name__)
 
 
 def accept_any_policy(source: str, max_steps: int) -> list[str]:
-    """Find no problem; for configurations without policies."""
+    """Accept any policy; for configurations without policies."""
     return []
 
 
 class ControlService:
-    """Answers operators' changes and regions' reports; proposes acceptance as leader.
+    """Handles changes by operators and reports of regions; proposes acceptance as leader.
 
     Parameters
     ----------
     regions
-        Regions that must hold a change before it is accepted.
+        Regions that must have a change prepared before it is accepted.
     check_policy
-        Called with the source of each new policy before it is recorded.
+        Checks the source of each new policy before the change is proposed.
     """
 
     def __init__(
@@ -70,7 +74,7 @@
         self._group = group
         self._machine = machine
         self._check_policy = check_policy
-        self._duties = LeaderDuties(machine, regions)
+        self._proposals = LeaderProposals(machine, regions)
         self._proposal_due = anyio.Event()
         router.add_unary(PutDocument, self.put_document)
         router.add_unary(WithdrawChange, self.withdraw_change)
@@ -82,33 +86,33 @@
     async def run(self) -> None:
         """Propose regions and accepted revisions while this replica leads."""
         while True:
-            with anyio.move_on_after(LEADERSHIP_CHECK_S):
+            with anyio.move_on_after(LEADERSHIP_CHECK_INTERVAL_S):
                 await self._proposal_due.wait()
             self._proposal_due = anyio.Event()
             if not self._group.is_leader:
                 continue
             try:
-                await self._propose_what_is_due()
+                await self._propose_due_commands()
             except PasslaneError as error:
-                # Whatever became of the proposal: it is idempotent and is looked at again.
+                # Retried in any case, because proposals are idempotent.
                 _log.info("control_proposal_failed", code=error.code.value)
                 await anyio.sleep(RETRY_DELAY_S)
 
     async def put_document(self, request: PutDocument) -> Message:
-        """Record a change after checking it; the reply is the group's answer."""
+        """Validate and propose a change; return its result."""
         self._require_leadership()
-        problem = self._problem_with(request)
+        problem = self._find_problem(request)
         if problem is not None:
             return ControlRefusal(code=ErrorCode.INVALID_DOCUMENT.value, message=problem)
         return await self._propose(request)
 
     async def withdraw_change(self, request: WithdrawChange) -> Message:
-        """Withdraw a pending change."""
+        """Propose to withdraw a pending change; return the result."""
         self._require_leadership()
         return await self._propose(request)
 
     async def read_documents(self, request: ReadDocuments) -> Documents:
-        """Return the newest versions of documents, pending changes included."""
+        """Return the newest versions of documents, including pending changes."""
         await self._read_barrier()
         ledger = self._machine.ledger
         return Documents(
@@ -118,16 +122,16 @@
         )
 
     async def read_progress(self, request: ReadProgress) -> Progress:
-        """Return how far a revision has come, region by region."""
+        """Return the rollout progress of a revision in each region."""
         await self._read_barrier()
-        return self._duties.progress(request.revision, self._group.term, anyio.current_time())
+        return self._proposals.progress(request.revision, self._group.term, anyio.current_time())
 
     async def read_status(self, request: ReadControlStatus) -> ControlStatus:
-        """Return the state of the group and of the regions."""
+        """Return the status of the group and of the regions."""
         await self._read_barrier()
         ledger = self._machine.ledger
         pending = ledger.pending_changes()
-        progress = self._duties.progress(
+        progress = self._proposals.progress(
             ledger.held_revision, self._group.term, anyio.current_time()
         )
         return ControlStatus(
@@ -136,30 +140,32 @@
             newest_revision=ledger.held_revision,
             accepted_revision=ledger.accepted_revision,
             pending_count=len(pending),
-            pending=tuple(_pending_change(change) for change in pending[:SHOWN_PENDING_CHANGES]),
+            pending=tuple(
+                _pending_change(change) for change in pending[:MAX_LISTED_PENDING_CHANGES]
+            ),
             regions=progress.regions,
         )
 
     async def receive_report(self, report: RegionReport) -> ConfigurationDelta:
-        """Keep a region's report and return what the region lacks.
+        """Record a region's report and return the changes that the region lacks.
 
-        No read barrier is needed: what is handed out is committed, and an answer that
-        lags behind only means that the region asks again.
+        No read barrier is needed: the reply contains only committed changes, and after a
+        stale reply the region sends another report.
         """
         self._require_leadership()
         term = self._group.term
-        if not self._duties.take_report(report, term, anyio.current_time()):
+        if not self._proposals.record_report(report, term, anyio.current_time()):
             _log.warning("stale_region_report", region=report.region, term=report.term)
-        if self._duties.commands_due(term):
+        if self._proposals.due_commands(term):
             self._proposal_due.set()
         return self._machine.ledger.delta_since(report.held_revision, report.held_floor)
 
-    async def _propose_what_is_due(self) -> None:
-        for command in self._duties.commands_due(self._group.term):
+    async def _propose_due_commands(self) -> None:
+        for command in self._proposals.due_commands(self._group.term):
             await self._propose(command)
             _log.info("control_proposal_done", command=type(command).__name__)
 
-    def _problem_with(self, request: PutDocument) -> str | None:
+    def _find_problem(self, request: PutDocument) -> str | None:
         if request.body is None:
             return None
         try:
--- a/src/passlane/control/state/__init__.py
+++ b/src/passlane/control/state/__init__.py
@@ -1,1 +1,1 @@
-"""What the control group agrees on: documents, acceptance, withdrawals; no I/O."""
+"""The replicated state of the control group: documents, acceptance, withdrawals; no I/O."""
--- a/src/passlane/control/state/acceptance.py
+++ b/src/passlane/control/state/acceptance.py
@@ -1,4 +1,7 @@
-"""Decides which revision every region holds, from the regions' reports."""
+"""Computes from the reports of the regions which revision all of them have prepared.
+
+Owns the newest report of each region, in the memory of the control leader.
+"""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -16,37 +19,37 @@
 
 @dataclass(frozen=True)
 class ReceivedReport:
-    """A region's report and when it arrived, in seconds of the receiver's clock."""
+    """A report and the time of its arrival, in seconds on the receiver's clock."""
 
     report: RegionReport
     received_at: float
 
 
 class AcceptanceTracker:
-    """The newest report of each region, as the control leader has them.
+    """Tracks the newest report of each region.
 
-    Reports live in memory only: after a change of leader the regions send them again,
-    and until all have done so nothing more is accepted. An old report stays true, since
-    a region gives no lease to a node that lacks what the region reported as prepared.
+    Reports are not replicated. After a change of leader, nothing is accepted until all
+    regions have reported again. An old report remains valid, because a region grants no
+    lease to a node that lacks the revision that the region reported as prepared.
     """
 
     def __init__(self) -> None:
         self._reports: dict[str, ReceivedReport] = {}
 
     def clear(self) -> None:
-        """Forget all reports."""
+        """Remove all reports."""
         self._reports.clear()
 
     def record(self, report: RegionReport, now: float) -> bool:
-        """Keep a report; return ``False`` for one of a leader that was replaced."""
-        known = self._reports.get(report.region)
-        if known is not None and report.term < known.report.term:
+        """Record a report; return ``False`` for one of a replaced store leader."""
+        previous = self._reports.get(report.region)
+        if previous is not None and report.term < previous.report.term:
             return False
         self._reports[report.region] = ReceivedReport(report, now)
         return True
 
     def prepared_everywhere(self, regions: Sequence[str]) -> Revision:
-        """Return the newest revision that each of ``regions`` has reported as prepared."""
+        """Return the newest revision that all of ``regions`` have reported as prepared."""
         if not regions:
             return NO_REVISION
         return min(self._prepared(region) for region in regions)
@@ -54,16 +57,18 @@
     def progress(
         self, revision: Revision, accepted: Revision, regions: Sequence[str], now: float
     ) -> Progress:
-        """Return how far ``revision`` has come.
+        """Return the rollout progress of ``revision`` in each region.
 
-        A region that has not reported is shown with revision 0 and no age.
+        A region without a report is listed with revision 0 and no report age.
         """
-        shown = tuple(self._region_progress(region, now) for region in regions)
-        in_force = bool(shown) and all(region.revision_in_force >= revision for region in shown)
+        progress_by_region = tuple(self._region_progress(region, now) for region in regions)
+        in_force = bool(progress_by_region) and all(
+            region.revision_in_force >= revision for region in progress_by_region
+        )
         return Progress(
             accepted_revision=accepted,
             in_force_everywhere=in_force and accepted >= revision,
-            regions=shown,
+            regions=progress_by_region,
             in_flight=self._in_flight(regions),
         )
 
--- a/src/passlane/control/state/idempotency.py
+++ b/src/passlane/control/state/idempotency.py
@@ -1,4 +1,7 @@
-"""Remembers commands by their idempotency keys, as part of the replicated state."""
+"""Idempotency keys of commands and their results, as part of the replicated state.
+
+A repeated command gets the result of the first one.
+"""
 
 import msgspec
 import xxhash
@@ -13,15 +16,15 @@
     WithdrawChange,
 )
 
-RETAINED_KEYS = 20_000
-"""Commands remembered; two days' worth at 9,500 changes a day."""
+MAX_RETAINED_KEYS = 20_000
+"""Maximum number of retained commands."""
 
 KeyedCommand = PutDocument | WithdrawChange
 KeyedResult = PutResult | VersionConflict | ControlRefusal
 
 
 class RememberedCommand(msgspec.Struct, frozen=True, gc=False):
-    """A command that was answered: its key, what it asked for, and the answer."""
+    """An applied command: its key, a digest of the request, and its result."""
 
     key: str
     digest: bytes
@@ -29,48 +32,48 @@
 
 
 class IdempotencyTable:
-    """The newest commands by key; the oldest is forgotten beyond ``retained_keys``.
+    """The newest commands by key; beyond ``retained_keys`` the oldest is evicted.
 
-    The bound counts commands, not seconds, so that every replica forgets the same ones.
+    The limit is a number of commands, not a time, so that all replicas evict the same ones.
     """
 
-    def __init__(self, retained_keys: int = RETAINED_KEYS) -> None:
+    def __init__(self, retained_keys: int = MAX_RETAINED_KEYS) -> None:
         self._retained_keys = retained_keys
         self._commands: dict[str, RememberedCommand] = {}
 
     def find(self, key: str) -> RememberedCommand | None:
-        """Return the command that carried ``key``, if it is still remembered."""
+        """Return the command with ``key``, or ``None`` if it is not retained."""
         return self._commands.get(key)
 
-    def remember(self, command: KeyedCommand, result: KeyedResult) -> None:
-        """Record the answer to a command.
+    def record(self, command: KeyedCommand, result: KeyedResult) -> None:
+        """Record the result of a command.
 
-        The body of a put is left out; a resend brings it along.
+        The body of a document is omitted, because a resend contains it.
         """
         if isinstance(command, PutDocument):
             result = _without_body(result)
-        remembered = RememberedCommand(command.idempotency_key, digest_of(command), result)
-        self._commands[command.idempotency_key] = remembered
+        retained = RememberedCommand(command.idempotency_key, digest_of(command), result)
+        self._commands[command.idempotency_key] = retained
         while len(self._commands) > self._retained_keys:
             del self._commands[next(iter(self._commands))]
 
     def dump(self) -> tuple[RememberedCommand, ...]:
-        """Return all that is remembered, oldest first."""
+        """Return all retained commands, oldest first."""
         return tuple(self._commands.values())
 
     def load(self, commands: tuple[RememberedCommand, ...]) -> None:
-        """Replace everything by what ``dump`` returned."""
+        """Replace the retained commands with ``commands``, a result of ``dump``."""
         self._commands = {command.key: command for command in commands}
 
 
 def digest_of(command: KeyedCommand) -> bytes:
-    """Return a digest of what a command asks for."""
+    """Return a digest of the encoded command."""
     return xxhash.xxh3_128_digest(encode_message(command))
 
 
-def answer_again(remembered: RememberedCommand, command: KeyedCommand) -> KeyedResult:
-    """Return the first answer to ``command``, which was sent again."""
-    result = remembered.result
+def repeated_result(retained: RememberedCommand, command: KeyedCommand) -> KeyedResult:
+    """Return the first result for the repeated ``command``."""
+    result = retained.result
     if isinstance(command, PutDocument) and isinstance(result, PutResult):
         return PutResult(document=msgspec.structs.replace(result.document, body=command.body))
     return result
@@ -78,11 +81,11 @@
 
 def _without_body(result: KeyedResult) -> KeyedResult:
     if isinstance(result, PutResult):
-        return PutResult(document=_strip(result.document))
+        return PutResult(document=_strip_body(result.document))
     if isinstance(result, VersionConflict):
         return msgspec.structs.replace(result, current=None)
     return result
 
 
-def _strip(document: Document) -> Document:
+def _strip_body(document: Document) -> Document:
     return msgspec.structs.replace(document, body=None)
--- a/src/passlane/control/state/leader_duties.py
+++ b/src/passlane/control/state/leader_proposals.py
@@ -1,4 +1,7 @@
-"""What the leader of the control group has to propose: regions, and what is accepted."""
+"""Decides which commands the leader of the control group proposes.
+
+These are the regions of the settings and the revisions that all regions have prepared.
+"""
 
 from passlane.control.state.acceptance import AcceptanceTracker
 from passlane.control.state.machine import ControlStateMachine
@@ -6,19 +9,19 @@
 from passlane.messages.control import AcceptRevision, Progress, RegionReport, SetRegions
 
 
-class LeaderDuties:
-    """Follows the regions' reports and decides which commands are due.
+class LeaderProposals:
+    """Tracks the reports of the regions and decides which commands are due.
 
-    A plain state machine beside the replicated one: it lives in one replica's memory
-    and starts over in each term. Its commands may be proposed again and again.
+    A state machine without I/O that is not replicated and is reset in each term. Its
+    commands are idempotent.
 
     Parameters
     ----------
     machine
-        The replicated state as this replica has applied it.
+        The replicated state at this replica.
     regions
-        Regions that must hold a change before it is accepted, as the settings name
-        them; if empty, those that are recorded already.
+        Regions from the settings that must have a change prepared before it is accepted;
+        if empty, the recorded regions are used.
     """
 
     def __init__(self, machine: ControlStateMachine, regions: tuple[str, ...]) -> None:
@@ -27,17 +30,17 @@
         self._tracker = AcceptanceTracker()
         self._term = 0
 
-    def take_report(self, report: RegionReport, term: int, now: float) -> bool:
-        """Keep a region's report; return ``False`` for one of a replaced store leader.
+    def record_report(self, report: RegionReport, term: int, now: float) -> bool:
+        """Record a region's report; return ``False`` for one of a replaced store leader.
 
-        ``term`` is the control group's, ``now`` a time in seconds on the local clock.
+        ``term`` is the term of the control group, ``now`` the local time in seconds.
         """
-        self._begin(term)
+        self._reset_in_new_term(term)
         return self._tracker.record(report, now)
 
-    def commands_due(self, term: int) -> tuple[SetRegions | AcceptRevision, ...]:
-        """Return what the leader of ``term`` shall propose now, in this order."""
-        self._begin(term)
+    def due_commands(self, term: int) -> tuple[SetRegions | AcceptRevision, ...]:
+        """Return the commands that the leader of ``term`` has to propose now, in order."""
+        self._reset_in_new_term(term)
         if self._regions and self._machine.regions != self._regions:
             return (SetRegions(regions=self._regions),)
         prepared = self._tracker.prepared_everywhere(self._machine.regions)
@@ -47,12 +50,12 @@
         return (AcceptRevision(revision=acceptable),)
 
     def progress(self, revision: Revision, term: int, now: float) -> Progress:
-        """Return how far ``revision`` has come, region by region."""
-        self._begin(term)
+        """Return the rollout progress of ``revision`` in each region."""
+        self._reset_in_new_term(term)
         accepted = self._machine.ledger.accepted_revision
         return self._tracker.progress(revision, accepted, self._machine.regions, now)
 
-    def _begin(self, term: int) -> None:
+    def _reset_in_new_term(self, term: int) -> None:
         if self._term != term:
             self._tracker.clear()
             self._term = term
--- a/src/passlane/control/state/machine.py
+++ b/src/passlane/control/state/machine.py
@@ -1,8 +1,8 @@
 """The replicated state machine of the control group: documents by version.
 
-Each change gets the next revision and is pending at first. ``AcceptRevision`` moves the
-accepted revision forward; nothing moves it back. Commands with an idempotency key that
-was seen before are answered as at the first time.
+Each change gets the next revision and is pending until it is accepted. ``AcceptRevision``
+advances the accepted revision, which never decreases. A command with a retained
+idempotency key gets the result of the first command with that key.
 """
 
 from collections.abc import Iterable, Iterator
@@ -13,12 +13,12 @@
 from passlane.configuration.parsing import check_name, parse_body, parse_kind
 from passlane.configuration.references import ReferenceIndex
 from passlane.control.state.idempotency import (
-    RETAINED_KEYS,
+    MAX_RETAINED_KEYS,
     IdempotencyTable,
     KeyedCommand,
     KeyedResult,
-    answer_again,
     digest_of,
+    repeated_result,
 )
 from passlane.control.state.snapshot import (
     FORMAT_VERSION,
@@ -26,7 +26,11 @@
     decode_snapshot,
     encode_snapshot,
 )
-from passlane.control.state.withdrawals import Withdrawal, last_acceptable, standing_changes
+from passlane.control.state.withdrawals import (
+    Withdrawal,
+    effective_changes,
+    max_acceptable_revision,
+)
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.identifiers import Revision
 from passlane.messages.base import encode_message, message_decoder
@@ -45,7 +49,7 @@
 )
 
 MAX_PENDING_CHANGES = 10_000
-"""Pending changes held at most, about a day's worth while a region is cut off."""
+"""Maximum number of pending changes, which accumulate while a region is unreachable."""
 
 _command_decoder = message_decoder(ControlCommand)
 
@@ -57,7 +61,7 @@
         self,
         *,
         max_pending_changes: int = MAX_PENDING_CHANGES,
-        retained_keys: int = RETAINED_KEYS,
+        retained_keys: int = MAX_RETAINED_KEYS,
     ) -> None:
         self._max_pending_changes = max_pending_changes
         self._keys = IdempotencyTable(retained_keys)
@@ -82,18 +86,18 @@
         if isinstance(command, SetRegions):
             self.regions = tuple(sorted(set(command.regions)))
             return ControlDone()
-        return self._execute_once(command)
+        return self._execute_idempotent(command)
 
     def acceptable_revision(self, prepared_revision: Revision) -> Revision:
-        """Return how far acceptance may go when ``prepared_revision`` is held everywhere."""
-        return last_acceptable(
+        """Return the maximum revision to accept if all regions have ``prepared_revision``."""
+        return max_acceptable_revision(
             Revision(min(prepared_revision, self.ledger.held_revision)),
             self.ledger.accepted_revision,
             self._withdrawals,
         )
 
     def take_snapshot(self) -> bytes:
-        """Return the whole state, encoded."""
+        """Return the encoded state."""
         accepted, pending = self.ledger.dump()
         return encode_snapshot(
             ControlSnapshot(
@@ -110,17 +114,17 @@
         )
 
     def snapshot_parts(self) -> Iterator[bytes]:
-        """Return the whole state as one part: it is small beside a store's."""
+        """Return the encoded state as one part; it is small compared with that of a store."""
         return iter((self.take_snapshot(),))
 
     def restore_parts(self, parts: Iterable[bytes]) -> Iterator[None]:
-        """Replace the state by that of a snapshot; yields once it is decoded."""
+        """Replace the state with that of a snapshot; yield once after reading its parts."""
         data = b"".join(parts)
         yield
         self.restore_snapshot(data)
 
     def restore_snapshot(self, data: bytes) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with that of a snapshot."""
         snapshot = decode_snapshot(data)
         self.ledger.load(
             snapshot.accepted,
@@ -134,21 +138,21 @@
         self._keys.load(snapshot.remembered)
         self._references = ReferenceIndex.of(self.ledger.newest_documents())
 
-    def _execute_once(self, command: KeyedCommand) -> KeyedResult:
+    def _execute_idempotent(self, command: KeyedCommand) -> KeyedResult:
         if not command.idempotency_key:
             return _refusal(ErrorCode.BAD_REQUEST, "an idempotency key is needed")
-        remembered = self._keys.find(command.idempotency_key)
-        if remembered is not None:
-            if remembered.digest != digest_of(command):
+        retained = self._keys.find(command.idempotency_key)
+        if retained is not None:
+            if retained.digest != digest_of(command):
                 return _refusal(
                     ErrorCode.IDEMPOTENCY_MISMATCH, "the key was used for another change"
                 )
-            return answer_again(remembered, command)
-        result = self._change(command)
-        self._keys.remember(command, result)
+            return repeated_result(retained, command)
+        result = self._apply_change(command)
+        self._keys.record(command, result)
         return result
 
-    def _change(self, command: KeyedCommand) -> KeyedResult:
+    def _apply_change(self, command: KeyedCommand) -> KeyedResult:
         try:
             if isinstance(command, PutDocument):
                 return self._put(command)
@@ -185,19 +189,19 @@
         if change is None:
             return self._refuse_withdrawal(command.revision)
         changes = self.ledger.pending_changes_of(change.kind, change.name)
-        standing = standing_changes(changes, self._withdrawals)
-        if change not in standing:
+        effective = effective_changes(changes, self._withdrawals)
+        if change not in effective:
             raise PasslaneError(
                 ErrorCode.VERSION_CONFLICT, "the change is withdrawn, or withdraws another"
             )
-        if standing[-1] != change:
+        if effective[-1] != change:
             raise PasslaneError(
                 ErrorCode.VERSION_CONFLICT,
-                f"revision {standing[-1].revision} changed it again; withdraw that first",
+                f"revision {effective[-1].revision} changed it again; withdraw that first",
             )
         earlier = (
-            standing[-2]
-            if len(standing) > 1
+            effective[-2]
+            if len(effective) > 1
             else self.ledger.accepted_version(change.kind, change.name)
         )
         restored = self._append(change.kind, change.name, earlier.body if earlier else None)
@@ -229,10 +233,10 @@
         return document
 
     def _next_version(self, newest: Document | None) -> int:
-        """Return a version above any that the document ever had.
+        """Return a version above all earlier versions of the document.
 
-        Of a document whose deletion has been dropped nothing is known any more. Its last
-        version was at most the revision of that deletion, so at most the floor.
+        A document whose deletion marker was dropped has no record. Its last version was at
+        most the revision of the deletion, which is at most the floor.
         """
         if newest is not None:
             return newest.version + 1
--- a/src/passlane/control/state/snapshot.py
+++ b/src/passlane/control/state/snapshot.py
@@ -1,4 +1,7 @@
-"""The encoded state of the control group."""
+"""The snapshot format of the control group.
+
+The whole state is one MessagePack array.
+"""
 
 import msgspec
 
@@ -29,17 +32,17 @@
 
 
 def encode_snapshot(snapshot: ControlSnapshot) -> bytes:
-    """Return the snapshot as bytes."""
+    """Return the encoded snapshot."""
     return msgspec.msgpack.encode(snapshot)
 
 
 def decode_snapshot(data: bytes) -> ControlSnapshot:
-    """Return the snapshot that ``data`` holds.
+    """Return the snapshot that ``data`` encodes.
 
     Raises
     ------
     PasslaneError
-        ``STORAGE_CORRUPT`` when it is damaged or of an unknown format version.
+        ``STORAGE_CORRUPT`` when the data is damaged or has an unknown format version.
     """
     try:
         snapshot = _decoder.decode(data)
--- a/src/passlane/control/state/withdrawals.py
+++ b/src/passlane/control/state/withdrawals.py
@@ -1,8 +1,8 @@
-"""Withdrawn changes, and the revisions at which acceptance may therefore not stop.
+"""Withdrawn changes, and the revisions that may therefore not be accepted.
 
-Withdrawing change 11 writes revision 16 with the earlier body. Accepting anything from
-11 to 15 would put the withdrawn body in force for a moment, and 16 would then revert
-it. So acceptance goes from below 11 to 16 or beyond in one step.
+Withdrawing change 11 writes, for example, revision 16 with the earlier body. Accepting a
+revision from 11 to 15 would put the withdrawn body in force until 16 is accepted.
+Acceptance therefore advances from below 11 to 16 or above in one step.
 """
 
 import msgspec
@@ -12,31 +12,31 @@
 
 
 class Withdrawal(msgspec.Struct, frozen=True):
-    """The withdrawn revision and the later one that restores the earlier body."""
+    """A withdrawn revision and the later revision that restores the earlier body."""
 
     withdrawn: Revision
     restored_by: Revision
 
 
-def last_acceptable(
+def max_acceptable_revision(
     revision: Revision, accepted: Revision, withdrawals: tuple[Withdrawal, ...]
 ) -> Revision:
-    """Return the largest revision up to ``revision`` at which acceptance may stop.
+    """Return the maximum revision up to ``revision`` that may be accepted.
 
-    The result is never below ``accepted``, which is in force already.
+    The result is at least ``accepted``, which is in force already.
     """
-    stop = revision
-    # Newest first: stepping below one withdrawal may land within an earlier one.
+    acceptable = revision
+    # Newest first, because a revision below one withdrawal may be within an earlier one.
     for withdrawal in sorted(withdrawals, key=lambda item: item.withdrawn, reverse=True):
-        if withdrawal.withdrawn <= stop < withdrawal.restored_by:
-            stop = Revision(withdrawal.withdrawn - 1)
-    return max(stop, accepted)
+        if withdrawal.withdrawn <= acceptable < withdrawal.restored_by:
+            acceptable = Revision(withdrawal.withdrawn - 1)
+    return max(acceptable, accepted)
 
 
-def standing_changes(
+def effective_changes(
     changes: list[Document], withdrawals: tuple[Withdrawal, ...]
 ) -> list[Document]:
-    """Return those pending changes that neither are withdrawn nor withdraw another."""
-    undone = {withdrawal.withdrawn for withdrawal in withdrawals}
-    undone |= {withdrawal.restored_by for withdrawal in withdrawals}
-    return [change for change in changes if change.revision not in undone]
+    """Return the pending changes that are not withdrawn and do not withdraw another."""
+    excluded = {withdrawal.withdrawn for withdrawal in withdrawals}
+    excluded |= {withdrawal.restored_by for withdrawal in withdrawals}
+    return [change for change in changes if change.revision not in excluded]
--- a/tests/control/control_cluster.py
+++ b/tests/control/control_cluster.py
@@ -1,4 +1,4 @@
-"""A control group of three replicas, and regions that report to it, on the virtual clock."""
+"""A control group of three replicas and reporting regions, on a virtual clock."""
 
 from contextlib import asynccontextmanager
 
@@ -38,7 +38,7 @@
 
 
 class ControlCluster(Cluster):
-    """Replicas ``a``, ``b``, ``c``; ``sides`` puts named processes on sides of a cut."""
+    """Replicas ``a``, ``b``, ``c``; ``sides`` assigns processes to sides of a network partition."""
 
     machine_class = ControlStateMachine
 
@@ -80,9 +80,9 @@
 
 
 class Region:
-    """A region's store leader and its nodes, in one: reports, relays, and acts.
+    """A region's store leader and nodes in one object.
 
-    ``seen`` keeps, for each node, the policies in force after each change of revision.
+    ``seen`` records, for each node, the policies in force after each change of revision.
     """
 
     def __init__(self, cluster, name):
--- a/tests/control/state/test_machine.py
+++ b/tests/control/state/test_machine.py
@@ -1,4 +1,4 @@
-"""The control group's state: races, resends, withdrawals, and holders that fall behind."""
+"""The control group's state: conflicts, resends, withdrawals, and receivers that lag behind."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
     WithdrawChange,
 )
 
-# With the last three, parts of different snapshots once brought back what was deleted.
+# The last three restored deleted documents when parts of different snapshots were mixed.
 SEEDS = (*range(60), 850, 1082, 1862)
 STEPS = 120
 
@@ -51,7 +51,7 @@
         self.machine = ControlStateMachine()
         self.machine.execute(SetRegions(("r",)))
 
-    def test_of_two_equal_versions_one_wins_and_the_other_sees_the_winner(
+    def test_conflicting_change_is_refused_with_the_current_document(
         self,
     ) -> None:
         written(self.machine.execute(put("p", policy("0"), 0, "k0")))
@@ -60,7 +60,7 @@
         self.assertEqual(loser, VersionConflict("policy", "p", 2, winner))
         self.assertEqual(self.machine.ledger.newest("policy", "p"), winner)
 
-    def test_a_resend_gets_the_first_answer_also_after_a_snapshot_and_changes_nothing(self) -> None:
+    def test_resend_gets_first_result_also_after_a_snapshot_and_changes_nothing(self) -> None:
         first = self.machine.execute(put("p", policy("1"), 0, "k1"))
         self.machine.execute(put("p", policy("2"), 1, "k2"))
         copy = restored_copy(self.machine)
@@ -69,7 +69,7 @@
             self.assertEqual(machine.ledger.held_revision, 2)
         self.assertEqual(copy.take_snapshot(), self.machine.take_snapshot())
 
-    def test_a_refused_change_stays_refused_when_a_late_copy_of_it_would_fit(self) -> None:
+    def test_refused_change_stays_refused_when_a_resend_would_match(self) -> None:
         self.machine.execute(put("p", policy("1"), 0, "k1"))
         refused = self.machine.execute(put("p", policy("2"), 0, "k2"))
         self.machine.execute(put("p", None, 1, "k3"))
@@ -77,7 +77,7 @@
         self.assertIsInstance(refused, VersionConflict)
         self.assertEqual(again, VersionConflict("policy", "p", 1, None))
 
-    def test_versions_go_on_after_a_deletion_was_forgotten(self) -> None:
+    def test_versions_increase_after_a_deletion_marker_was_dropped(self) -> None:
         self.machine.ledger = ConfigurationLedger(max_tombstones=0)
         self.machine.execute(put("p", policy("1"), 0, "k1"))
         self.machine.execute(put("p", policy("2"), 1, "k2"))
@@ -87,16 +87,16 @@
         for machine in (self.machine, restored_copy(self.machine)):
             again = written(machine.execute(put("p", policy("3"), 0, "k4")))
             self.assertGreater(again.version, 3)
-            late = machine.execute(put("p", policy("4"), 1, "k5"))
-            self.assertIsInstance(late, VersionConflict)
+            stale = machine.execute(put("p", policy("4"), 1, "k5"))
+            self.assertIsInstance(stale, VersionConflict)
 
-    def test_a_key_used_for_another_change_is_refused(self) -> None:
+    def test_key_of_another_change_is_refused(self) -> None:
         self.machine.execute(put("p", policy("1"), 0, "k1"))
         result = self.machine.execute(put("q", policy("1"), 0, "k1"))
         assert isinstance(result, ControlRefusal)
         self.assertEqual(result.code, ErrorCode.IDEMPOTENCY_MISMATCH)
 
-    def test_references_must_exist_and_are_kept_while_in_use(self) -> None:
+    def test_references_must_exist_and_referenced_documents_cannot_be_deleted(self) -> None:
         service = PutDocument("service", "s", '{"policy":"p"}', 0, "k1")
         refused = self.machine.execute(service)
         assert isinstance(refused, ControlRefusal)
@@ -116,7 +116,7 @@
         self.machine.execute(AcceptRevision(Revision(1)))
         self.machine.execute(put("p", policy("bad"), 1, "k2"))
 
-    def test_a_withdrawn_change_is_never_accepted_by_itself(self) -> None:
+    def test_withdrawn_change_is_never_accepted_alone(self) -> None:
         self.machine.execute(put("q", policy("other"), 0, "k3"))
         restored = written(self.machine.execute(WithdrawChange(Revision(2), "k4")))
         self.assertEqual((restored.revision, restored.body), (4, policy("good")))
@@ -126,13 +126,13 @@
         machine.execute(AcceptRevision(Revision(4)))
         self.assertEqual(machine.ledger.accepted_revision, 4)
 
-    def test_an_accepted_change_cannot_be_withdrawn(self) -> None:
+    def test_accepted_change_cannot_be_withdrawn(self) -> None:
         self.machine.execute(AcceptRevision(Revision(2)))
         result = self.machine.execute(WithdrawChange(Revision(2), "k3"))
         assert isinstance(result, ControlRefusal)
         self.assertEqual(result.code, ErrorCode.VERSION_CONFLICT)
 
-    def test_later_changes_are_withdrawn_first_and_then_the_earlier_one(self) -> None:
+    def test_later_changes_must_be_withdrawn_before_earlier_ones(self) -> None:
         self.machine.execute(put("p", policy("worse"), 2, "k3"))
         early = self.machine.execute(WithdrawChange(Revision(2), "k4"))
         self.assertIsInstance(early, ControlRefusal)
@@ -145,7 +145,7 @@
 
 
 class Operator:
-    """Makes random changes and keeps its own record of each recorded one."""
+    """Makes random changes and keeps an independent history of them."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
@@ -194,8 +194,8 @@
         return policies
 
 
-class HoldersTest(unittest.TestCase):
-    """Holders that ask now and then, get the answer in parts, and get old answers late."""
+class ReceiversTest(unittest.TestCase):
+    """Receivers that get changes in parts, with delays and out of order."""
 
     def check(self, operator: Operator, before: ConfigurationView, view: ConfigurationView) -> None:
         self.assertGreaterEqual(view.revision_in_force, before.revision_in_force)
@@ -239,35 +239,35 @@
         self.assertEqual(view.revision_in_force, ledger.accepted_revision)
         self.check(operator, ConfigurationView(), view)
 
-    def test_parts_of_different_snapshots_never_mix(self) -> None:
+    def test_parts_of_different_snapshots_are_never_mixed(self) -> None:
         source = ConfigurationLedger(max_tombstones=1)
         for revision in range(1, 4):
             source.append(Document("policy", f"p{revision}", 1, Revision(revision), policy("1")))
         source.accept(Revision(3))
-        late_part = source.delta_since(Revision(0), max_bytes=1)
+        stale_part = source.delta_since(Revision(0), max_bytes=1)
         lagging = ConfigurationLedger()
-        lagging.apply_delta(late_part)
+        lagging.apply_delta(stale_part)
         for revision, name in ((4, "p1"), (5, "p2"), (6, "p4")):
             body = policy("2") if name == "p4" else None
             source.append(Document("policy", name, 2, Revision(revision), body))
         source.accept(Revision(6))
         self.assertEqual(source.floor_revision, 4)
         first_part = source.delta_since(Revision(1), max_bytes=1)
-        for holder in (ConfigurationLedger(), ConfigurationView()):
-            with self.subTest(holder=type(holder).__name__):
-                holder = holder.apply_delta(first_part) or holder
-                held = holder.held_revision
-                self.assertEqual(first_part.floor_revision, holder.floor_revision)
-                self.assertLess(held, holder.floor_revision)
-                behind = lagging.delta_since(Revision(0), holder.floor_revision)
+        for receiver in (ConfigurationLedger(), ConfigurationView()):
+            with self.subTest(receiver=type(receiver).__name__):
+                receiver = receiver.apply_delta(first_part) or receiver
+                held = receiver.held_revision
+                self.assertEqual(first_part.floor_revision, receiver.floor_revision)
+                self.assertLess(held, receiver.floor_revision)
+                behind = lagging.delta_since(Revision(0), receiver.floor_revision)
                 self.assertEqual((behind.documents, behind.to_revision), ((), 0))
-                for old in (late_part, behind):
-                    holder = holder.apply_delta(old) or holder
-                    self.assertEqual(holder.held_revision, held)
+                for old in (stale_part, behind):
+                    receiver = receiver.apply_delta(old) or receiver
+                    self.assertEqual(receiver.held_revision, held)
 
-    def test_a_view_is_always_the_state_at_an_accepted_revision_and_never_goes_back(self) -> None:
+    def test_view_equals_the_state_at_an_accepted_revision_that_never_decreases(self) -> None:
         restarts = sum(self.run_seed(seed) for seed in SEEDS)
-        self.assertGreater(restarts, 0, "no holder ever fell below the floor")
+        self.assertGreater(restarts, 0, "no receiver ever fell below the floor")
 
 
 if __name__ == "__main__":
--- a/tests/control/test_control_group.py
+++ b/tests/control/test_control_group.py
@@ -1,4 +1,4 @@
-"""The control group as operators and regions see it, while processes and links fail."""
+"""The control group from the view of operators and regions, under process and link failures."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 SEEDS = range(3)
 CHAOS_SEEDS = range(6)
 MANY_CHANGES = 250
-# For long cuts: fewer heartbeats to run, in the same proportion to the election timeout.
+# Fewer heartbeats during long partitions, with the usual ratio to the election timeout.
 SLOW_TIMERS = {"heartbeat_s": 0.2, "election_timeout_s": 1.2}
 
 
@@ -46,8 +46,8 @@
 
 
 class ControlGroupTest(unittest.TestCase):
-    def assert_never_went_back(self, cluster):
-        """Each node's revisions grow, and one revision means the same on all nodes."""
+    def assert_revisions_consistent(self, cluster):
+        """Check that revisions increase on each node and have equal contents on all nodes."""
         state_of = {}
         for region in cluster.regions.values():
             for seen in region.seen:
@@ -58,12 +58,12 @@
 
     @staticmethod
     def states(cluster):
-        """All states that any node has acted on."""
+        """Return all states that any node has acted on."""
         nodes = [seen for region in cluster.regions.values() for seen in region.seen]
         return [state for seen in nodes for _, state in seen]
 
     @on_seeds(SEEDS)
-    async def test_equal_versions_at_the_same_time_one_wins(self, cluster):
+    async def test_one_of_two_concurrent_changes_of_a_version_succeeds(self, cluster):
         await cluster.send(put("p", "old", 0, "k0"))
         results = {}
 
@@ -79,7 +79,7 @@
         self.assertEqual(lost[0].current, won[0].document)
 
     @on_seeds(SEEDS, snapshot_every_entries=4)
-    async def test_resend_after_a_leader_change_and_a_snapshot(self, cluster):
+    async def test_resend_gets_first_result_after_leader_changes_and_snapshots(self, cluster):
         command = put("p", "once", 0, "k1")
         first = await cluster.send(command)
         for number in range(10):
@@ -94,7 +94,7 @@
         self.assertEqual(found.documents, (first.document,))
 
     @on_seeds(SEEDS, **SLOW_TIMERS)
-    async def test_nothing_is_accepted_while_a_region_is_cut_off(self, cluster):
+    async def test_nothing_is_accepted_while_a_region_is_partitioned(self, cluster):
         good = await cluster.send(put("p", "good", 0, "k1"))
         await cluster.until_in_force(good.document.revision)
         cluster.sides["south"] = 1
@@ -108,13 +108,13 @@
         cluster.sides.clear()
         await cluster.until_in_force(restored.document.revision)
         self.assertNotIn({"p": "bad"}, self.states(cluster))
-        self.assert_never_went_back(cluster)
+        self.assert_revisions_consistent(cluster)
 
     @on_seeds(SEEDS, **SLOW_TIMERS)
-    async def test_a_cut_off_leader_accepts_nothing_and_its_changes_run_once(self, cluster):
+    async def test_partitioned_leader_accepts_nothing_and_its_changes_apply_once(self, cluster):
         base = await cluster.send(put("p", "base", 0, "k1"))
         await cluster.until_in_force(base.document.revision)
-        for name in ("ann", "amy"):  # so that their clients know the leader
+        for name in ("ann", "amy"):  # so that their clients find the leader
             await cluster.send(ReadDocuments(), name)
         old = (await cluster.until(cluster.leader)).peer.name
         for name in (old, "ann", "amy", "north"):
@@ -133,10 +133,10 @@
         cluster.sides.clear()
         await cluster.until_in_force(ben.document.revision)
         self.assertIsInstance(await cluster.send(put("p", "ann", 1, "ann")), VersionConflict)
-        self.assert_never_went_back(cluster)
+        self.assert_revisions_consistent(cluster)
 
     @on_seeds(range(1), snapshot_every_entries=100)
-    async def test_a_region_that_missed_hundreds_of_changes_catches_up(self, cluster):
+    async def test_region_catches_up_after_hundreds_of_missed_changes(self, cluster):
         cluster.sides["south"] = 1
         last = None
         for number in range(MANY_CHANGES):
@@ -152,15 +152,15 @@
                 self.assertEqual(seen[-1], (last.document.revision, newest))
 
     @on_seeds(CHAOS_SEEDS, snapshot_every_entries=15)
-    async def test_random_kills_and_cuts_keep_every_answered_change(self, cluster):
+    async def test_random_kills_and_partitions_keep_all_confirmed_changes(self, cluster):
         chaos = Chaos(cluster)
         await chaos.run()
         await cluster.until_in_force(chaos.last_revision)
-        self.assert_never_went_back(cluster)
+        self.assert_revisions_consistent(cluster)
         found = await cluster.send(ReadDocuments("policy"))
         for document in found.documents:
-            answered = chaos.newest_answered[document.name]
-            self.assertGreaterEqual(document.version, answered.version)
+            confirmed = chaos.newest_confirmed[document.name]
+            self.assertGreaterEqual(document.version, confirmed.version)
         seen = {source for state in self.states(cluster) for source in state.values()}
         self.assertEqual(seen & set(chaos.not_run), set())
         for command, result in chaos.answers:
@@ -168,7 +168,7 @@
 
 
 class Chaos:
-    """Two operators write and resend while replicas die and links are cut, at random."""
+    """Writes and resends changes while replicas are killed and partitioned at random."""
 
     STEPS = 60
     PAUSE_S = 0.4
@@ -178,36 +178,36 @@
         self.random = cluster.random
         self.answers = []
         self.not_run = []
-        self.newest_answered = {}
+        self.newest_confirmed = {}
         self.last_revision = 0
 
     async def run(self):
         for number in range(self.STEPS):
-            self.harm()
+            self.inject_fault()
             await self.write(number)
             await anyio.sleep(self.random.uniform(0, self.PAUSE_S))
         self.cluster.sides.clear()
-        self.revive()
+        self.restart_killed()
 
-    def harm(self):
+    def inject_fault(self):
         choice = self.random.random()
         if choice < 0.1:
-            self.revive()
+            self.restart_killed()
             self.cluster.kill(self.random.choice("abc"))
         elif choice < 0.2:
             self.cluster.sides = {self.random.choice(["a", "b", "c", *REGIONS]): 1}
         elif choice < 0.5:
             self.cluster.sides.clear()
-            self.revive()
+            self.restart_killed()
 
-    def revive(self):
+    def restart_killed(self):
         for name, member in self.cluster.members.items():
             if member.scope is None:
                 self.cluster.start(name)
 
     async def write(self, number):
         name = f"p{self.random.randrange(4)}"
-        known = self.newest_answered.get(name)
+        known = self.newest_confirmed.get(name)
         command = put(name, str(number), known.version if known else 0, f"k{number}")
         verdicts = set()
         for _ in range(2):
@@ -216,18 +216,18 @@
             except PasslaneError as error:
                 verdicts.add(error.verdict)
                 continue
-            self.note(command, result)
+            self.record(command, result)
             return
         if verdicts == {Verdict.NOT_RUN}:
             self.not_run.append(str(number))
 
-    def note(self, command, result):
+    def record(self, command, result):
         if isinstance(result, PutResult):
             self.answers.append((command, result))
-            self.newest_answered[command.name] = result.document
+            self.newest_confirmed[command.name] = result.document
             self.last_revision = max(self.last_revision, result.document.revision)
         elif isinstance(result, VersionConflict):
-            self.newest_answered[command.name] = result.current
+            self.newest_confirmed[command.name] = result.current
 
 
 if __name__ == "__main__":
--- a/tests/control/test_group_faults.py
+++ b/tests/control/test_group_faults.py
@@ -1,15 +1,15 @@
-"""The promises about the configuration, under faults from a seed; and deliberate faults."""
+"""The configuration invariants under seeded random faults, and defects that violate them."""
 
 import unittest
 from dataclasses import replace
 
-from control.configuration_truth import BrokenPromiseError
-from control.group_model import FleetModel, Parts
+from control.configuration_checker import InvariantViolationError
+from control.group_model import FleetModel, TestedClasses
 from passlane.configuration.references import ReferenceIndex
 from passlane.configuration.view import ConfigurationView
 from passlane.control.state.acceptance import AcceptanceTracker
 from passlane.control.state.idempotency import IdempotencyTable
-from passlane.control.state.leader_duties import LeaderDuties
+from passlane.control.state.leader_proposals import LeaderProposals
 from passlane.control.state.machine import ControlStateMachine
 from passlane.identifiers import Revision
 from passlane.messages.control import PutDocument, PutResult
@@ -20,12 +20,12 @@
 MISSED_CHANGES = 250
 
 
-def run_seed(seed, parts=None):
-    fleet = FleetModel(seed, parts or Parts())
+def run_seed(seed, classes=None):
+    fleet = FleetModel(seed, classes or TestedClasses())
     for _ in range(STEPS):
         fleet.step()
     if seed % 5 == 0:
-        fleet.miss_many_changes(MISSED_CHANGES)
+        fleet.change_during_partition(MISSED_CHANGES)
     fleet.settle()
     return fleet
 
@@ -41,7 +41,7 @@
     return PutDocument(command.kind, command.name, command.body, version, command.idempotency_key)
 
 
-class ForgetsKeysInSnapshots(ControlStateMachine):
+class OmitsKeysInSnapshots(ControlStateMachine):
     def take_snapshot(self):
         keys, self._keys = self._keys, IdempotencyTable()
         try:
@@ -50,7 +50,7 @@
             self._keys = keys
 
 
-class WithdrawsWhatIsAccepted(ControlStateMachine):
+class WithdrawsAcceptedChanges(ControlStateMachine):
     def _withdraw(self, command):
         if not 0 < command.revision <= self.ledger.accepted_revision:
             return super()._withdraw(command)
@@ -58,70 +58,70 @@
         return PutResult(document=self._append("policy", name, None))
 
 
-class AcceptsWithinWithdrawals(ControlStateMachine):
+class AcceptsWithdrawnChanges(ControlStateMachine):
     def acceptable_revision(self, prepared_revision):
         return Revision(min(prepared_revision, self.ledger.held_revision))
 
 
-class ForgetsReferencesAtRestart(ControlStateMachine):
+class DropsReferencesAtRestart(ControlStateMachine):
     def restore_snapshot(self, data):
         super().restore_snapshot(data)
         self._references = ReferenceIndex()
 
 
-class OneRegionIsEnough(AcceptanceTracker):
+class RequiresOneRegionOnly(AcceptanceTracker):
     def prepared_everywhere(self, regions):
         return max((self._prepared(region) for region in regions), default=Revision(0))
 
 
-class AcceptsTooEarly(LeaderDuties):
+class AcceptsTooEarly(LeaderProposals):
     def __init__(self, machine, regions):
         super().__init__(machine, regions)
-        self._tracker = OneRegionIsEnough()
+        self._tracker = RequiresOneRegionOnly()
 
 
-class ActsOnPending(ConfigurationView):
+class ActsOnPendingChanges(ConfigurationView):
     def apply_delta(self, delta):
         return super().apply_delta(delta).accept(delta.to_revision)
 
 
-class ObeysLateAnswers(ConfigurationView):
+class AppliesStaleReplies(ConfigurationView):
     def accept(self, revision):
         accepted = super().accept(revision)
         return replace(accepted, revision_in_force=min(revision, accepted.revision_in_force))
 
 
 DEFECTS = {
-    "one winner per version": Parts(machine=IgnoresVersions),
-    "a resend gets the first answer": Parts(machine=ForgetsKeysInSnapshots),
-    "what is accepted is not withdrawn": Parts(machine=WithdrawsWhatIsAccepted),
-    "what is withdrawn is never in force": Parts(machine=AcceptsWithinWithdrawals),
-    "replicas agree": Parts(machine=ForgetsReferencesAtRestart),
-    "accepted is held": Parts(duties=AcceptsTooEarly),
-    "only what is accepted is in force": Parts(view=ActsOnPending),
-    "in force never goes back": Parts(view=ObeysLateAnswers),
+    "one change per version": TestedClasses(machine=IgnoresVersions),
+    "a resend gets the first result": TestedClasses(machine=OmitsKeysInSnapshots),
+    "accepted changes are not withdrawn": TestedClasses(machine=WithdrawsAcceptedChanges),
+    "withdrawn changes are never in force": TestedClasses(machine=AcceptsWithdrawnChanges),
+    "replicas agree": TestedClasses(machine=DropsReferencesAtRestart),
+    "nodes with a lease have the accepted revision": TestedClasses(proposals=AcceptsTooEarly),
+    "only accepted changes are in force": TestedClasses(view=ActsOnPendingChanges),
+    "the revision in force never decreases": TestedClasses(view=AppliesStaleReplies),
 }
 
 
 class GroupFaultsTest(unittest.TestCase):
-    def test_every_promise_holds_under_faults(self):
+    def test_invariants_hold_under_faults(self):
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 run_seed(seed)
 
-    def test_each_deliberate_fault_breaks_its_promise(self):
-        for promise, parts in DEFECTS.items():
-            with self.subTest(promise=promise):
-                self.assertTrue(is_broken(promise, parts))
+    def test_each_defect_violates_its_invariant(self):
+        for invariant, classes in DEFECTS.items():
+            with self.subTest(invariant=invariant):
+                self.assertTrue(is_violated(invariant, classes))
 
 
-def is_broken(promise, parts):
-    """Return whether this promise is the first that one of the seeds breaks."""
+def is_violated(invariant, classes):
+    """Return whether a seed violates this invariant first."""
     for seed in DEFECT_SEEDS:
         try:
-            run_seed(seed, parts)
-        except BrokenPromiseError as error:
-            if error.promise == promise:
+            run_seed(seed, classes)
+        except InvariantViolationError as error:
+            if error.invariant == invariant:
                 return True
     return False
 
