--- a/src/passlane/membership/events.py
+++ b/src/passlane/membership/events.py
@@ -1,4 +1,7 @@
-"""What the node's side of a lease tells the node to do."""
+"""Leadership changes that a node's lease reports to the node.
+
+The node starts or stops leading partitions accordingly.
+"""
 
 from dataclasses import dataclass
 
@@ -8,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipGained:
-    """The node leads a partition from now on, in ``epoch``."""
+    """The node starts to lead a partition in ``epoch``."""
 
     partition: Partition
     epoch: Epoch
@@ -16,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipLost:
-    """The node no longer leads a partition; it takes no more work for it."""
+    """The node no longer leads a partition and must accept no more work for it."""
 
     partition: Partition
     epoch: Epoch
@@ -24,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverRequested:
-    """The node shall finish its calls of a partition and then release it."""
+    """The node must finish its calls of a partition and then release it."""
 
     partition: Partition
     epoch: Epoch
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandoverCancelled:
-    """The node keeps a partition that it was about to hand over."""
+    """The node keeps a partition that it was going to hand over."""
 
     partition: Partition
     epoch: Epoch
--- a/src/passlane/membership/node_lease.py
+++ b/src/passlane/membership/node_lease.py
@@ -1,8 +1,8 @@
-"""The node's side of its lease: what it leads, and until when.
+"""The node's side of its lease: the partitions that it leads, and the end of the lease.
 
-A plain state machine on the node's own clock. The lease counts from the moment the
-heartbeat was *sent*, and is cut short by the drift that the clock may have, so that
-it ends here before the store leader may give the partitions to another node.
+A state machine without I/O on the node's clock. The lease starts when the heartbeat was
+*sent* and is shortened by the maximum clock drift. It therefore ends on the node before
+the store leader assigns the partitions to another node.
 """
 
 from passlane.identifiers import Epoch, NodeId, Partition
@@ -23,9 +23,9 @@
     Parameters
     ----------
     node_id, incarnation
-        This life of this node; assignments to another incarnation are not its own.
+        Identity of this node; assignments to other incarnations are ignored.
     clock_drift_fraction
-        Most by which this clock's rate differs from true time.
+        Maximum relative error of the rate of this node's clock.
     """
 
     def __init__(self, node_id: NodeId, incarnation: int, clock_drift_fraction: float) -> None:
@@ -41,7 +41,7 @@
 
     @property
     def valid_until(self) -> float:
-        """Time on the own clock, in seconds, at which the lease ends."""
+        """Time at which the lease ends, in seconds on the local clock."""
         return self._valid_until
 
     def is_valid(self, now: float) -> bool:
@@ -49,32 +49,32 @@
         return now < self._valid_until
 
     def epoch_of(self, partition: Partition, now: float) -> Epoch | None:
-        """Return the epoch in which the node leads a partition, ``None`` if it does not."""
+        """Return the epoch in which the node leads a partition, or ``None``."""
         return self._led.get(partition) if self.is_valid(now) else None
 
     def leader_of(self, partition: Partition) -> PartitionAssignment | None:
-        """Return the leader of a partition as far as this node knows."""
+        """Return the leader of a partition according to the local table."""
         return self._table.get(partition)
 
     def handover_of(self, partition: Partition) -> HandoverOrder | None:
-        """Return the order to hand over a partition, while it stands."""
+        """Return the current order to hand over a partition, or ``None``."""
         return self._handovers.get(partition)
 
     @property
     def led_partitions(self) -> tuple[Partition, ...]:
-        """Partitions that the node leads as long as its lease is valid."""
+        """Partitions that the node leads while its lease is valid."""
         return tuple(self._led)
 
     @property
     def releases(self) -> tuple[PartitionRelease, ...]:
-        """Partitions that the node has released and the table still names as its own."""
+        """Partitions that the node has released but the table still assigns to it."""
         return tuple(
             PartitionRelease(partition=partition, epoch=epoch)
             for partition, epoch in self._released.items()
         )
 
     def release(self, partition: Partition) -> list[MembershipChange]:
-        """Stop leading a partition for good; call once its last call has finished."""
+        """Stop leading a partition; call after its last call has finished."""
         epoch = self._led.pop(partition, None)
         if epoch is None:
             return []
@@ -85,7 +85,7 @@
     def handle_reply(
         self, reply: HeartbeatReply, sent_at: float, now: float
     ) -> list[MembershipChange]:
-        """Take in the answer to a heartbeat that was sent at ``sent_at``."""
+        """Apply the reply to a heartbeat that was sent at ``sent_at``."""
         changes = self.handle_time(now)
         if reply.lease_s > 0:
             ends_at = sent_at + reply.lease_s * self._usable_fraction
@@ -98,11 +98,10 @@
         return changes + self._update_led(now) + self._update_handovers(reply)
 
     def handle_time(self, now: float) -> list[MembershipChange]:
-        """Give up all partitions once the lease has ended.
+        """Stop leading all partitions once the lease has ended.
 
-        They count as released: even if the lease comes back, what was led in an epoch
-        before is led again only in a new epoch, so that calls begun earlier are known
-        as such.
+        The partitions are treated as released. Even if the lease is granted again, the
+        node leads them only in a new epoch, which identifies calls begun earlier.
         """
         if self.is_valid(now) or not self._led:
             return []
@@ -116,23 +115,23 @@
         return lost
 
     def _update_led(self, now: float) -> list[MembershipChange]:
-        own = self._own_epochs() if self.is_valid(now) else {}
+        current = self._own_epochs() if self.is_valid(now) else {}
         changes: list[MembershipChange] = [
             LeadershipLost(partition=partition, epoch=epoch)
             for partition, epoch in self._led.items()
-            if own.get(partition) != epoch
+            if current.get(partition) != epoch
         ]
         changes.extend(
             LeadershipGained(partition=partition, epoch=epoch)
-            for partition, epoch in own.items()
+            for partition, epoch in current.items()
             if self._led.get(partition) != epoch
         )
-        self._led = own
+        self._led = current
         return changes
 
     def _own_epochs(self) -> dict[Partition, Epoch]:
-        """Return the epochs of the partitions that the table gives to this life."""
-        named = {
+        """Return the epochs of the partitions that the table assigns to this incarnation."""
+        assigned = {
             assignment.partition: assignment.epoch
             for assignment in self._table.values()
             if assignment.node_id == self.node_id and assignment.incarnation == self.incarnation
@@ -140,11 +139,11 @@
         self._released = {
             partition: epoch
             for partition, epoch in self._released.items()
-            if named.get(partition) == epoch
+            if assigned.get(partition) == epoch
         }
         return {
             partition: epoch
-            for partition, epoch in named.items()
+            for partition, epoch in assigned.items()
             if self._released.get(partition) != epoch
         }
 
--- a/src/passlane/membership/partition_planner.py
+++ b/src/passlane/membership/partition_planner.py
@@ -1,9 +1,8 @@
-"""Who shall lead each partition: lost leaders replaced, live ones relieved in order.
+"""Plans the leader of each partition: failover, handovers, and balancing.
 
-A partition without a live leader is assigned at once: a node whose lease has ended
-never takes up again what it led, even if it gets a new lease first. One that a live node
-leads is never taken away: the node is ordered to hand it over, and only once it has
-released the partition is the next leader assigned.
+A partition without an active leader is reassigned at once. This is safe because a node
+whose lease has ended leads its partitions again only in a new epoch. An active leader is
+ordered to hand over a partition, and the next leader is assigned after the release.
 """
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
@@ -16,24 +15,24 @@
 from passlane.messages.store import PartitionAssignment
 
 MIN_BALANCING_MOVES = 4
-"""Partitions that may be on the move at once for even loads, in a small table."""
+"""Number of concurrent balancing moves in a small table."""
 
 PARTITIONS_PER_BALANCING_MOVE = 8
-"""In a large table, one partition in so many may be on the move at once."""
+"""Number of partitions per concurrent balancing move in a large table."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidates:
-    """The lives that matter to a plan.
+    """The nodes that a plan considers.
 
     Attributes
     ----------
     active
-        Lives that may hold a lease.
+        Nodes that may have a lease.
     eligible
-        Those of ``active`` that may get new partitions, with their addresses.
+        Nodes of ``active`` that may get new partitions, with their addresses.
     draining
-        Those of ``active`` that shall give up theirs.
+        Nodes of ``active`` that must hand over their partitions.
     """
 
     active: frozenset[NodeLife]
@@ -42,7 +41,7 @@
 
 
 class PartitionPlanner:
-    """Keeps the recorded table, the releases and the handovers, and plans the next steps.
+    """Tracks the recorded table, releases and handovers, and plans assignments.
 
     Parameters
     ----------
@@ -52,7 +51,7 @@
     Attributes
     ----------
     leading
-        The lives that the recorded table names.
+        The nodes in the recorded table.
     """
 
     def __init__(self, partition_count: int) -> None:
@@ -67,7 +66,7 @@
         self._moves: dict[Partition, Move] = {}
 
     def record_assignments(self, assignments: Iterable[PartitionAssignment]) -> None:
-        """Take over the recorded table; whatever was proposed is decided by it."""
+        """Replace the recorded table; drop releases and moves that it makes obsolete."""
         self._leaders.clear()
         self._epochs.clear()
         for assignment in assignments:
@@ -86,26 +85,26 @@
             if self._leaders.get(partition) == move.source
         }
 
-    def has_moves_from(self, life: NodeLife) -> bool:
-        """Return whether ``life`` has partitions to hand over."""
-        return any(move.source == life for move in self._moves.values())
+    def has_moves_from(self, node: NodeLife) -> bool:
+        """Return whether ``node`` has partitions to hand over."""
+        return any(move.source == node for move in self._moves.values())
 
-    def count_led(self, life: NodeLife) -> int:
-        """Return the number of partitions that the table gives to ``life``."""
-        return sum(1 for leader in self._leaders.values() if leader == life)
+    def count_led(self, node: NodeLife) -> int:
+        """Return the number of partitions that the table assigns to ``node``."""
+        return sum(1 for leader in self._leaders.values() if leader == node)
 
-    def take_releases(self, life: NodeLife, releases: Iterable[PartitionRelease]) -> None:
-        """Note the partitions that a node says it has stopped leading."""
+    def take_releases(self, node: NodeLife, releases: Iterable[PartitionRelease]) -> None:
+        """Record the partitions that a node has stopped leading."""
         for release in releases:
             partition = release.partition
             is_current = self._epochs.get(partition) == release.epoch
-            if is_current and self._leaders.get(partition) == life:
+            if is_current and self._leaders.get(partition) == node:
                 self._released[partition] = release.epoch
 
     def orders_for(
-        self, life: NodeLife, addresses: Mapping[NodeLife, Address]
+        self, node: NodeLife, addresses: Mapping[NodeLife, Address]
     ) -> tuple[HandoverOrder, ...]:
-        """Return the handovers that ``life`` has to carry out."""
+        """Return the handovers that ``node`` has to perform."""
         return tuple(
             HandoverOrder(
                 partition=partition,
@@ -114,11 +113,11 @@
                 to_address=addresses[move.target],
             )
             for partition, move in self._moves.items()
-            if move.source == life and partition not in self._released and move.target in addresses
+            if move.source == node and partition not in self._released and move.target in addresses
         )
 
     def plan(self, candidates: Candidates) -> tuple[PartitionAssignment, ...]:
-        """Return the assignments to propose now, and order handovers where they are due."""
+        """Return the assignments to propose now, and start handovers that are due."""
         self._plan_moves(candidates)
         loads = self._loads(candidates.active)
         planned = []
@@ -139,7 +138,7 @@
         return tuple(planned)
 
     def _leaderless(self, active: Collection[NodeLife]) -> list[Partition]:
-        """Return the partitions that nobody leads, or whose leader has stopped."""
+        """Return the partitions that have no active leader or were released."""
         return [
             partition
             for partition in map(Partition, range(self._partition_count))
@@ -155,13 +154,13 @@
         return choose_target(partition, candidates.eligible, loads)
 
     def _loads(self, active: Collection[NodeLife]) -> dict[NodeLife, int]:
-        """Return how many partitions each life leads once the moves under way are done."""
+        """Return the number of partitions of each node after the current moves."""
         loads: dict[NodeLife, int] = {}
         for partition, leader in self._leaders.items():
             move = self._moves.get(partition)
-            life = leader if move is None else move.target
-            if life in active and (move is not None or partition not in self._released):
-                loads[life] = loads.get(life, 0) + 1
+            node = leader if move is None else move.target
+            if node in active and (move is not None or partition not in self._released):
+                loads[node] = loads.get(node, 0) + 1
         return loads
 
     def _plan_moves(self, candidates: Candidates) -> None:
@@ -173,9 +172,9 @@
         if not candidates.eligible:
             return
         if candidates.draining:
-            settled = self._settled_partitions()
+            stable = self._stable_partitions()
             for source in candidates.draining:
-                self._drain(source, settled.get(source, ()), candidates)
+                self._drain(source, stable.get(source, ()), candidates)
         else:
             self._balance(candidates)
 
@@ -191,17 +190,17 @@
 
     def _balance(self, candidates: Candidates) -> None:
         if self._moves or self._leaderless(candidates.active):
-            # One round after the other: loads are even again only when all have arrived.
+            # Finish the current moves first, because loads are even only after them.
             return
-        settled = self._settled_partitions()
-        led = {life: settled.get(life, []) for life in candidates.eligible}
+        stable = self._stable_partitions()
+        led = {node: stable.get(node, []) for node in candidates.eligible}
         for move in balancing_moves(led, self._max_balancing_moves):
             self._moves[move.partition] = move
 
-    def _settled_partitions(self) -> dict[NodeLife, list[Partition]]:
-        """Return, for each life, what it leads and is not handing over, by number."""
-        settled: dict[NodeLife, list[Partition]] = {}
+    def _stable_partitions(self) -> dict[NodeLife, list[Partition]]:
+        """Return the partitions of each node that are not moving, ordered by number."""
+        stable: dict[NodeLife, list[Partition]] = {}
         for partition in sorted(self._leaders):
             if partition not in self._moves and partition not in self._released:
-                settled.setdefault(self._leaders[partition], []).append(partition)
-        return settled
+                stable.setdefault(self._leaders[partition], []).append(partition)
+        return stable
--- a/src/passlane/membership/placement.py
+++ b/src/passlane/membership/placement.py
@@ -1,4 +1,7 @@
-"""Which node a partition should go to: even loads, few moves, the same answer everywhere."""
+"""Chooses the node of a partition by load and rendezvous hashing.
+
+Loads are evened out with few moves, and results are deterministic.
+"""
 
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
@@ -10,9 +13,9 @@
 
 
 class NodeLife(NamedTuple):
-    """One run of a node's process.
+    """One incarnation of a node, that is, one run of its process.
 
-    A named tuple, because planning hashes and compares lives very often.
+    A named tuple, because planning hashes and compares it very often.
     """
 
     node_id: NodeId
@@ -21,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """A partition to be handed from one live node to another."""
+    """A planned handover of a partition between two active nodes."""
 
     partition: Partition
     source: NodeLife
@@ -31,8 +34,8 @@
 def rendezvous_weight(partition: Partition, node_id: NodeId) -> int:
     """Return the rendezvous-hashing weight of a node for a partition.
 
-    It depends on the node's name alone, so a restarted node gets its old partitions back
-    as far as loads allow.
+    It depends only on the node's name, so a restarted node gets its previous partitions
+    back if the loads permit.
     """
     return xxhash.xxh64_intdigest(f"{partition}/{node_id}".encode())
 
@@ -40,20 +43,20 @@
 def choose_target(
     partition: Partition, candidates: Iterable[NodeLife], loads: Mapping[NodeLife, int]
 ) -> NodeLife | None:
-    """Return the least loaded candidate, among equals the one of the highest weight."""
+    """Return the least loaded candidate; of several, the one with the highest weight."""
     least_loaded: list[NodeLife] = []
     least_load = 0
-    for life in candidates:
-        load = loads.get(life, 0)
+    for node in candidates:
+        load = loads.get(node, 0)
         if not least_loaded or load < least_load:
-            least_loaded = [life]
+            least_loaded = [node]
             least_load = load
         elif load == least_load:
-            least_loaded.append(life)
-    # Weights are worked out for these alone: hashing is most of the time of a large plan.
+            least_loaded.append(node)
+    # Weights are computed only for these, because hashing dominates a large plan.
     return max(
         least_loaded,
-        key=lambda life: rendezvous_weight(partition, life.node_id),
+        key=lambda node: rendezvous_weight(partition, node.node_id),
         default=None,
     )
 
@@ -63,22 +66,22 @@
 ) -> tuple[Move, ...]:
     """Return moves that even out the loads, at most ``max_moves``.
 
-    A partition moves only from a node that leads at least two more than the receiver;
-    so a fleet with equal loads is left alone.
+    A partition moves only from a node that leads at least two more than the target, so
+    balanced nodes keep their partitions.
     """
-    remaining = {life: list(partitions) for life, partitions in led.items()}
+    remaining = {node: list(partitions) for node, partitions in led.items()}
     moves: list[Move] = []
     while len(moves) < max_moves and len(remaining) > 1:
-        source = max(remaining, key=lambda life: (len(remaining[life]), life))
-        target = min(remaining, key=lambda life: (len(remaining[life]), life))
+        source = max(remaining, key=lambda node: (len(remaining[node]), node))
+        target = min(remaining, key=lambda node: (len(remaining[node]), node))
         if len(remaining[source]) - len(remaining[target]) < 2:
             break
-        partition = _best_for(remaining[source], target)
+        partition = _preferred_partition(remaining[source], target)
         remaining[source].remove(partition)
         remaining[target].append(partition)
         moves.append(Move(partition=partition, source=source, target=target))
     return tuple(moves)
 
 
-def _best_for(partitions: Sequence[Partition], target: NodeLife) -> Partition:
+def _preferred_partition(partitions: Sequence[Partition], target: NodeLife) -> Partition:
     return max(partitions, key=lambda partition: rendezvous_weight(partition, target.node_id))
--- a/tests/membership/lease_simulation.py
+++ b/tests/membership/lease_simulation.py
@@ -1,4 +1,7 @@
-"""A region of nodes and store leaders on an event heap: drift, loss, freezes, cuts, kills."""
+"""A discrete-event simulation of leases between nodes and store leaders.
+
+Faults: clock drift, message loss and delay, frozen and killed nodes, leader changes.
+"""
 
 import heapq
 import itertools
@@ -18,7 +21,9 @@
 
 PARTITIONS = 12
 SETTINGS = MembershipSettings(partitions=PARTITIONS, clock_drift_fraction=0.05)
-UNDAMPED = MembershipSettings(partitions=PARTITIONS, clock_drift_fraction=0.05, rejoin_delay_s=0.0)
+NO_BACKOFF = MembershipSettings(
+    partitions=PARTITIONS, clock_drift_fraction=0.05, rejoin_delay_s=0.0
+)
 NO_REVISION = Revision(0)
 
 
@@ -38,7 +43,7 @@
 
 @dataclass
 class Clock:
-    """A machine's clock; its rate differs from true time within the bound."""
+    """The clock of a machine, with an offset and a bounded rate error."""
 
     offset: float
     rate: float
@@ -58,13 +63,13 @@
     frozen_until: float = 0.0
 
     @property
-    def life(self) -> str:
+    def label(self) -> str:
         return f"{self.name}/{self.incarnation}"
 
 
 @dataclass
 class StoreReplica:
-    """One replica; ``table`` is set while it believes that it leads in ``term``."""
+    """One replica; ``table`` is set while it considers itself the leader of ``term``."""
 
     clock: Clock
     term: int = 0
@@ -74,7 +79,7 @@
 
 @dataclass
 class Region:
-    """Runs events in order of true time and checks that no two nodes lead a partition."""
+    """Runs events in time order and checks that no two nodes lead the same partition."""
 
     seed: int
     has_faults: bool = True
@@ -89,7 +94,7 @@
     def __post_init__(self) -> None:
         self.random = random.Random(self.seed)
         if self.settings is None:
-            self.settings = UNDAMPED if self.seed % 2 else SETTINGS
+            self.settings = NO_BACKOFF if self.seed % 2 else SETTINGS
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order: Iterator[int] = itertools.count()
         self.recorded = AssignmentTable()
@@ -103,7 +108,7 @@
         drift = SETTINGS.clock_drift_fraction
         return Clock(self.random.uniform(0, 1000), self.random.uniform(1 - drift, 1 + drift))
 
-    def later(self, delay: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
         heapq.heappush(self._events, (self.now + delay, next(self._order), action))
 
     def run(self, until: float) -> None:
@@ -121,23 +126,23 @@
         lease = NodeLease(NodeId(name), incarnation, SETTINGS.clock_drift_fraction)
         node = Node(name, incarnation, self._clock(), lease)
         self.nodes[name] = node
-        self.later(self.random.random(), lambda: self._beat(node))
+        self.schedule(self.random.random(), lambda: self._send_heartbeat(node))
 
     def kill_node(self, name: str) -> None:
         self.nodes[name].is_alive = False
-        self.later(self.random.choice((0.1, 1.0, 5.0)), lambda: self.start_node(name))
+        self.schedule(self.random.choice((0.1, 1.0, 5.0)), lambda: self.start_node(name))
 
     def freeze_node(self, name: str, duration: float) -> None:
         self.nodes[name].frozen_until = self.now + duration
 
     def elect(self) -> None:
-        """Make another replica the leader; the old one does not notice for a while."""
+        """Make another replica the leader; the old one notices after a delay."""
         old = self.leader
         if old is not None:
             if old.proposal and self.random.random() < 0.5:
                 self.recorded.assign(AssignPartitions(assignments=old.proposal))
             old.proposal = ()
-            self.later(self.random.uniform(0, 3), lambda: self._notice_deposed(old))
+            self.schedule(self.random.uniform(0, 3), lambda: self._notice_leadership_loss(old))
         self.term += 1
         new = self.random.choice([replica for replica in self.replicas if replica is not old])
         new.term = self.term
@@ -145,9 +150,9 @@
         assert self.settings is not None
         new.table = LeaseTable(self.settings, self.recorded.all(), new.clock.at(self.now))
         self.leader = new
-        self.later(0.1, lambda: self._plan(new, new.term))
+        self.schedule(0.1, lambda: self._plan(new, new.term))
 
-    def _notice_deposed(self, old: StoreReplica) -> None:
+    def _notice_leadership_loss(self, old: StoreReplica) -> None:
         if self.leader is not old:
             old.table = None
 
@@ -156,13 +161,13 @@
     def _plan(self, replica: StoreReplica, term: int) -> None:
         if self.leader is not replica or replica.term != term or replica.table is None:
             return
-        self.later(0.1, lambda: self._plan(replica, term))
+        self.schedule(0.1, lambda: self._plan(replica, term))
         if replica.proposal:
             return
         planned = replica.table.plan_assignments(replica.clock.at(self.now))
         if planned:
             replica.proposal = planned
-            self.later(self.random.uniform(0.001, 0.3), lambda: self._commit(replica, term))
+            self.schedule(self.random.uniform(0.001, 0.3), lambda: self._commit(replica, term))
 
     def _commit(self, replica: StoreReplica, term: int) -> None:
         if self.leader is not replica or replica.term != term or replica.table is None:
@@ -176,7 +181,7 @@
             return
         term = replica.term
         delay = self.random.uniform(0.001, 0.05) if self.has_barrier else 0.0
-        self.later(delay, lambda: self._answer(replica, term, heartbeat, sent_at))
+        self.schedule(delay, lambda: self._answer(replica, term, heartbeat, sent_at))
 
     def _answer(
         self, replica: StoreReplica, term: int, heartbeat: NodeHeartbeat, sent_at: float
@@ -187,17 +192,19 @@
         decision = replica.table.answer_heartbeat(
             heartbeat, NO_REVISION, replica.clock.at(self.now)
         )
-        news = heartbeat.table_version != self.recorded.version
+        changed = heartbeat.table_version != self.recorded.version
         reply = HeartbeatReply(
             lease_s=decision.lease_s,
             table_version=self.recorded.version if leads else heartbeat.table_version,
             accepted_revision=NO_REVISION,
-            table=self.recorded.changed_since(heartbeat.table_version) if news and leads else None,
+            table=self.recorded.changed_since(heartbeat.table_version)
+            if changed and leads
+            else None,
             handovers=decision.handovers,
         )
         node = self.nodes[heartbeat.node_id]
         if node.incarnation == heartbeat.incarnation and not self._is_lost():
-            self.later(self._delay(), lambda: self._take_reply(node, reply, sent_at))
+            self.schedule(self._delay(), lambda: self._receive_reply(node, reply, sent_at))
 
     # The nodes.
 
@@ -207,53 +214,53 @@
     def _is_lost(self) -> bool:
         return self.has_faults and self.random.random() < 0.1
 
-    def _beat(self, node: Node) -> None:
+    def _send_heartbeat(self, node: Node) -> None:
         if not node.is_alive:
             return
         if node.frozen_until > self.now:
-            self.later(node.frozen_until - self.now, lambda: self._beat(node))
+            self.schedule(node.frozen_until - self.now, lambda: self._send_heartbeat(node))
             return
-        self.later(SETTINGS.heartbeat_s, lambda: self._beat(node))
-        self._tell(node, node.lease.handle_time(node.clock.at(self.now)))
+        self.schedule(SETTINGS.heartbeat_s, lambda: self._send_heartbeat(node))
+        self._apply_changes(node, node.lease.handle_time(node.clock.at(self.now)))
         heartbeat = heartbeat_of(node.lease, node.is_draining)
         sent_at = node.clock.at(self.now)
         for replica in self.replicas:
             if replica.table is not None and not self._is_lost():
-                self.later(
+                self.schedule(
                     self._delay(),
                     lambda replica=replica: self._receive(replica, heartbeat, sent_at),  # type: ignore[misc]
                 )
 
-    def _take_reply(self, node: Node, reply: HeartbeatReply, sent_at: float) -> None:
+    def _receive_reply(self, node: Node, reply: HeartbeatReply, sent_at: float) -> None:
         if not node.is_alive:
             return
         if node.frozen_until > self.now:
-            thawed_in = node.frozen_until - self.now
-            self.later(thawed_in, lambda: self._take_reply(node, reply, sent_at))
+            remaining_s = node.frozen_until - self.now
+            self.schedule(remaining_s, lambda: self._receive_reply(node, reply, sent_at))
             return
-        self._tell(node, node.lease.handle_reply(reply, sent_at, node.clock.at(self.now)))
-        # Two can lead from the moment one begins to, and no earlier.
+        self._apply_changes(node, node.lease.handle_reply(reply, sent_at, node.clock.at(self.now)))
+        # A second leader can appear only when a node gains leadership.
         self._check()
 
-    def _tell(self, node: Node, changes: list[MembershipChange]) -> None:
+    def _apply_changes(self, node: Node, changes: list[MembershipChange]) -> None:
         for change in changes:
             if isinstance(change, LeadershipGained):
                 key = (change.partition, change.epoch)
                 if key in self.gained:
-                    self.problems.append(f"{self.now}: {node.life} gained {key} a second time")
+                    self.problems.append(f"{self.now}: {node.label} gained {key} twice")
                 self.gained.add(key)
             if isinstance(change, HandoverRequested):
                 partition = change.partition
-                self.later(
+                self.schedule(
                     self.random.uniform(0, 2),
                     lambda partition=partition: self._finish_handover(node, partition),  # type: ignore[misc]
                 )
 
     def _finish_handover(self, node: Node, partition: Partition) -> None:
         if node.is_alive and node.lease.handover_of(partition) is not None:
-            self._tell(node, node.lease.release(partition))
+            self._apply_changes(node, node.lease.release(partition))
 
-    # What is observed.
+    # Observation.
 
     def loads(self) -> list[int]:
         now = self.now
@@ -268,7 +275,7 @@
             if not node.is_alive or not node.lease.is_valid(node.clock.at(self.now)):
                 continue
             for partition in node.lease.led_partitions:
-                leaders.setdefault(partition, []).append(node.life)
-        for partition, lives in leaders.items():
-            if len(lives) > 1:
-                self.problems.append(f"{self.now}: {lives} lead partition {partition}")
+                leaders.setdefault(partition, []).append(node.label)
+        for partition, labels in leaders.items():
+            if len(labels) > 1:
+                self.problems.append(f"{self.now}: {labels} lead partition {partition}")
--- a/tests/membership/test_planning_cost.py
+++ b/tests/membership/test_planning_cost.py
@@ -1,4 +1,4 @@
-"""Work of one look at the partition table, counted in lines run, so that it repeats exactly."""
+"""Cost of one planning round, as the number of executed lines, which is deterministic."""
 
 import sys
 import unittest
@@ -14,10 +14,10 @@
 
 NO_REVISION = Revision(0)
 JOINED_AT = 3.0
-"""Later than the first guarded lease, so that the table may assign."""
+"""After the initial wait of a new leader, so that the table assigns partitions."""
 
 
-def lines_run(action: Callable[[], object]) -> int:
+def executed_lines(action: Callable[[], object]) -> int:
     count = 0
 
     def trace(frame: FrameType, event: str, argument: Any) -> Any:
@@ -50,16 +50,16 @@
     return table
 
 
-def lines_of_a_quiet_look(nodes: int, partitions: int) -> int:
+def lines_without_changes(nodes: int, partitions: int) -> int:
     table = table_of(nodes, partitions)
     table.record_assignments(table.plan_assignments(JOINED_AT))
-    return lines_run(lambda: table.plan_assignments(JOINED_AT + 0.1))
+    return executed_lines(lambda: table.plan_assignments(JOINED_AT + 0.1))
 
 
 class PlanningCostTest(unittest.TestCase):
-    def test_quiet_look_grows_with_nodes_and_partitions_but_not_with_their_product(self) -> None:
-        small = lines_of_a_quiet_look(nodes=40, partitions=60)
-        large = lines_of_a_quiet_look(nodes=120, partitions=180)
+    def test_cost_without_changes_is_not_proportional_to_nodes_times_partitions(self) -> None:
+        small = lines_without_changes(nodes=40, partitions=60)
+        large = lines_without_changes(nodes=120, partitions=180)
         self.assertLess(large, 4 * small)
 
 
