--- a/src/passlane/policy/__init__.py
+++ b/src/passlane/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Starlark policies: checking, bounded evaluation and fallback."""
+"""Starlark policies: validation, bounded evaluation and fallback to defaults."""
--- a/src/passlane/policy/checking.py
+++ b/src/passlane/policy/checking.py
@@ -1,7 +1,7 @@
-"""Checks a policy before it is accepted: parse, top level, and a dry run.
+"""Validates a policy before it is accepted: parsing, top level, and a dry run.
 
-The dry run asks each function about recorded calls and programs: short and long ones,
-first and late turns, with and without sub-agents, and names that no policy can know.
+The dry run calls each function with sample calls, programs and tenants: short and long
+prompts, first and later calls, sub-agents, and tenants that the policy may not handle.
 """
 
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyProblem:
-    """Why a policy can't be accepted; ``line`` counts from 1 where it is known."""
+    """A reason to reject a policy; ``line`` starts at 1 and is ``None`` if unknown."""
 
     message: str
     line: int | None = None
@@ -27,7 +27,7 @@
 
 
 def check_policy(source: str, max_steps: int) -> list[PolicyProblem]:
-    """Return the problems of a policy; an empty list if it may be accepted."""
+    """Return the problems of a policy, or an empty list if it is valid."""
     if len(source.encode()) > MAX_SOURCE_BYTES:
         return [PolicyProblem(f"the source is longer than {MAX_SOURCE_BYTES} bytes")]
     try:
@@ -45,9 +45,9 @@
 
 
 def _dry_run(evaluator: PolicyEvaluator) -> list[PolicyProblem]:
-    errors = [evaluator.classify(facts).problem for facts in _RECORDED_CALLS]
-    errors += [evaluator.budget(facts).problem for facts in _RECORDED_PROGRAMS]
-    errors += [evaluator.share(facts).problem for facts in _RECORDED_TENANTS]
+    errors = [evaluator.classify(facts).problem for facts in _SAMPLE_CALLS]
+    errors += [evaluator.budget(facts).problem for facts in _SAMPLE_PROGRAMS]
+    errors += [evaluator.share(facts).problem for facts in _SAMPLE_TENANTS]
     problems: list[PolicyProblem] = []
     for error in errors:
         if error is None:
@@ -61,7 +61,7 @@
 _TENANTS = tuple(
     TenantId(name) for name in ("tienda-rosa", "farmacia-centro", "muscat", "head-office", "")
 )
-_RECORDED_CALLS = tuple(
+_SAMPLE_CALLS = tuple(
     CallFacts(
         tenant=tenant,
         program=ProgramId("dispute-1"),
@@ -81,16 +81,16 @@
         (469, 200_000, 2_000_000),
     )
 )
-_RECORDED_PROGRAMS = tuple(
+_SAMPLE_PROGRAMS = tuple(
     ProgramFacts(
         tenant=tenant,
         program=ProgramId("dispute-1"),
-        asked_tokens=asked,
-        asked_calls=asked // 1_000,
-        asked_money_micros=asked * 10,
+        asked_tokens=requested,
+        asked_calls=requested // 1_000,
+        asked_money_micros=requested * 10,
         is_sub_agent=is_sub_agent,
     )
     for tenant in _TENANTS
-    for asked, is_sub_agent in ((0, False), (200_000, False), (5_000, True))
+    for requested, is_sub_agent in ((0, False), (200_000, False), (5_000, True))
 )
-_RECORDED_TENANTS = tuple(TenantFacts(tenant=tenant, service="disputes") for tenant in _TENANTS)
+_SAMPLE_TENANTS = tuple(TenantFacts(tenant=tenant, service="disputes") for tenant in _TENANTS)
--- a/src/passlane/policy/compiled.py
+++ b/src/passlane/policy/compiled.py
@@ -1,11 +1,14 @@
-"""A policy's source, compiled: its functions run within a bounded number of steps."""
+"""Compiles policies and calls their functions within a bounded number of steps.
+
+Wraps the Starlark interpreter and converts its errors.
+"""
 
 import starlark
 
 from passlane.errors import ErrorCode, PasslaneError
 
 STEPS_PER_CHECK = 1_000
-"""The interpreter asks whether to go on about once in so many instructions."""
+"""Approximate number of instructions between two cancellation checks of the interpreter."""
 
 MAX_CALL_DEPTH = 50
 FUNCTION_NAMES = ("classify", "budget", "share")
@@ -17,7 +20,7 @@
     Attributes
     ----------
     line
-        Line of the source, from 1, if known.
+        Line of the source, starting at 1, if known.
     """
 
     def __init__(self, message: str, line: int | None = None) -> None:
@@ -26,45 +29,45 @@
 
 
 class _StepLimit:
-    """Bounds the steps of one evaluation by the interpreter's questions whether to go on.
+    """Bounds the steps of one evaluation by counting the interpreter's cancellation checks.
 
-    Questions are counted, not seconds, so that the limit is the same on any machine.
+    The limit does not depend on time, so that it is the same on all machines.
     """
 
     def __init__(self, max_steps: int) -> None:
-        self._questions_left = max(max_steps // STEPS_PER_CHECK, 1)
+        self._checks_left = max(max_steps // STEPS_PER_CHECK, 1)
 
-    def count_question(self) -> bool:
-        """Count one question; return whether the interpreter is to stop."""
-        self._questions_left -= 1
+    def count_check(self) -> bool:
+        """Count one cancellation check; return whether the interpreter must stop."""
+        self._checks_left -= 1
         return self.is_exceeded
 
     @property
     def is_exceeded(self) -> bool:
-        """Whether the interpreter was told to stop."""
-        return self._questions_left < 0
+        """Whether the interpreter was stopped."""
+        return self._checks_left < 0
 
 
 def _options(limit: _StepLimit) -> starlark.EvalOptions:
     return starlark.EvalOptions(
-        check_cancelled=limit.count_question, max_callstack_size=MAX_CALL_DEPTH
+        check_cancelled=limit.count_check, max_callstack_size=MAX_CALL_DEPTH
     )
 
 
 class CompiledPolicy:
-    """A policy ready to be called. It keeps no state between calls and does no I/O.
+    """A compiled policy. It keeps no state between calls and does no I/O.
 
     Parameters
     ----------
     source
-        Starlark text.
+        Starlark source.
     max_steps
-        Bound on the instructions of one call; looked at once in ``STEPS_PER_CHECK`` of them.
+        Maximum number of instructions of one call, checked every ``STEPS_PER_CHECK``.
 
     Raises
     ------
     PolicyError
-        When the source does not parse, or fails when its top level is run.
+        When the source does not parse or its top level fails.
     """
 
     def __init__(self, source: str, max_steps: int) -> None:
@@ -80,7 +83,7 @@
         self._module = module.freeze()
 
     def defines(self, function: str) -> bool:
-        """Return whether the policy defines a function of that name."""
+        """Return whether the policy defines a function with this name."""
         return function in self._functions
 
     def call(self, function: str, argument: dict[str, object]) -> object:
@@ -89,7 +92,7 @@
         Raises
         ------
         PolicyError
-            When it fails or takes too many steps.
+            When the function fails or exceeds the maximum number of steps.
         """
         limit = _StepLimit(self.max_steps)
         try:
@@ -101,13 +104,15 @@
     def _error(self, error: starlark.StarlarkError, limit: _StepLimit) -> PolicyError:
         if limit.is_exceeded:
             return PolicyError(f"takes more than {self.max_steps} steps")
-        return policy_error(error)
+        return error_from_starlark(error)
 
 
-def policy_error(error: starlark.StarlarkError) -> PolicyError:
-    """Return the error with the message's gist and the line it names."""
+def error_from_starlark(error: starlark.StarlarkError) -> PolicyError:
+    """Return the error with the main line of the message and the source line."""
     lines = str(error).splitlines()
-    gist = next((line for line in lines if line.startswith("error:")), lines[0] if lines else "")
+    error_line = next(
+        (line for line in lines if line.startswith("error:")), lines[0] if lines else ""
+    )
     line_number = None
     for line in lines:
         name, separator, position = line.strip().removeprefix("--> ").partition(":")
@@ -115,19 +120,19 @@
             first = position.split(":")[0]
             line_number = int(first) if first.isdigit() else None
             break
-    return PolicyError(gist.removeprefix("error:").strip(), line_number)
+    return PolicyError(error_line.removeprefix("error:").strip(), line_number)
 
 
 def _defines(module: starlark.Module, name: str) -> bool:
-    """Return whether the module has a function of that name.
+    """Return whether the module has a function with this name.
 
-    Functions have no Python counterpart, so that the library refuses to hand one out;
-    any value that it does hand out is something else.
+    The library raises an error for functions, which it cannot convert to Python. A value
+    that it does return is not a function.
     """
     try:
         value = module[name]
     except starlark.StarlarkError:
-        # Not handed out, so it is a function.
+        # Not convertible, so it is a function.
         return True
     if value is None:
         return False
--- a/src/passlane/policy/evaluator.py
+++ b/src/passlane/policy/evaluator.py
@@ -1,4 +1,7 @@
-"""Asks a policy for its decisions; falls back to declared defaults where it fails."""
+"""Evaluates the functions of a policy; falls back to defaults when one fails.
+
+Validates the returned values and converts them to typed decisions.
+"""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -27,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision(Generic[Decided]):
-    """A decision; ``problem`` says why the default had to be taken, if it had."""
+    """A decision; ``problem`` is the reason if the default was used because of an error."""
 
     value: Decided
     problem: PolicyError | None = None
@@ -36,14 +39,14 @@
 class PolicyEvaluator:
     """Typed access to one compiled policy.
 
-    A function that the policy does not define gives the default without a problem.
+    For a function that the policy does not define, the default is used without a problem.
     """
 
     def __init__(self, policy: CompiledPolicy) -> None:
         self._policy = policy
 
     def classify(self, facts: CallFacts) -> Decision[CallDecision]:
-        """Return class and weight of a call."""
+        """Return the class and the weight of a call."""
         return self._decide("classify", facts, _parse_call_decision, DEFAULT_CALL_DECISION)
 
     def budget(self, facts: ProgramFacts) -> Decision[ProgramLimits]:
@@ -51,7 +54,7 @@
         return self._decide("budget", facts, _parse_limits, DEFAULT_PROGRAM_LIMITS)
 
     def share(self, facts: TenantFacts) -> Decision[float]:
-        """Return a tenant's share among the others; multiplies the weight of its calls."""
+        """Return the share of a tenant, by which the weight of its calls is multiplied."""
         return self._decide("share", facts, _parse_share, DEFAULT_SHARE)
 
     def _decide(
--- a/src/passlane/policy/facts.py
+++ b/src/passlane/policy/facts.py
@@ -1,6 +1,6 @@
-"""What policies are told and what they decide, as typed values.
+"""Inputs and results of policies as typed values.
 
-A policy sees each value as a Starlark dictionary with the field names given here.
+A policy receives each input as a Starlark dictionary with these field names.
 """
 
 import msgspec
@@ -9,18 +9,18 @@
 
 
 class CallFacts(msgspec.Struct, frozen=True):
-    """A call, as the policy's ``classify(call)`` sees it.
+    """A call, the input of the policy function ``classify(call)``.
 
     Attributes
     ----------
     sequence
         Number of the call in its program, from 0.
     prompt_tokens, max_tokens
-        Estimated length of the prompt, and most tokens that may be generated.
+        Estimated length of the prompt, and maximum number of generated tokens.
     spent_tokens, budget_tokens
-        What the program has spent so far, and may spend in all.
+        Tokens that the program has spent so far, and its budget.
     is_sub_agent
-        Whether the program was started by another.
+        Whether another program started this one.
     """
 
     tenant: TenantId
@@ -35,9 +35,9 @@
 
 
 class ProgramFacts(msgspec.Struct, frozen=True):
-    """A new program, as the policy's ``budget(program)`` sees it.
+    """A new program, the input of the policy function ``budget(program)``.
 
-    ``asked_*`` is what the caller asked for; 0 for what it left open.
+    ``asked_*`` are the amounts that the caller requested; 0 for unspecified ones.
     """
 
     tenant: TenantId
@@ -49,24 +49,24 @@
 
 
 class TenantFacts(msgspec.Struct, frozen=True):
-    """A tenant, as the policy's ``share(tenant)`` sees it."""
+    """A tenant, the input of the policy function ``share(tenant)``."""
 
     tenant: TenantId
     service: str = ""
 
 
 class CallDecision(msgspec.Struct, frozen=True):
-    """Answer to ``classify``: class 0 is served first; ``weight`` shares within a class."""
+    """Result of ``classify``: the priority class (0 is the highest) and the weight in it."""
 
     service_class: int = 1
     weight: float = 1.0
 
 
 class ProgramLimits(msgspec.Struct, frozen=True):
-    """Answer to ``budget``: the most that the program may have; ``None`` sets no limit here.
+    """Result of ``budget``: the limits of the program; ``None`` means no limit.
 
-    ``deadline_s`` bounds the program's life in seconds; ``tool_pause_s`` is how long
-    its tools usually take.
+    ``deadline_s`` bounds the lifetime of the program in seconds; ``tool_pause_s`` is the
+    usual duration of its tool calls in seconds.
     """
 
     tokens: int | None = None
@@ -79,4 +79,4 @@
 DEFAULT_CALL_DECISION = CallDecision()
 DEFAULT_PROGRAM_LIMITS = ProgramLimits()
 DEFAULT_SHARE = 1.0
-"""Decisions where a policy says nothing or fails."""
+"""Decisions for functions that a policy does not define or that fail."""
--- a/src/passlane/policy/governor.py
+++ b/src/passlane/policy/governor.py
@@ -1,7 +1,7 @@
-"""Policies in force at a node: which one governs a tenant, and what it decides.
+"""The policies in force at a node: selects the policy of a tenant and evaluates it.
 
-The governor is pure: it is told of configurations and of facts, and returns decisions.
-Replacing a policy takes effect with the next decision; decisions already made stay.
+Performs no I/O; the caller passes configurations and inputs. A replaced policy applies
+from the next decision on; earlier decisions do not change.
 """
 
 from collections import Counter
@@ -28,7 +28,7 @@
 
 
 class PolicySource(Protocol):
-    """The part of the configuration that policies come from, such as a configuration view."""
+    """The part of the configuration that policies need, such as a configuration view."""
 
     @property
     def tenants(self) -> Mapping[TenantId, TenantBody]:
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyProblemReport:
-    """A policy that failed and how often the same happened since the last report."""
+    """An error of a policy, and its number of occurrences since the last report."""
 
     policy: str
     message: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetDecision:
-    """Budget and life of a new program."""
+    """Budget, deadline and tool pause of a new program."""
 
     budget: Amounts
     deadline_s: float | None
@@ -65,14 +65,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Governing:
+class _ApplicablePolicy:
     name: str
     service: str
     evaluator: PolicyEvaluator
 
 
 class PolicyGovernor:
-    """Decides for all tenants by the policies in force."""
+    """Evaluates the policies in force for all tenants."""
 
     def __init__(self) -> None:
         self._source: PolicySource | None = None
@@ -80,63 +80,66 @@
         self._problems: Counter[tuple[str, str]] = Counter()
 
     def update(self, source: PolicySource) -> None:
-        """Act on another configuration from now on; unchanged policies stay compiled."""
+        """Use another configuration from now on; unchanged policies are not recompiled."""
         self._source = source
-        kept: dict[str, tuple[PolicyBody, PolicyEvaluator]] = {}
+        compiled: dict[str, tuple[PolicyBody, PolicyEvaluator]] = {}
         for name, body in source.policies.items():
-            known = self._compiled.get(name)
-            if known is not None and known[0] == body:
-                kept[name] = known
+            previous = self._compiled.get(name)
+            if previous is not None and previous[0] == body:
+                compiled[name] = previous
                 continue
             try:
-                kept[name] = (body, PolicyEvaluator(CompiledPolicy(body.source, body.max_steps)))
+                compiled[name] = (
+                    body,
+                    PolicyEvaluator(CompiledPolicy(body.source, body.max_steps)),
+                )
             except PolicyError as error:
-                # Accepted policies were checked; this is an older program's or a newer's.
+                # Accepted policies were checked, but perhaps by another version of passlane.
                 self._report(name, error)
-        self._compiled = kept
+        self._compiled = compiled
 
     def classify(self, facts: CallFacts) -> CallDecision:
-        """Return class and weight of a call; the tenant's share is counted in."""
-        governing = self._governing(facts.tenant)
-        if governing is None:
+        """Return the class of a call and its weight, multiplied by the tenant's share."""
+        applicable = self._applicable_policy(facts.tenant)
+        if applicable is None:
             return CallDecision()
-        decision = self._resolved(governing, governing.evaluator.classify(facts))
-        tenant = TenantFacts(facts.tenant, governing.service)
-        share = self._resolved(governing, governing.evaluator.share(tenant))
+        decision = self._value_of(applicable, applicable.evaluator.classify(facts))
+        tenant = TenantFacts(facts.tenant, applicable.service)
+        share = self._value_of(applicable, applicable.evaluator.share(tenant))
         return CallDecision(decision.service_class, decision.weight * share)
 
-    def budget(self, facts: ProgramFacts, asked: Amounts | None) -> BudgetDecision:
+    def budget(self, facts: ProgramFacts, requested: Amounts | None) -> BudgetDecision:
         """Return the budget of a new program.
 
-        What the caller asked for, or else the tenant's default, is cut to the tenant's
-        maximum and to what the policy allows.
+        The requested budget, or else the tenant's default, is limited by the maximum of
+        the tenant and by the policy.
         """
         tenant = self._tenant(facts.tenant)
         limits = ProgramLimits()
-        governing = self._governing(facts.tenant)
-        if governing is not None:
-            limits = self._resolved(governing, governing.evaluator.budget(facts))
-        wanted = asked if asked is not None else tenant.default_budget
+        applicable = self._applicable_policy(facts.tenant)
+        if applicable is not None:
+            limits = self._value_of(applicable, applicable.evaluator.budget(facts))
+        requested_or_default = requested if requested is not None else tenant.default_budget
         return BudgetDecision(
-            budget=_smaller(_smaller(wanted, tenant.max_budget), _amounts(limits)),
+            budget=_minimum(_minimum(requested_or_default, tenant.max_budget), _amounts(limits)),
             deadline_s=limits.deadline_s,
             tool_pause_s=limits.tool_pause_s,
         )
 
     def explain(self, facts: CallFacts) -> str:
-        """Return in a few words which policy governs a call and what it decides."""
-        governing = self._governing(facts.tenant)
-        if governing is None:
+        """Return a short text that names the policy of a call and its decision."""
+        applicable = self._applicable_policy(facts.tenant)
+        if applicable is None:
             return "no policy governs the tenant: class 1, weight 1"
-        decision = governing.evaluator.classify(facts)
+        decision = applicable.evaluator.classify(facts)
         problem = "" if decision.problem is None else f" (default: {decision.problem.message})"
         return (
-            f"policy {governing.name}: class {decision.value.service_class}, "
+            f"policy {applicable.name}: class {decision.value.service_class}, "
             f"weight {decision.value.weight:g}{problem}"
         )
 
     def take_problems(self) -> list[PolicyProblemReport]:
-        """Return what went wrong since the last time, for logs and metrics."""
+        """Return the problems since the last call, for logs and metrics, and clear them."""
         reports = [
             PolicyProblemReport(policy, message, times)
             for (policy, message), times in self._problems.items()
@@ -144,7 +147,7 @@
         self._problems.clear()
         return reports
 
-    def _governing(self, tenant_id: TenantId) -> _Governing | None:
+    def _applicable_policy(self, tenant_id: TenantId) -> _ApplicablePolicy | None:
         if self._source is None:
             return None
         tenant = self._source.tenants.get(tenant_id)
@@ -154,15 +157,15 @@
         compiled = self._compiled.get(service.policy)
         if compiled is None:
             return None
-        return _Governing(service.policy, tenant.service, compiled[1])
+        return _ApplicablePolicy(service.policy, tenant.service, compiled[1])
 
     def _tenant(self, tenant_id: TenantId) -> TenantBody:
-        known = None if self._source is None else self._source.tenants.get(tenant_id)
-        return known or TenantBody(service="")
+        tenant = None if self._source is None else self._source.tenants.get(tenant_id)
+        return tenant or TenantBody(service="")
 
-    def _resolved(self, governing: _Governing, decision: Decision[Decided]) -> Decided:
+    def _value_of(self, applicable: _ApplicablePolicy, decision: Decision[Decided]) -> Decided:
         if decision.problem is not None:
-            self._report(governing.name, decision.problem)
+            self._report(applicable.name, decision.problem)
         return decision.value
 
     def _report(self, policy: str, error: PolicyError) -> None:
@@ -180,7 +183,7 @@
     )
 
 
-def _smaller(first: Amounts, second: Amounts) -> Amounts:
+def _minimum(first: Amounts, second: Amounts) -> Amounts:
     return Amounts(
         tokens=min(first.tokens, second.tokens),
         calls=min(first.calls, second.calls),
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -1,4 +1,4 @@
-"""Policies: what is refused at submission, and what happens when one fails later."""
+"""Policies: validation before acceptance, evaluation, and fallback on errors."""
 
 import unittest
 from dataclasses import dataclass, field
@@ -44,13 +44,13 @@
 
 
 class CheckPolicyTest(unittest.TestCase):
-    def test_examples_are_accepted(self):
+    def test_examples_are_valid(self):
         files = sorted(EXAMPLES.glob("*.star"))
         self.assertEqual(["music-house.star", "topup.star"], [file.name for file in files])
         for file in files:
             self.assertEqual([], check_policy(file.read_text(), MAX_STEPS), file.name)
 
-    def test_example_documents_let_a_service_be_governed_by_the_policy(self):
+    def test_example_documents_add_the_policy_to_a_service(self):
         for name, example in (("topup", "amre-topup"), ("music-house", "music-house")):
             drafts = load_document_files(EXAMPLES / f"{name}.toml")
             bodies = {draft.kind: parse_body(draft.kind, draft.body) for draft in drafts}
@@ -65,7 +65,7 @@
             ungoverned = msgspec.structs.replace(service, policy=None)
             self.assertIn(ungoverned, existing, "only the policy is added")
 
-    def test_examples_put_the_waiting_people_first(self):
+    def test_examples_give_interactive_calls_the_highest_priority(self):
         cases = {
             ("topup", "corner-shop", 0): 0,
             ("topup", "corner-shop", 40): 1,
@@ -77,10 +77,10 @@
             with self.subTest(name=name, tenant=tenant, sequence=sequence):
                 source = (EXAMPLES / f"{name}.star").read_text()
                 evaluator = PolicyEvaluator(CompiledPolicy(source, MAX_STEPS))
-                asked = facts(tenant=TenantId(tenant), sequence=sequence)
-                self.assertEqual(expected, evaluator.classify(asked).value.service_class)
+                call = facts(tenant=TenantId(tenant), sequence=sequence)
+                self.assertEqual(expected, evaluator.classify(call).value.service_class)
 
-    def test_faults_are_found_before_acceptance(self):
+    def test_invalid_policies_are_rejected_with_the_reason(self):
         loop = "def classify(call):\n  for i in range(100000000):\n    pass\n  return {}"
         deep = "def f(n):\n  return f(n + 1)\ndef classify(call):\n  return f(0)"
         late = (
@@ -117,16 +117,16 @@
         governor.update(configuration(source))
         return governor
 
-    def test_budget_is_cut_to_tenant_and_policy(self):
+    def test_budget_is_limited_by_tenant_and_policy(self):
         governor = self.governor("def budget(program): return {'calls': 20, 'deadline_s': 9.0}")
         program = ProgramFacts(tenant=TENANT, program=ProgramId("p1"))
-        asked = Amounts(tokens=5_000, calls=40, money_micros=99)
-        decision = governor.budget(program, asked)
+        requested = Amounts(tokens=5_000, calls=40, money_micros=99)
+        decision = governor.budget(program, requested)
         self.assertEqual(Amounts(tokens=1_000, calls=20, money_micros=5), decision.budget)
         self.assertEqual(9.0, decision.deadline_s)
         self.assertEqual(Amounts(tokens=100, calls=10), governor.budget(program, None).budget)
 
-    def test_run_time_error_falls_back_and_is_reported(self):
+    def test_runtime_error_falls_back_to_default_and_is_reported(self):
         governor = self.governor(
             "def classify(call):\n"
             "  if call['prompt_tokens'] == 77:\n    return {'class': 1 // 0}\n"
@@ -143,7 +143,7 @@
         self.assertEqual([], governor.take_problems())
         self.assertIn("default", governor.explain(facts(prompt_tokens=77)))
 
-    def test_policy_is_replaced_while_running(self):
+    def test_replaced_policy_applies_to_the_next_decision(self):
         governor = self.governor("def classify(call): return {'class': 0}")
         self.assertEqual(0, governor.classify(facts()).service_class)
         governor.update(configuration("def classify(call): return {'class': 4}"))
@@ -154,7 +154,7 @@
         governor.update(configuration(None))
         self.assertEqual(1, governor.classify(facts(tenant=TenantId("x"))).service_class)
 
-    def test_calls_leave_no_state_behind(self):
+    def test_policy_cannot_change_module_state(self):
         governor = self.governor(
             "seen = []\ndef classify(call):\n  seen.append(1)\n  return {'class': len(seen)}"
         )
