--- a/src/passlane/policy/evaluator.py
+++ b/src/passlane/policy/evaluator.py
@@ -110,10 +110,10 @@
     return float(weight)
 
 
-def _fields(value: object, known: set[str]) -> Mapping[str, Any]:
+def _fields(value: object, allowed: set[str]) -> Mapping[str, Any]:
     if not isinstance(value, dict):
         raise PolicyError("must return a dictionary")
-    unknown = sorted(str(name) for name in value if name not in known)
+    unknown = sorted(str(name) for name in value if name not in allowed)
     if unknown:
         raise PolicyError(f"returned unknown fields: {', '.join(unknown)}")
     return value
--- a/tests/control/state/test_machine.py
+++ b/tests/control/state/test_machine.py
@@ -200,10 +200,10 @@
     def check(self, operator: Operator, before: ConfigurationView, view: ConfigurationView) -> None:
         self.assertGreaterEqual(view.revision_in_force, before.revision_in_force)
         self.assertLessEqual(view.revision_in_force, operator.machine.ledger.accepted_revision)
-        held = {name: encode_body(body) for name, body in view.policies.items()}
-        self.assertEqual(held, operator.policies_at(view.revision_in_force))
+        in_force = {name: encode_body(body) for name, body in view.policies.items()}
+        self.assertEqual(in_force, operator.policies_at(view.revision_in_force))
         for withdrawn in operator.withdrawn:
-            self.assertNotIn(operator.history[withdrawn - 1].body, [*held.values()])
+            self.assertNotIn(operator.history[withdrawn - 1].body, [*in_force.values()])
 
     def run_seed(self, seed: int) -> int:
         operator = Operator(seed)
--- a/tests/control/test_control_group.py
+++ b/tests/control/test_control_group.py
@@ -207,8 +207,8 @@
 
     async def write(self, number):
         name = f"p{self.random.randrange(4)}"
-        known = self.newest_confirmed.get(name)
-        command = put(name, str(number), known.version if known else 0, f"k{number}")
+        confirmed = self.newest_confirmed.get(name)
+        command = put(name, str(number), confirmed.version if confirmed else 0, f"k{number}")
         verdicts = set()
         for _ in range(2):
             try:
--- a/tests/store/test_machine.py
+++ b/tests/store/test_machine.py
@@ -182,10 +182,10 @@
         run(self.machine, begin("p", 0))
         run(self.machine, finish("p", 0))
         before = snapshot_of(self.machine)
-        late = finish("p", 0, spent=Amounts(tokens=9, calls=1))
-        changed = msgspec.structs.replace(late.outcome, verdict=Verdict.MAY_HAVE_RUN)
-        late = msgspec.structs.replace(late, outcome=changed)
-        self.assertIsInstance(run(self.machine, late), StoreDone)
+        second = finish("p", 0, spent=Amounts(tokens=9, calls=1))
+        changed = msgspec.structs.replace(second.outcome, verdict=Verdict.MAY_HAVE_RUN)
+        second = msgspec.structs.replace(second, outcome=changed)
+        self.assertIsInstance(run(self.machine, second), StoreDone)
         self.assertEqual(snapshot_of(self.machine), before)
 
     def test_second_run_under_a_new_leader_is_charged_again(self) -> None:
