--- a/src/passlane/daemon/__init__.py
+++ b/src/passlane/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The processes: ``fleet_start`` runs one of a fleet (``fleet/``), ``main`` is ``passlaned``."""
+"""Entry points: ``fleet_start`` runs a process of a fleet (``fleet/``), ``main`` ``passlaned``."""
--- a/src/passlane/daemon/fleet/control.py
+++ b/src/passlane/daemon/fleet/control.py
@@ -1,8 +1,8 @@
 """A control replica of a fleet: configuration, directory, operators' requests.
 
 For: the role ``control``.
-Owns: a replica of the group ``control`` and the services on top of it, this process's own
-heartbeats, and the server for operators.
+Owns: a replica of the group ``control`` and the services on top of it, this process's heartbeats,
+and the HTTP server for operators.
 Relies on: the seeds, which are the initial members of the group.
 """
 
@@ -12,8 +12,8 @@
 from passlane.daemon.shared.replicas import (
     CONTROL_FOLDER,
     CONTROL_GROUP,
-    hand_over_leadership,
-    members_at_start,
+    initial_members,
+    transfer_leadership,
 )
 from passlane.fleet.follower import FleetFollower
 from passlane.fleet.operator import FleetOperator
@@ -27,23 +27,16 @@
 from passlane.settings.model import GroupSettings, PeerSettings
 
 HEARTBEAT_S = 0.15
-"""Seconds between the group leader's heartbeats to its followers (not those of the fleet).
-
-Not measured; chosen: longer than at stores, since control replicas have the slowest processor
-(``docs/design/start-after-loss.md``).
-"""
+"""Interval of the Raft heartbeats within the group (not of those of the fleet); longer than in the
+store group, because control replicas have slower processors."""
 ELECTION_TIMEOUT_S = 0.5
-"""Seconds of silence after which a follower asks for votes. Not measured; chosen."""
+"""Time without a heartbeat after which a follower starts an election."""
 FIRST_ELECTION_SHARE = 0.1
-"""Share of the time-out before the first elections after a start.
-
-What sooner first elections gave: ``docs/measurements/further-deployment.md``, trial c. The
-share itself is not measured; chosen.
-"""
+"""Share of the election timeout that applies to the first elections after a start."""
 SNAPSHOT_EVERY_ENTRIES = 500
-"""Entries between two snapshots. Not measured; chosen: the state is small."""
+"""Log entries between two snapshots; low, because the state is small."""
 SEGMENT_BYTES = 2_000_000
-"""Bytes of one file of the log. Not measured; chosen."""
+"""Size of one segment file of the log."""
 
 
 class FleetControl:
@@ -79,7 +72,7 @@
             CONTROL_GROUP,
             own.name,
             GroupSettings(
-                members=members_at_start(own, seeds),
+                members=initial_members(own, seeds),
                 heartbeat_s=HEARTBEAT_S,
                 election_timeout_s=ELECTION_TIMEOUT_S,
                 first_election_share=FIRST_ELECTION_SHARE,
@@ -92,15 +85,15 @@
             context.router,
             CONTROL_FOLDER,
             may_found=is_seed and context.settings.process.is_first_start,
-            find_members=self._known_members,
+            find_members=self._find_members,
         )
 
-    def _known_members(self) -> list[PeerSettings]:
-        known = [PeerSettings(name=a.host, internal=a) for a in self._follower.leader.controls]
+    def _find_members(self) -> list[PeerSettings]:
+        controls = [PeerSettings(name=a.host, internal=a) for a in self._follower.leader.controls]
         members = [
             PeerSettings(name=m.address.host, internal=m.address) for m in self._host.members
         ]
-        return known + members
+        return controls + members
 
     def _control_addresses(self) -> tuple[Address, ...]:
         return self._follower.leader.controls
@@ -121,10 +114,10 @@
         await self._context.environment.http_server.serve(address, application)
 
     def reload(self, settings: FleetSettings) -> None:
-        """Take over what may change while the process runs."""
+        """Apply those settings that may change while the process runs."""
         self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
 
     async def drain_and_stop(self) -> None:
-        """Hand over leadership, then stop."""
-        await hand_over_leadership(self._host)
+        """Transfer leadership to another replica if this one leads, then stop."""
+        await transfer_leadership(self._host)
         self._scope.cancel()
--- a/src/passlane/daemon/fleet/store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -1,9 +1,9 @@
 """A store replica of a fleet: budgets and histories of programs.
 
 For: the role ``store``.
-Owns: a replica of the group ``turns`` and the services on top of it, this process's own
-heartbeats, and the order of waiting turns while it leads.
-Relies on: the control group for the group's initial members and the list of back ends.
+Owns: a replica of the group ``turns`` and the services on top of it, this process's heartbeats,
+and the queue of waiting turns while it leads.
+Relies on: the control group for the group's initial members and the list of backends.
 """
 
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 import msgspec
 
 from passlane.daemon.fleet.context import FleetContext
-from passlane.daemon.shared.replicas import STORE_FOLDER, hand_over_leadership, members_at_start
+from passlane.daemon.shared.replicas import STORE_FOLDER, initial_members, transfer_leadership
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.fleet.follower import FleetFollower
@@ -32,21 +32,11 @@
 
 TURN_GROUP = "turns"
 HEARTBEAT_S = 0.08
-"""Seconds between the group leader's heartbeats to its followers (not those of the fleet).
-
-Not measured; chosen. What they cost: ``docs/design/store-groups.md``.
-"""
+"""Interval of the Raft heartbeats within the group (not of those of the fleet)."""
 ELECTION_TIMEOUT_S = 0.35
-"""Seconds of silence after which a follower asks for votes.
-
-Not measured; chosen. Leaders that stood still for longer: ``docs/design/store-leader-cost.md``.
-"""
+"""Time without a heartbeat after which a follower starts an election."""
 FIRST_ELECTION_SHARE = 0.15
-"""Share of the time-out before the first elections after a start.
-
-What sooner first elections gave: ``docs/measurements/further-deployment.md``, trial c. The
-share itself is not measured; chosen.
-"""
+"""Share of the election timeout that applies to the first elections after a start."""
 
 _log = get_logger(__name__)
 
@@ -64,12 +54,12 @@
             self._heartbeat, context.seed_addresses(), context.pool, context.environment.random
         )
         self._dispatcher = TurnDispatcher(TurnScheduler())
-        self._follower.backends.on_confirmation(self._take_backends)
+        self._follower.backends.on_confirmation(self._apply_backends)
         context.router.add_unary(RemoveReplica, self._remove_replica)
 
     @property
     def replica(self) -> ReplicaHost | None:
-        """The replica of the store group; ``None`` until the group is known."""
+        """The replica of the store group; ``None`` until the group's members are received."""
         return self._host
 
     async def run(self) -> None:
@@ -80,7 +70,7 @@
                 tasks.start_soon(self._follower.run)
 
     async def _run_replica(self) -> None:
-        """Wait until the group's members are known, unless the disk tells; then run."""
+        """Run the replica; unless the disk records its membership, wait for the members first."""
         context = self._context
         disk = context.environment.disk
         identity_file = IdentityFile(disk, STORE_FOLDER, TURN_GROUP, context.replica_name)
@@ -103,8 +93,8 @@
             tasks.start_soon(host.run)
             tasks.start_soon(service.run)
 
-    def _take_backends(self, records: Sequence[BackendRecord], read_at: float) -> None:
-        """Take over the list of back ends; the same list comes again and again."""
+    def _apply_backends(self, records: Sequence[BackendRecord], read_at: float) -> None:
+        """Apply the list of backends; repeated confirmations of the same list are skipped."""
         if records is not self._backends:
             self._backends = records
             self._dispatcher.replace_backends(records)
@@ -132,7 +122,7 @@
             TURN_GROUP,
             own.name,
             GroupSettings(
-                members=members_at_start(own, members),
+                members=initial_members(own, members),
                 heartbeat_s=HEARTBEAT_S,
                 election_timeout_s=ELECTION_TIMEOUT_S,
                 first_election_share=FIRST_ELECTION_SHARE,
@@ -144,15 +134,15 @@
             context.router,
             STORE_FOLDER,
             may_found=self._may_found,
-            find_members=self._known_members,
+            find_members=self._find_members,
             may_join=self._may_join,
             zone=context.settings.process.zone,
         )
 
-    def _known_members(self) -> list[PeerSettings]:
-        known = [PeerSettings(name=s.name, internal=s.address) for s in self._follower.view.stores]
+    def _find_members(self) -> list[PeerSettings]:
+        stores = [PeerSettings(name=s.name, internal=s.address) for s in self._follower.view.stores]
         members = self._host.members if self._host is not None else ()
-        return known + [PeerSettings(name=m.address.host, internal=m.address) for m in members]
+        return stores + [PeerSettings(name=m.address.host, internal=m.address) for m in members]
 
     def _may_join(self) -> bool:
         return self._context.replica_name not in self._follower.view.retired_replicas
@@ -169,7 +159,7 @@
         )
 
     async def _remove_replica(self, request: RemoveReplica) -> ReplicaRemoved:
-        """Have a retired replica replaced and removed, if this one leads."""
+        """Replace and remove a retired replica; only the group's leader can."""
         if self._host is None:
             raise NotLeaderError("the replica of the store group is not running", None)
         await self._host.remove_member(request.replica_name)
@@ -177,11 +167,11 @@
         return ReplicaRemoved(request.replica_name)
 
     def reload(self, settings: FleetSettings) -> None:
-        """Take over what may change while the process runs."""
+        """Apply those settings that may change while the process runs."""
         self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
 
     async def drain_and_stop(self) -> None:
-        """Hand over leadership, then stop."""
+        """Transfer leadership to another replica if this one leads, then stop."""
         if self._host is not None:
-            await hand_over_leadership(self._host)
+            await transfer_leadership(self._host)
         self._scope.cancel()
--- a/src/passlane/daemon/fleet_start.py
+++ b/src/passlane/daemon/fleet_start.py
@@ -1,13 +1,12 @@
-"""The program that the platform starts: what must not wait for the imports of the rest.
+"""Entry point of a process of a fleet: the steps that must not wait for the other imports.
 
-For: ``deploy/system.toml`` names this module's path, for all three roles of a fleet.
-Owns: the sockets that listen early.
-Relies on: as little as possible before ``fleet.process`` is imported.
+For: ``deploy/system.toml``, which runs this module for all three roles.
+Owns: the sockets that listen before the daemon is imported.
+Relies on: as few imports as possible before ``fleet.process``.
 
-A reload signal may come while the process is still importing; by default it would end it.
-Clients may connect meanwhile; they wait instead of being reset. Nothing that is imported
-is garbage, so the collector rests until the process runs. No role speaks TLS, so OpenSSL
-stays out.
+While the rest is imported, SIGHUP is ignored, since by default it ends the process, and clients
+that connect wait instead of being reset. Garbage collection is off, because imports produce no
+garbage. No role uses TLS, so OpenSSL isn't loaded.
 """
 
 import gc
@@ -24,11 +23,11 @@
 from passlane.runtime.without_openssl import leave_openssl_out
 
 EARLY_ADDRESSES = ("callers", "readiness", "operators")
-"""Settings under ``addresses`` that others connect to from outside the fleet."""
+"""Settings under ``addresses`` that clients outside the fleet connect to."""
 
 
 def main() -> int:
-    """Listen and ignore reload signals until the daemon takes over, then run it."""
+    """Listen and ignore SIGHUP while the daemon is imported, then run it."""
     started_at = time.monotonic()
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     gc.disable()
@@ -44,16 +43,15 @@
 
 
 def early_addresses(path: Path) -> Iterator[str]:
-    """Return the addresses to listen on at once; none if the settings can't be read.
+    """Return the addresses to listen on immediately; none if the settings can't be read.
 
-    Raises no error: whatever is wrong with the settings is told when ``fleet.process`` checks
-    them, a moment later and before anything else is done.
+    Raises no error: ``fleet.process`` reports invalid settings before it does anything else.
     """
     try:
         addresses = tomllib.loads(path.read_text())["addresses"]
     except (OSError, ValueError, KeyError):
-        # Silent, since the check of the settings names the same problem and ends the process.
-        # There is no log yet, and the logging's imports are what listening must not wait for.
+        # Not logged: the check of the settings reports the same error and ends the process, and
+        # the imports of the log would delay listening.
         return
     for name in EARLY_ADDRESSES:
         address = addresses.get(name) if isinstance(addresses, dict) else None
--- a/src/passlane/daemon/main.py
+++ b/src/passlane/daemon/main.py
@@ -1,7 +1,7 @@
 """The command ``passlaned``: runs one process of passlane.
 
-For: ``pyproject.toml`` names this module's path as the command; a node leads programs.
-Owns: the command line, the signals, and the exit codes.
+For: the entry point ``passlaned`` in ``pyproject.toml``. Nodes of ``passlaned`` lead programs.
+Owns: the command line, the signal handling and the exit codes.
 Relies on: ``passlaned.daemon`` for the process itself.
 """
 
@@ -31,7 +31,7 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1
-"""A part failed for good."""
+"""A part of the daemon exceeded its restart limit."""
 EXIT_BAD_SETTINGS = 2
 
 _KEY_OF_OPTION: Mapping[str, str] = {
@@ -43,24 +43,24 @@
 
 
 class RunCommand(Command):
-    """Runs the daemon, or with ``--check`` only reads its settings."""
+    """Runs the daemon; with ``--check`` only checks its settings."""
 
     name = "passlaned"
     description = "Runs one process of passlane."
     options: ClassVar[list[Option]] = [
         option("settings", "s", "Settings file (TOML).", flag=False),
-        option("check", None, "Only check the settings, then exit.", flag=True),
-        option("address-internal", None, "Replaces addresses.internal (host:port).", flag=False),
-        option("address-operators", None, "Replaces addresses.operators.", flag=False),
-        option("address-callers", None, "Replaces addresses.callers.", flag=False),
-        option("zone", None, "Replaces process.zone.", flag=False),
+        option("check", None, "Check the settings, then exit.", flag=True),
+        option("address-internal", None, "Overrides addresses.internal (host:port).", flag=False),
+        option("address-operators", None, "Overrides addresses.operators (host:port).", flag=False),
+        option("address-callers", None, "Overrides addresses.callers (host:port).", flag=False),
+        option("zone", None, "Overrides process.zone.", flag=False),
     ]
 
     def handle(self) -> int:
         """Run the command and return the exit code."""
         path = self.option("settings")
         if path is None:
-            self.line_error("passlaned: --settings FILE is needed")
+            self.line_error("passlaned: --settings FILE is required")
             return EXIT_BAD_SETTINGS
         try:
             settings = load_settings(Path(path), self._overrides())
@@ -78,7 +78,7 @@
 
 
 def run_daemon(settings: Settings) -> int:
-    """Run a daemon until a signal has drained it; return the exit code."""
+    """Run a daemon until it has drained after a signal; return the exit code."""
     ring = RingLog(settings.observability.ring_lines)
     configure_logging(ring, process=settings.process.name)
     network = DelayedNetwork(TcpNetwork(), settings.process.zone, settings.delays)
@@ -113,11 +113,11 @@
 
 
 def main() -> int:
-    """Run ``passlaned`` as a command of one purpose."""
+    """Run the ``passlaned`` command; return the exit code."""
     application = Application("passlaned", importlib.metadata.version("passlane"))
     application.auto_exits(False)
     application.add(RunCommand())
-    # cleo's switch for programs without subcommands has no public setter.
+    # cleo has no public setter for programs without subcommands.
     application._default_command = RunCommand.name
     application._single_command = True
     return application.run()
--- a/src/passlane/daemon/passlaned/__init__.py
+++ b/src/passlane/daemon/passlaned/__init__.py
@@ -1,1 +1,1 @@
-"""The process of ``passlaned``, with one or several roles. A node leads programs."""
+"""The process of ``passlaned``, with one or several roles. Its nodes lead programs."""
--- a/src/passlane/daemon/passlaned/daemon.py
+++ b/src/passlane/daemon/passlaned/daemon.py
@@ -1,8 +1,8 @@
-"""Builds a daemon from its settings and an environment, real or simulated.
+"""Builds a daemon from its settings and a real or simulated environment.
 
-For: ``main`` runs it on the real environment, simulations on a simulated one.
-Owns: the supervisor tree, the connections to other processes, the server for operators, and
-how a planned stop goes.
+For: ``main``, which runs it in the real environment, and simulations.
+Owns: the supervisor tree, the connections to other processes, the HTTP server for operators, and
+the planned stop.
 Relies on: one part for each role (``parts``).
 """
 
@@ -26,10 +26,7 @@
 from passlane.transport.server import MessageServer
 
 DRAIN_MARGIN_S = 5.0
-"""Seconds added to the node's own bound for draining before the daemon stops anyway.
-
-Not measured; chosen.
-"""
+"""Time beyond the node's drain timeout after which the daemon stops without waiting further."""
 
 _log = get_logger("daemon")
 
@@ -41,17 +38,17 @@
 
 
 class Daemon:
-    """One process of passlane: its supervisor tree and how it stops.
+    """One process of passlane: its supervisor tree and its planned stop.
 
     Parameters
     ----------
     settings
         Checked settings.
     environment
-        The outside world.
+        Clock, network, disk and randomness.
     ring
-        The process's log, written to ``observability.dump_folder`` when a part fails
-        for good.
+        The process's log, written to ``observability.dump_folder`` when a part exceeds its
+        restart limit.
     """
 
     def __init__(self, settings: Settings, environment: Environment, ring: RingLog) -> None:
@@ -69,7 +66,7 @@
         context = PartContext(
             self._settings, self._environment, self._pool, self._router, self.metrics
         )
-        # In this order, whatever the order in the file: nodes need the groups.
+        # The order of the table, not of the settings: nodes depend on the groups.
         ordered = [role for role in _PART_OF_ROLE if role in self._settings.process.roles]
         return [_PART_OF_ROLE[role](context) for role in ordered]
 
@@ -79,9 +76,9 @@
         Raises
         ------
         TooManyRestartsError
-            When a part failed for good; the log has been written out by then.
+            When a part exceeded its restart limit; the log has been dumped by then.
         """
-        supervisor = Supervisor("daemon", self._children(), on_failure=self._write_out_log)
+        supervisor = Supervisor("daemon", self._children(), on_failure=self._dump_log)
         with self._scope:
             await supervisor.run()
 
@@ -113,7 +110,7 @@
             HealthApplication(self.metrics, checks, application),
         )
 
-    async def _write_out_log(self, child: str) -> None:
+    async def _dump_log(self, child: str) -> None:
         try:
             name = await self._ring.write_out(
                 self._environment.disk, self._settings.observability.dump_folder, child
@@ -124,19 +121,19 @@
             _log.info("log_written_out", file=name)
 
     def leads(self, group: str) -> bool:
-        """Whether this process leads the group of that name, ``control`` or ``store``."""
+        """Whether this process leads the group named ``group``, ``control`` or ``store``."""
         return any(part.name == group and part.is_leader() for part in self._parts)
 
     async def drain_and_stop(self) -> None:
-        """Refuse new work, let what is in flight finish, then stop."""
+        """Refuse new work, let the work in flight finish, then stop."""
         self._is_draining = True
-        limit_s = self._settings.node.drain_timeout_s + DRAIN_MARGIN_S
-        with anyio.move_on_after(limit_s) as scope:
+        timeout_s = self._settings.node.drain_timeout_s + DRAIN_MARGIN_S
+        with anyio.move_on_after(timeout_s) as scope:
             async with anyio.create_task_group() as tasks:
                 for part in self._parts:
                     tasks.start_soon(self._drain_part, part)
         if scope.cancelled_caught:
-            _log.warning("drain_cut_short", limit_s=limit_s)
+            _log.warning("drain_cut_short", limit_s=timeout_s)
         self._scope.cancel()
 
     @staticmethod
@@ -144,5 +141,5 @@
         try:
             await part.drain()
         except Exception:
-            # A part that cannot drain must not keep the others from it.
+            # A part that fails to drain must not prevent the others from draining.
             _log.exception("drain_failed", part=part.name)
--- a/src/passlane/daemon/passlaned/parts.py
+++ b/src/passlane/daemon/passlaned/parts.py
@@ -1,11 +1,11 @@
 """The parts of a daemon, one for each role; each is a child of the daemon's supervisor.
 
-For: ``daemon`` builds those that the settings name.
-Owns: the replica, or the node's service and server, while the part runs.
-Relies on: what all parts of one daemon share (``PartContext``).
+For: ``daemon``, which builds a part for each role in the settings.
+Owns: the replica, or the node's service and HTTP server, while the part runs.
+Relies on: the dependencies in ``PartContext``, shared by all parts of a daemon.
 
-A part is run as a whole and rebuilt as a whole: when anything in it fails, all of it
-starts again from what is on disk or in the store group.
+A part restarts as a whole: after any failure it is rebuilt from the data on disk or in the store
+group.
 """
 
 from dataclasses import dataclass
@@ -21,7 +21,7 @@
     CONTROL_FOLDER,
     CONTROL_GROUP,
     STORE_FOLDER,
-    hand_over_leadership,
+    transfer_leadership,
 )
 from passlane.node.service import NodeService
 from passlane.observability.metrics import Metrics
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class PartContext:
-    """What every part of one daemon shares."""
+    """Dependencies shared by all parts of one daemon."""
 
     settings: Settings
     environment: Environment
@@ -63,20 +63,20 @@
         ...
 
     def is_ready(self) -> bool:
-        """Whether the part takes work."""
+        """Whether the part accepts work."""
         ...
 
     def is_leader(self) -> bool:
-        """Whether the part leads its group; false for a part without one."""
+        """Whether the part leads its group; false for a part without a group."""
         ...
 
     async def drain(self) -> None:
-        """Refuse new work and return when what was in flight has ended."""
+        """Refuse new work and return when the work in flight has finished."""
         ...
 
 
 class _Service(Protocol):
-    """What a replica's part runs on top of the replica."""
+    """Service that runs on top of a replica."""
 
     async def run(self) -> None:
         """Run the service until cancelled."""
@@ -84,7 +84,7 @@
 
 
 class _ReplicaPart:
-    """What the parts with a replica of a group share."""
+    """Base of the parts that run a replica of a group."""
 
     def __init__(self, context: PartContext) -> None:
         self._context = context
@@ -107,9 +107,9 @@
         return self._host is not None and self._host.is_leader
 
     async def drain(self) -> None:
-        """Hand leadership to another replica if this one leads."""
+        """Transfer leadership to another replica if this one leads."""
         if self._host is not None:
-            await hand_over_leadership(self._host)
+            await transfer_leadership(self._host)
 
 
 class ControlPart(_ReplicaPart):
@@ -186,7 +186,7 @@
         settings = context.settings
         callers_address = settings.addresses.callers
         if callers_address is None:
-            raise ValueError("a node needs addresses.callers")
+            raise ValueError("addresses.callers is not set; a node requires it")
         store = GroupClient(context.pool, settings.store_addresses, context.environment.random)
         service = NodeService(
             settings,
@@ -204,15 +204,15 @@
             tasks.start_soon(context.environment.http_server.serve, callers_address, requests)
 
     def is_ready(self) -> bool:
-        """Whether the node holds a lease and takes calls."""
+        """Whether the node holds a lease and accepts calls."""
         return self._service is not None and self._service.is_ready
 
     def is_leader(self) -> bool:
-        """Return ``False``: a node has no group of its own."""
+        """Return ``False``: a node belongs to no group."""
         return False
 
     async def drain(self) -> None:
-        """Refuse new calls; let those in flight finish and their answers be written."""
+        """Refuse new calls; wait until those in flight are finished and answered."""
         if self._service is not None:
             await self._service.drain()
         if self._requests is not None:
--- a/src/passlane/daemon/shared/__init__.py
+++ b/src/passlane/daemon/shared/__init__.py
@@ -1,1 +1,1 @@
-"""What processes of a fleet and those of ``passlaned`` have in common."""
+"""Code shared by the processes of a fleet and those of ``passlaned``."""
--- a/src/passlane/daemon/shared/in_flight.py
+++ b/src/passlane/daemon/shared/in_flight.py
@@ -1,8 +1,8 @@
-"""Counts the HTTP requests in flight, so that a planned stop can wait for their last byte.
+"""Counts the HTTP requests in flight, so that a planned stop can wait until all are answered.
 
-For: the servers for callers of both kinds of nodes.
+For: the HTTP servers for callers, in nodes of a fleet and of ``passlaned``.
 Owns: the count.
-Relies on: the ASGI application that does the work.
+Relies on: the wrapped ASGI application.
 """
 
 from typing import Any
@@ -13,10 +13,10 @@
 
 
 class InFlightRequests:
-    """An ASGI application around another one that knows how many requests it serves.
+    """ASGI middleware that counts the requests in flight.
 
-    A call's work is over before the last part of its answer is written; who stops the
-    process must wait for the writing too.
+    A call is complete before the last part of its answer is written, so a planned stop has to
+    wait for the HTTP request as well.
     """
 
     def __init__(self, inner: AsgiApplication) -> None:
@@ -26,7 +26,7 @@
         self._is_idle.set()
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Serve one request."""
+        """Serve one request through the wrapped application."""
         if self._count == 0:
             self._is_idle = anyio.Event()
         self._count += 1
--- a/src/passlane/daemon/shared/replicas.py
+++ b/src/passlane/daemon/shared/replicas.py
@@ -1,6 +1,7 @@
-"""What processes that run a replica of a group share.
+"""Helpers for processes that run a replica of a group.
 
-For: the groups' names and folders, the members a replica starts with, and a planned stop.
+For: group names and folders, the initial members of a group, and the leadership transfer before
+a planned stop.
 Owns: nothing.
 Relies on: ``ReplicaHost``.
 """
@@ -15,29 +16,27 @@
 CONTROL_GROUP = "control"
 CONTROL_FOLDER = "control"
 STORE_FOLDER = "store"
-"""Names on the wire and folders on disks; the same for the control groups of both services."""
-TRANSFER_POLL_S = 0.01
-"""Seconds between two looks whether another replica leads. Not measured; chosen."""
-TRANSFER_POLLS = 200
-"""Looks before the replica stops anyway, 2 s in all. Not measured; chosen: several elections."""
+"""Group name on the wire and folder names on disk, the same in a fleet and in ``passlaned``."""
+TRANSFER_POLL_INTERVAL_S = 0.01
+MAX_TRANSFER_POLLS = 200
+"""Polls until the replica stops without a transfer; 2 s in all, enough for several elections."""
 
 
-def members_at_start(
-    own: PeerSettings, initial: Sequence[PeerSettings]
-) -> tuple[PeerSettings, ...]:
-    """Return the initial members of a group, and behind them the own replica unless it is one."""
+def initial_members(own: PeerSettings, initial: Sequence[PeerSettings]) -> tuple[PeerSettings, ...]:
+    """Return the initial members of a group, followed by the own replica if it isn't one."""
     return tuple(initial) if own in initial else (*initial, own)
 
 
-async def hand_over_leadership(host: ReplicaHost) -> None:
-    """Ask another replica to lead and wait a while for that.
+async def transfer_leadership(host: ReplicaHost) -> None:
+    """Transfer leadership to another replica, if this one leads, and wait for the transfer.
 
-    When none can, this replica just stops; the others elect a leader as after a crash.
+    If no replica takes over in time, this one stops all the same; the others then elect a leader
+    as after a crash.
     """
     if not host.is_leader:
         return
     host.transfer_leadership()
-    for _ in range(TRANSFER_POLLS):
+    for _ in range(MAX_TRANSFER_POLLS):
         if not host.is_leader:
             return
-        await anyio.sleep(TRANSFER_POLL_S)
+        await anyio.sleep(TRANSFER_POLL_INTERVAL_S)
--- a/tests/daemon/node_start.py
+++ b/tests/daemon/node_start.py
@@ -1,4 +1,4 @@
-"""What a node of a fleet imports and holds at rest, started with the deployed packages alone.
+"""Starts a node with only the deployed packages; reports its imports and its memory when idle.
 
 Run this file to print the figures.
 """
@@ -24,10 +24,10 @@
 SOURCE = Path(passlane.__file__).parents[1]
 DEPLOYED = ROOT / "deploy" / "requirements.lock"
 OWN_PACKAGE = "passlane"
-REST_S = 3.0
-"""After its start a node does what it does once; then it waits for its seeds."""
-LINE_LIMIT_S = 60.0
-POLL_S = 0.05
+STARTUP_WAIT_S = 3.0
+"""Time after the first log line until a node is idle and waits for its seeds."""
+LINE_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.05
 STARTED = '"event":"started"'
 IMPORTED = "imported:"
 PROGRAM = f"""
@@ -43,7 +43,7 @@
 timing = {{ grace_s = 4 }}
 turns = {{ are_placed_by_store = true }}
 """
-ADDRESSES = 6
+ADDRESS_COUNT = 6
 
 
 _RESIDENT_FIELD = 1
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True)
 class NodeStart:
-    """Modules that a node has imported when it ends, and its resident memory at rest."""
+    """Modules that a node has imported when it exits, and its resident memory when idle."""
 
     packages: tuple[str, ...]
     package_modules: int
@@ -63,7 +63,7 @@
 
 @dataclass(frozen=True)
 class RunningNode:
-    """A node's process, the file that it writes its lines to, and its packages."""
+    """A node's process, its log file and the folder of its packages."""
 
     process: "subprocess.Popen[bytes]"
     log: Path
@@ -71,20 +71,20 @@
 
 
 def measure_node_start() -> NodeStart:
-    """Start a node whose seeds nobody answers at, let it come to rest, and stop it."""
+    """Start a node whose seeds don't answer, wait until it is idle, and stop it."""
     with tempfile.TemporaryDirectory() as folder:
         with running_node(Path(folder)) as running:
-            time.sleep(REST_S)
+            time.sleep(STARTUP_WAIT_S)
             resident_bytes = resident_bytes_of(running.process.pid)
         return sort_modules(running.log.read_text(), running.packages, resident_bytes)
 
 
 @contextmanager
 def running_node(folder: Path) -> Iterator[RunningNode]:
-    """Run a node whose seeds nobody answers at, until it is left."""
+    """Run a node whose seeds don't answer, until the context is left."""
     packages, settings, log = (folder / name for name in ("packages", "settings", "log"))
     link_deployed_packages(packages)
-    settings.write_text(SETTINGS.format(*(free_address() for _ in range(ADDRESSES))))
+    settings.write_text(SETTINGS.format(*(free_address() for _ in range(ADDRESS_COUNT))))
     running = RunningNode(start_node(packages, settings, log), log, packages)
     try:
         wait_for_line(running, STARTED)
@@ -95,13 +95,13 @@
 
 
 def resident_bytes_of(process_id: int) -> int:
-    """Return a process's resident memory."""
+    """Return a process's resident memory in bytes."""
     pages = Path(f"/proc/{process_id}/statm").read_text().split()[_RESIDENT_FIELD]
     return int(pages) * resource.getpagesize()
 
 
 def link_deployed_packages(folder: Path) -> None:
-    """Fill a folder with the packages that ``pip`` puts next to the deployed code."""
+    """Link the packages that ``pip`` installs next to the deployed code into a folder."""
     folder.mkdir()
     for name in re.findall(r"^(\w+)==", DEPLOYED.read_text(), re.MULTILINE):
         package = distribution(name)
@@ -110,7 +110,7 @@
 
 
 def start_node(packages: Path, settings: Path, log: Path) -> "subprocess.Popen[bytes]":
-    """Start a node as the deployment does, which writes what it imported when it ends."""
+    """Start a node as the deployment does; when it exits, it prints the imported modules."""
     environment = {
         "PYTHONPATH": f"{SOURCE}{os.pathsep}{packages}",
         SETTINGS_VARIABLE: str(settings),
@@ -123,16 +123,16 @@
 
 
 def wait_for_line(running: RunningNode, part: str) -> None:
-    """Return when the node has written a line with this part."""
-    until = time.monotonic() + LINE_LIMIT_S
+    """Return when the node's log contains ``part``."""
+    deadline = time.monotonic() + LINE_TIMEOUT_S
     while part not in running.log.read_text():
-        if running.process.poll() is not None or time.monotonic() > until:
-            raise AssertionError(f"no line with {part}: {running.log.read_text()}")
-        time.sleep(POLL_S)
+        if running.process.poll() is not None or time.monotonic() > deadline:
+            raise AssertionError(f"expected {part} in the node's log: {running.log.read_text()}")
+        time.sleep(POLL_INTERVAL_S)
 
 
 def sort_modules(output: str, packages: Path, resident_bytes: int) -> NodeStart:
-    """Return what a node imported, by where it comes from."""
+    """Return the modules that a node imported, by their origin."""
     line = next(line for line in output.splitlines() if line.startswith(IMPORTED))
     modules = line.split()[1:]
     deployed = {path.stem.partition(".")[0] for path in packages.iterdir()}
--- a/tests/daemon/shared/test_in_flight.py
+++ b/tests/daemon/shared/test_in_flight.py
@@ -1,4 +1,4 @@
-"""A planned stop waits until every answer is written."""
+"""A planned stop waits until every answer has been written."""
 
 import unittest
 
@@ -13,9 +13,9 @@
         async def serve(scope, receive, send):
             await anyio.sleep(scope["takes_s"])
             if scope["takes_s"] == 2.0:
-                raise OSError("the caller is gone")
+                raise OSError("the caller disconnected")
 
-        async def ask(application, takes_s):
+        async def request(application, takes_s):
             try:
                 await application({"takes_s": takes_s}, None, None)
             except OSError:
@@ -26,7 +26,7 @@
             await application.wait_until_idle()
             async with anyio.create_task_group() as tasks:
                 for takes_s in (1.0, 3.0, 2.0):
-                    tasks.start_soon(ask, application, takes_s)
+                    tasks.start_soon(request, application, takes_s)
                 await anyio.sleep(0.5)
                 await application.wait_until_idle()
                 return anyio.current_time()
--- a/tests/daemon/test_fleet_start.py
+++ b/tests/daemon/test_fleet_start.py
@@ -1,4 +1,4 @@
-"""What a process does before it imports its code."""
+"""Startup of a process of a fleet: early listening, imported packages, and no OpenSSL."""
 
 import subprocess
 import sys
@@ -18,7 +18,7 @@
 readiness = "10.1.0.30:8141"
 metrics = "10.1.0.30:9464"
 """
-PACKAGES_OF_A_NODE = (
+NODE_PACKAGES = (
     "anyio",
     "h11",
     "httpcore",
@@ -29,7 +29,7 @@
     "uvicorn",
     "xxhash",
 )
-"""All that a node imports of others; docs/measurements/starts.md has the figures."""
+"""All third-party packages that a node imports."""
 
 
 class EarlyAddressesTest(unittest.TestCase):
@@ -39,20 +39,20 @@
             path.write_text(text)
             return list(early_addresses(path))
 
-    def test_those_that_others_connect_to_from_outside(self):
+    def test_returns_the_addresses_that_clients_outside_the_fleet_connect_to(self):
         self.assertEqual(self.addresses_in(SETTINGS), ["10.1.0.30:8149", "10.1.0.30:8141"])
 
-    def test_settings_that_cannot_be_read_name_none(self):
+    def test_invalid_settings_have_no_early_addresses(self):
         for text in ("[addresses", "addresses = 3", "addresses = [1]", "[addresses]\ncallers = 7"):
             with self.subTest(text=text):
                 self.assertEqual(self.addresses_in(text), [])
 
-    def test_a_missing_file_names_none(self):
+    def test_a_missing_file_has_no_early_addresses(self):
         self.assertEqual(list(early_addresses(Path("/nowhere/settings.toml"))), [])
 
 
 class ImportsTest(unittest.TestCase):
-    def test_a_node_starts_without_what_it_does_not_need_to_serve(self):
+    def test_a_node_does_not_import_modules_that_it_does_not_need_to_serve(self):
         program = (
             "import sys\n"
             "import passlane.daemon.fleet_start, passlane.daemon.fleet.process\n"
@@ -72,12 +72,12 @@
 
 
 class NodeStartTest(unittest.TestCase):
-    def test_a_node_at_rest_has_imported_these_packages_and_no_other(self):
-        self.assertEqual(measure_node_start().packages, PACKAGES_OF_A_NODE)
+    def test_an_idle_node_has_imported_exactly_these_packages(self):
+        self.assertEqual(measure_node_start().packages, NODE_PACKAGES)
 
 
 class PackagesTest(unittest.TestCase):
-    def test_who_imports_a_package_later_gets_it_whole_with_the_same_modules(self):
+    def test_a_later_import_gets_the_complete_package_with_the_same_modules(self):
         program = (
             "from passlane.runtime import http_connection\n"
             "import httpcore\n"
@@ -123,7 +123,7 @@
         )
         self.assertEqual(self.run_program(program), "200 b'hello'")
 
-    def test_whoever_asks_for_tls_is_told_that_there_is_none(self):
+    def test_creating_a_tls_context_raises_an_error_that_names_the_reason(self):
         program = (
             "from passlane.runtime.without_openssl import TlsNotAvailableError, leave_openssl_out\n"
             "assert leave_openssl_out()\n"
@@ -137,7 +137,7 @@
             self.run_program(program), "this process was started without TLS True True"
         )
 
-    def test_a_process_that_has_the_loop_already_stays_as_it_is(self):
+    def test_openssl_stays_in_a_process_that_has_imported_asyncio_already(self):
         program = (
             "import asyncio, ssl\n"
             "from passlane.runtime.without_openssl import leave_openssl_out\n"
--- a/tests/daemon/test_signals.py
+++ b/tests/daemon/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that a process of a fleet gets while it stops."""
+"""Signals that a process of a fleet receives while it stops."""
 
 import signal
 import tempfile
@@ -11,11 +11,11 @@
 RUNS_ALONE = "starts processes"
 DRAINING = '"event":"draining"'
 STOPPED = '"event":"stopped"'
-LONGEST_STOP_S = 20.0
+STOP_TIMEOUT_S = 20.0
 
 
 class SignalsWhileStoppingTest(unittest.TestCase):
-    def test_a_reload_signal_while_it_drains_does_not_end_it(self):
+    def test_sighup_does_not_end_a_process_that_drains(self):
         with tempfile.TemporaryDirectory() as folder, running_node(Path(folder)) as running:
             running.process.terminate()
             wait_for_line(running, DRAINING)
@@ -23,7 +23,7 @@
                 running.process.send_signal(signal.SIGHUP)
                 time.sleep(0.1)
             self.assertIsNone(running.process.poll())
-            self.assertEqual(running.process.wait(LONGEST_STOP_S), 0)
+            self.assertEqual(running.process.wait(STOP_TIMEOUT_S), 0)
             self.assertIn(STOPPED, running.log.read_text())
 
 
