--- a/src/passlane/daemon/fleet/__init__.py
+++ b/src/passlane/daemon/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The processes of a fleet, one role each. Any node relays a turn."""
+"""The processes of a fleet, one role each. Any node can relay any turn."""
--- a/src/passlane/daemon/fleet/context.py
+++ b/src/passlane/daemon/fleet/context.py
@@ -1,8 +1,8 @@
-"""What the processes of a fleet share, whatever their role.
+"""Dependencies of a process of a fleet that are the same for all roles.
 
-For: each role is built from one value.
-Owns: nothing; the process owns the parts.
-Relies on: the settings, which are checked already.
+For: the classes of the three roles, which are built from one ``FleetContext``.
+Owns: nothing; ``FleetDaemon`` owns the components.
+Relies on: settings that have been checked.
 """
 
 import msgspec
@@ -17,9 +17,12 @@
 
 
 class FleetContext(msgspec.Struct, frozen=True):
-    """The parts of one process that its role builds on.
+    """Components of one process that its role builds on.
 
-    ``started_at`` is the local time, in seconds, at which the process started.
+    Attributes
+    ----------
+    started_at
+        Local time, in seconds, at which the process started.
     """
 
     settings: FleetSettings
@@ -31,11 +34,11 @@
 
     @property
     def replica_name(self) -> str:
-        """Name of this process among replicas: its IP number, which seeds tell too."""
+        """Name of this process as a replica: its IP address, which the seeds contain as well."""
         return self.settings.addresses.internal.host
 
     def heartbeat(self) -> Announce:
-        """Return what the heartbeat of every process tells of it, whatever its role."""
+        """Return the heartbeat fields that are common to all roles."""
         process = self.settings.process
         return Announce(
             name=process.name,
@@ -46,7 +49,7 @@
         )
 
     def seed_addresses(self, settings: FleetSettings | None = None) -> tuple[Address, ...]:
-        """Return the seeds' internal addresses; internal ports are alike everywhere."""
-        used = settings or self.settings
-        port = used.addresses.internal.port
-        return tuple(Address(seed.host, port) for seed in used.seeds)
+        """Return the seeds' internal addresses; all processes use the same internal port."""
+        current = settings or self.settings
+        port = current.addresses.internal.port
+        return tuple(Address(seed.host, port) for seed in current.seeds)
--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -1,10 +1,10 @@
-"""The node of a fleet: relays clients' requests to back ends.
+"""The node of a fleet: relays clients' requests to backends.
 
 For: the role ``node``.
-Owns: requests under way and what they showed of back ends; the servers for clients and for
-the platform's question whether the node is ready; how a planned stop goes.
-Relies on: the control group for configuration, addresses and the list of back ends, and on
-the store group for budgets, histories and places.
+Owns: the requests in flight, the observed state of backends, the HTTP servers for clients and for
+the platform's readiness probe, and the planned stop.
+Relies on: the control group for the configuration, addresses and the list of backends; the store
+group for budgets, histories and slots.
 """
 
 import anyio
@@ -12,7 +12,7 @@
 
 from passlane.daemon.fleet.context import FleetContext
 from passlane.daemon.fleet.node_bounds import NodeBounds
-from passlane.daemon.fleet.start_times import StartPhase, StartTimes
+from passlane.daemon.fleet.start_times import StartupMilestone, StartupTimes
 from passlane.daemon.fleet.stop_times import StopTimes
 from passlane.daemon.shared.in_flight import InFlightRequests
 from passlane.decisions.backends.registry import BackendRegistry
@@ -43,7 +43,7 @@
         self._registry = BackendRegistry()
         self._bounds = NodeBounds(context.settings, context.metrics)
         self._limits = HttpLimits(
-            write_buffer_bytes=self._bounds.caller_bytes, watch=self._bounds.unread
+            write_buffer_bytes=self._bounds.max_caller_bytes, watch=self._bounds.unread
         )
         self._is_draining = False
         self._stop_times = StopTimes.within(context.settings.timing.grace_s)
@@ -53,7 +53,7 @@
         self._follower = FleetFollower(
             context.heartbeat, context.seed_addresses(), context.pool, random
         )
-        self._follower.configuration.on_change(self._take_configuration)
+        self._follower.configuration.on_change(self._apply_configuration)
         self._store = TurnStoreClient(context.pool, self._store_addresses, random)
 
     async def run(self) -> None:
@@ -82,24 +82,24 @@
             tasks.start_soon(self._log_start, self._relay)
             with self._scope:
                 await self._serve_clients(self._relay)
-            await self._finish_settling()
+            await self._wait_for_settlements()
             tasks.cancel_scope.cancel()
 
     async def _log_start(self, relay: RelayService) -> None:
-        """Log once how long the start took."""
-        times = StartTimes(self._context.started_at)
-        times.reached(StartPhase.RUNNING)
+        """Log the times of the startup milestones once all have been reached."""
+        times = StartupTimes(self._context.started_at)
+        times.record(StartupMilestone.RUNNING)
         async with anyio.create_task_group() as tasks:
-            for phase, wait in (
-                (StartPhase.CONFIGURATION, self._follower.configuration.wait_until_known),
-                (StartPhase.STORE_LEADER, self._store.wait_for_leader),
-                (StartPhase.FIRST_ANSWER, relay.wait_for_answer),
+            for milestone, wait in (
+                (StartupMilestone.CONFIGURATION, self._follower.configuration.wait_until_known),
+                (StartupMilestone.STORE_LEADER, self._store.wait_for_leader),
+                (StartupMilestone.FIRST_ANSWER, relay.wait_for_answer),
             ):
-                tasks.start_soon(times.note_when, phase, wait)
+                tasks.start_soon(times.record_after, milestone, wait)
         times.log()
 
-    async def _finish_settling(self) -> None:
-        """Let settlements that were just begun reach the store."""
+    async def _wait_for_settlements(self) -> None:
+        """Give settlements in flight time to reach the store group."""
         await anyio.sleep(self._stop_times.settling_s)
 
     def _build_relay(self, tasks: TaskGroup) -> RelayService:
@@ -123,7 +123,8 @@
     async def _serve_clients(self, relay: RelayService) -> None:
         address = self._context.settings.addresses.callers
         assert address is not None
-        # Clients of a node that is not ready are told to connect anew, elsewhere.
+        # A node that isn't ready closes connections after each answer, so that clients reconnect
+        # to another node.
         ingress = ClientIngress(relay, lambda: not self.is_ready())
         self._requests = InFlightRequests(ingress)
         await self._context.environment.http_server.serve(address, self._requests, self._limits)
@@ -135,37 +136,37 @@
         await self._context.environment.http_server.serve(address, application)
 
     def is_ready(self) -> bool:
-        """Whether this node can serve: it knows routes, back ends and the store group.
+        """Whether this node can serve: it has a configuration, backends and a store group.
 
-        One that is cut off from the machines that count is not ready, so that clients
-        are led to others.
+        A node that is partitioned from the control or store group isn't ready, so that the
+        platform routes clients to other nodes.
         """
         configuration, view = self._follower.configuration, self._follower.view
-        knows_fleet = configuration.newest is not None and view.has_seen_store_leader
-        is_lost = view.is_lost or self._store.is_lost
+        has_fleet_state = configuration.newest is not None and view.has_seen_store_leader
+        is_partitioned = view.is_lost or self._store.is_lost
         has_list = self._registry.updated_at is not None
-        return knows_fleet and has_list and not is_lost and not self._is_draining
+        return has_fleet_state and has_list and not is_partitioned and not self._is_draining
 
     def _store_addresses(self) -> list[Address]:
         view = self._follower.view
         return [store.address for store in (*view.stores, *view.initial_stores)]
 
-    def _take_configuration(self, configuration: RouteConfiguration) -> None:
+    def _apply_configuration(self, configuration: RouteConfiguration) -> None:
         limits = configuration.limits
         self._limits.max_header_bytes = limits.max_header_bytes
         self._limits.header_timeout_s = limits.header_timeout_s
         self._limits.idle_timeout_s = limits.idle_timeout_s
-        self._bounds.take_configuration(configuration)
+        self._bounds.apply_configuration(configuration)
         if self._relay is not None:
             self._relay.replace_configuration(configuration)
 
     def reload(self, settings: FleetSettings) -> None:
-        """Take over what may change while the process runs."""
+        """Apply those settings that may change while the process runs."""
         self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
         self._stop_times = StopTimes.within(settings.timing.grace_s)
 
     async def drain_and_stop(self) -> None:
-        """Be no longer ready, serve what still comes, then close and finish."""
+        """Report not ready but keep serving; then close the server and finish the requests."""
         self._is_draining = True
         _log.info("draining")
         times = self._stop_times
--- a/src/passlane/daemon/fleet/node_bounds.py
+++ b/src/passlane/daemon/fleet/node_bounds.py
@@ -1,9 +1,9 @@
-"""The bounds of a node: samples how it fares, and lets the parts that decide know.
+"""Samples a node's load and passes the samples to admission and to the bounds on unread answers.
 
-For: a node refuses or ends what it can't hold (``docs/design/node-bounds.md``).
+For: a node, which refuses requests and ends answers beyond its capacity.
 Owns: the samples, ``unread`` and ``admission``, and their metrics.
-Relies on: the operating system for memory and descriptors; where it doesn't tell them, the
-bounds on them don't apply.
+Relies on: the operating system for resident memory and open descriptors; a bound doesn't apply
+where the reading isn't available.
 """
 
 from collections.abc import Callable
@@ -21,45 +21,36 @@
 from passlane.runtime.process_usage import open_descriptors, resident_bytes
 from passlane.settings.fleet import FleetSettings, MachineSettings, NodeBoundsSettings
 
-MEGABYTE = 1_000_000
-"""Bytes."""
-USAGE_PERIOD_SAMPLES = 4
-"""Memory and descriptors are read with each fourth sample, once a second: they grow slowly.
-
-Not measured; chosen.
-"""
-PATIENCE_FACTOR = 4.0
-"""A caller gives a stream up after this multiple of its target, if that is longer.
-
-Not measured; chosen (``docs/design/node-bounds.md``).
-"""
-MOST_PATIENCE_S = 4.0
-"""Seconds: a back end cuts off an answer that stays unread for some; it is ended before.
-
-Not measured; chosen (``docs/design/node-bounds.md``).
-"""
+BYTES_PER_MEGABYTE = 1_000_000
+SAMPLES_PER_USAGE_READING = 4
+"""Memory and descriptors are read with every fourth sample, once a second; they change slowly."""
+STALL_TARGET_FACTOR = 4.0
+"""Multiple of a route's target latency after which callers abandon a stream."""
+MAX_ROUTE_STALL_S = 4.0
+"""Upper bound of the stall time derived from routes; below the time after which a backend cuts off
+an unread answer."""
 
 _log = get_logger(__name__)
 
 
 class NodeBounds:
-    """Samples the node's load.
+    """Samples the node's load and applies the bounds in its settings.
 
     Attributes
     ----------
     unread
-        What callers leave unread.
+        Ends the connections of callers that stop reading.
     admission
-        Which requests the node takes on.
+        Decides which requests the node accepts.
     """
 
     def __init__(self, settings: FleetSettings, metrics: Metrics) -> None:
-        self._bounds = _held_bytes_bounds(settings)
+        self._bounds = _unread_bounds(settings)
         self._settings = settings.node_bounds
         self._lag = LoopLag()
         self._resident_bytes: int | None = None
         self._descriptors: int | None = None
-        self._untold: set[str] = set()
+        self._unavailable: set[str] = set()
         self.unread = UnreadAnswers(self._bounds)
         self.admission = NodeAdmission(
             _capacity(settings, self._bounds.for_all), is_enabled=settings.node_bounds.enabled
@@ -69,18 +60,18 @@
         metrics.call_before_exposure(self._expose)
 
     @property
-    def caller_bytes(self) -> int:
-        """Bytes that one caller may leave unread before its answer waits."""
+    def max_caller_bytes(self) -> int:
+        """Unread bytes of one caller beyond which writing to it blocks."""
         return self._bounds.for_one
 
-    def take_configuration(self, configuration: RouteConfiguration) -> None:
-        """Wait for slow callers as long as the callers of the slowest route would."""
+    def apply_configuration(self, configuration: RouteConfiguration) -> None:
+        """Set the stall bound to the time after which callers of the slowest route leave."""
         targets = [route.target_latency_s for route in configuration.routes]
-        patience_s = min(MOST_PATIENCE_S, PATIENCE_FACTOR * max(targets, default=0.0))
+        route_stall_s = min(MAX_ROUTE_STALL_S, STALL_TARGET_FACTOR * max(targets, default=0.0))
         self._bounds = HeldBytesBounds(
             for_one=self._bounds.for_one,
             for_all=self._bounds.for_all,
-            longest_stall_s=max(self._settings.longest_stall_s, patience_s),
+            longest_stall_s=max(self._settings.longest_stall_s, route_stall_s),
         )
         self.unread.replace_bounds(self._bounds)
 
@@ -92,7 +83,7 @@
             await anyio.sleep_until(due_at)
             now = anyio.current_time()
             self._lag.note(due_at, now)
-            if samples % USAGE_PERIOD_SAMPLES == 0:
+            if samples % SAMPLES_PER_USAGE_READING == 0:
                 self._read_usage()
             samples += 1
             self.unread.look(now)
@@ -112,18 +103,18 @@
         self._descriptors = self._read("descriptors", open_descriptors)
 
     def _read(self, name: str, read: Callable[[], int]) -> int | None:
-        """Return a reading; where it can't be had, ``None`` and one line in the log."""
-        if name in self._untold:
+        """Return a reading; if it isn't available, log that once and return ``None``."""
+        if name in self._unavailable:
             return None
         try:
             return read()
         except OSError as error:
-            self._untold.add(name)
+            self._unavailable.add(name)
             _log.warning("usage_not_told", reading=name, problem=str(error))
             return None
 
     def _expose(self) -> None:
-        """Bring the metrics up to date."""
+        """Update the metrics from the last sample."""
         readings = {
             "loop_lag_seconds": self._lag.mean_s,
             "loop_lag_worst_seconds": self._lag.worst_s,
@@ -147,32 +138,32 @@
             self._exposed[name, value] = count
 
 
-def _held_bytes_bounds(settings: FleetSettings) -> HeldBytesBounds:
+def _unread_bounds(settings: FleetSettings) -> HeldBytesBounds:
     bounds = settings.node_bounds
     return HeldBytesBounds(
         for_one=bounds.caller_bytes,
-        for_all=_all_callers_bytes(bounds, settings.machine),
+        for_all=_max_all_callers_bytes(bounds, settings.machine),
         longest_stall_s=bounds.longest_stall_s,
     )
 
 
-def _all_callers_bytes(bounds: NodeBoundsSettings, machine: MachineSettings) -> int | None:
-    """Return the bound that is set, or else one by the machine's memory if that is told."""
+def _max_all_callers_bytes(bounds: NodeBoundsSettings, machine: MachineSettings) -> int | None:
+    """Return the configured bound, or a share of the machine's memory; ``None`` without either."""
     if bounds.all_callers_bytes:
         return bounds.all_callers_bytes
     if machine.memory_mb is None:
         return None
-    return max(bounds.caller_bytes, int(machine.memory_mb * MEGABYTE * SHARE_OF_MEMORY))
+    return max(bounds.caller_bytes, int(machine.memory_mb * BYTES_PER_MEGABYTE * SHARE_OF_MEMORY))
 
 
-def _capacity(settings: FleetSettings, held_bytes: int | None) -> NodeCapacity:
+def _capacity(settings: FleetSettings, buffered_bytes: int | None) -> NodeCapacity:
     bounds, machine = settings.node_bounds, settings.machine
     memory_mb, descriptors = machine.memory_mb, machine.descriptors
     return NodeCapacity(
         late_loop_s=bounds.late_loop_s,
         very_late_loop_s=bounds.very_late_loop_s,
-        held_bytes=held_bytes,
+        held_bytes=buffered_bytes,
         under_way=bounds.most_under_way or None,
-        resident_bytes=int(memory_mb * MEGABYTE) if memory_mb is not None else None,
+        resident_bytes=int(memory_mb * BYTES_PER_MEGABYTE) if memory_mb is not None else None,
         descriptors=int(descriptors) if descriptors is not None else None,
     )
--- a/src/passlane/daemon/fleet/process.py
+++ b/src/passlane/daemon/fleet/process.py
@@ -1,8 +1,9 @@
-"""Runs one process of a fleet on the platform: the composition root of ``passlane.platform``.
+"""Runs one process of a fleet on the platform; the composition root.
 
-For: ``fleet_start`` runs it, whatever the role in the settings.
-Owns: the supervisor tree, signals, the settings file and its reloads, the server for metrics.
-Relies on: one module for each role, which is imported only for a process of that role.
+For: ``fleet_start``, for all three roles.
+Owns: the supervisor tree, signal handling, the reloads of the settings file, and the HTTP server
+for metrics.
+Relies on: one module for each role, imported only in a process of that role.
 """
 
 import signal
@@ -33,14 +34,14 @@
 
 EXIT_OK = 0
 EXIT_FAILED = 1
-"""A part failed for good."""
+"""A child of the supervisor exceeded its restart limit."""
 EXIT_BAD_SETTINGS = 2
-RING_LINES = 2_000
-"""Lines of the log kept in memory. Not measured; chosen."""
+MAX_RING_LINES = 2_000
+"""Log lines retained in memory."""
 NODE_FOLDER = "/tmp/passlane"
-"""A node keeps no files; its disk is never used."""
-SETTINGS_CHECK_S = 2.0
-"""Seconds between two looks at the settings file. Not measured; chosen."""
+"""Placeholder for the data folder of a node, which stores no files."""
+SETTINGS_POLL_INTERVAL_S = 2.0
+"""Interval between two checks of the settings file for changes without a signal."""
 
 _log = get_logger("daemon")
 
@@ -53,16 +54,16 @@
         ...
 
     def reload(self, settings: FleetSettings) -> None:
-        """Take over what may change while the process runs."""
+        """Apply those settings that may change while the process runs."""
         ...
 
     async def drain_and_stop(self) -> None:
-        """Finish what is under way, then stop."""
+        """Finish the work in flight, then stop."""
         ...
 
 
 def _build_process(context: FleetContext) -> FleetProcess:
-    """Return the process for the settings' role; each role imports only what it uses."""
+    """Return the process for the role in the settings; import only that role's module."""
     role = context.settings.process.role
     if role is FleetRole.NODE:
         from passlane.daemon.fleet.node import FleetNode
@@ -78,7 +79,7 @@
 
 
 class FleetDaemon:
-    """One process: its supervisor tree, its signals, its settings file."""
+    """One process: its supervisor tree, its signal handling and its settings file."""
 
     def __init__(
         self,
@@ -105,7 +106,7 @@
         self._process = _build_process(context)
 
     async def run(self) -> None:
-        """Run until a signal has stopped the process."""
+        """Run until the process has stopped after a signal."""
         children = [
             ChildSpecification("log", self._output.run),
             ChildSpecification("connections", self._pool.run),
@@ -113,7 +114,7 @@
             ChildSpecification("settings", self._watch_settings),
         ]
         if self._settings.addresses.metrics is not None:
-            # Without its metrics a process still does its work.
+            # The process keeps running if its metrics server fails.
             children.append(
                 ChildSpecification("metrics", self._serve_metrics, RestartRule.TEMPORARY)
             )
@@ -132,9 +133,9 @@
         await self._environment.http_server.serve(address, application)
 
     async def _reload_on_signal(self) -> None:
-        """Reload the settings at each reload signal, until the process ends.
+        """Reload the settings at each SIGHUP, until the process ends.
 
-        Its default action would end the process, also while requests under way are finished.
+        SIGHUP stays ignored afterwards: its default action would end a process that drains.
         """
         try:
             with anyio.open_signal_receiver(signal.SIGHUP) as signals:
@@ -145,7 +146,7 @@
             signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
     async def _stop_on_signal(self) -> None:
-        """Drain and stop at the first signal to stop; a second one ends the process at once."""
+        """Drain and stop at the first SIGTERM or SIGINT; a second one ends the process at once."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
             async for number in signals:
                 _log.info("signal", number=int(number))
@@ -153,13 +154,13 @@
         await self._process.drain_and_stop()
 
     async def _watch_settings(self) -> None:
-        """Reload the settings when the file has changed without a signal."""
+        """Reload the settings periodically, in case the file changed without a signal."""
         while True:
-            await anyio.sleep(SETTINGS_CHECK_S)
+            await anyio.sleep(SETTINGS_POLL_INTERVAL_S)
             self._reload()
 
     def _reload(self) -> None:
-        """Take over changed settings; a file that is half written waits for the next look."""
+        """Apply changed settings; an invalid file, perhaps half written, is read again later."""
         try:
             settings = load_fleet_settings(self._path)
         except SettingsError as error:
@@ -172,19 +173,19 @@
 
 
 async def _run(build: Callable[[], FleetDaemon]) -> None:
-    """Build and run the daemon; its parts need the running loop."""
+    """Build and run the daemon; its components require a running event loop."""
     await build().run()
 
 
 def main(path: Path, sockets: ListeningSockets, started_at: float) -> int:
-    """Run the process with this settings file; return the exit code.
+    """Run the process with the settings file at ``path``; return the exit code.
 
     Parameters
     ----------
     sockets
-        Those that listen already.
+        Sockets that already listen.
     started_at
-        Time of the steady clock at which the process started.
+        Monotonic time, in seconds, at which the process started.
     """
     try:
         settings = load_fleet_settings(path)
@@ -192,7 +193,7 @@
         print(f"passlane: {error}", file=sys.stderr)
         return EXIT_BAD_SETTINGS
     output = StandardOutputLog()
-    configure_logging(RingLog(RING_LINES), output, process=settings.process.name)
+    configure_logging(RingLog(MAX_RING_LINES), output, process=settings.process.name)
     _log.info("started", role=settings.process.role.value, zone=settings.process.zone)
     exit_code = EXIT_OK
     try:
--- a/src/passlane/daemon/fleet/start_times.py
+++ b/src/passlane/daemon/fleet/start_times.py
@@ -1,8 +1,8 @@
-"""How long the parts of a start took, as one log line.
+"""Times from the start of a node's process to the milestones of its startup, as one log line.
 
-For: ``docs/design/start-after-loss.md`` tells which part binds after a loss of all processes.
-Owns: the times of one start.
-Relies on: who starts the process for its time.
+For: finding the step that dominates the recovery after a loss of all processes.
+Owns: the times of one startup.
+Relies on: the entry point for the time at which the process started.
 """
 
 import enum
@@ -15,21 +15,21 @@
 _log = get_logger(__name__)
 
 
-class StartPhase(enum.StrEnum):
-    """What a process that starts arrives at."""
+class StartupMilestone(enum.StrEnum):
+    """A milestone of a node's startup."""
 
     RUNNING = "running"
-    """Its code is imported and its event loop runs."""
+    """The code is imported and the event loop runs."""
     CONFIGURATION = "configuration"
-    """It has a configuration."""
+    """The node has received a configuration."""
     STORE_LEADER = "store_leader"
-    """It has found the leader of the store group."""
+    """The node has found the leader of the store group."""
     FIRST_ANSWER = "first_answer"
-    """It has given an answer of a back end."""
+    """The node has relayed an answer of a backend."""
 
 
-class StartTimes:
-    """Notes when the phases of a start are reached, and logs them together.
+class StartupTimes:
+    """Records when the milestones of a startup are reached and logs them together.
 
     Parameters
     ----------
@@ -39,17 +39,21 @@
 
     def __init__(self, started_at: float) -> None:
         self._started_at = started_at
-        self._seconds: dict[StartPhase, float] = {}
+        self._seconds: dict[StartupMilestone, float] = {}
 
-    def reached(self, phase: StartPhase) -> None:
-        """Note that a phase is reached now."""
-        self._seconds[phase] = round(anyio.current_time() - self._started_at, 3)
+    def record(self, milestone: StartupMilestone) -> None:
+        """Record that a milestone is reached now."""
+        self._seconds[milestone] = round(anyio.current_time() - self._started_at, 3)
 
-    async def note_when(self, phase: StartPhase, wait: Callable[[], Awaitable[object]]) -> None:
-        """Note a phase once ``wait`` returns."""
+    async def record_after(
+        self, milestone: StartupMilestone, wait: Callable[[], Awaitable[object]]
+    ) -> None:
+        """Record a milestone once ``wait`` returns."""
         await wait()
-        self.reached(phase)
+        self.record(milestone)
 
     def log(self) -> None:
-        """Log the seconds from the start of the process to each phase."""
-        _log.info("start_completed", **{f"{phase}_s": s for phase, s in self._seconds.items()})
+        """Log the seconds from the start of the process to each milestone."""
+        _log.info(
+            "start_completed", **{f"{milestone}_s": s for milestone, s in self._seconds.items()}
+        )
--- a/src/passlane/daemon/fleet/stop_times.py
+++ b/src/passlane/daemon/fleet/stop_times.py
@@ -1,40 +1,37 @@
-"""How a node spends the time between the request to stop and its end.
+"""Divides the grace time of a planned stop among its phases.
 
-For: a planned stop fits between the platform's request and its kill.
-Owns: nothing; the times follow from the grace time in the settings.
-Relies on: the platform to ask whether the node is ready, and to lead clients elsewhere.
+For: a node, whose planned stop must end before the platform kills the process.
+Owns: nothing; the times are computed from the grace time in the settings.
+Relies on: the platform to probe readiness and to route clients to other nodes.
 """
 
 import msgspec
 
-LONGEST_UNREADY_S = 2.2
-"""Seconds: enough for the platform to miss two answers in a row and send no more clients.
-
-Not measured; chosen.
-"""
-UNREADY_SHARE = 0.35
-"""Share of the grace time for it, where that is less. Not measured; chosen."""
-SETTLING_S = 0.2
-"""Seconds in which settlements that were just begun reach the store. Not measured; chosen."""
-SETTLING_SHARE = 0.1
-"""Share of the grace time for it, where that is less. Not measured; chosen."""
-MARGIN_S = 0.5
-"""Seconds left for the process to end before it is killed. Not measured; chosen."""
-MARGIN_SHARE = 0.25
-"""Share of the grace time for it, where that is less. Not measured; chosen."""
+MAX_UNREADY_S = 2.2
+"""Long enough for two readiness probes in a row to fail, after which no more clients arrive."""
+MAX_UNREADY_SHARE = 0.35
+"""Limit of the same phase as a share of the grace time; the lower limit applies."""
+MAX_SETTLING_S = 0.2
+"""Time for settlements in flight to reach the store group."""
+MAX_SETTLING_SHARE = 0.1
+"""Limit of the same phase as a share of the grace time; the lower limit applies."""
+MAX_MARGIN_S = 0.5
+"""Time for the process to exit before it is killed."""
+MAX_MARGIN_SHARE = 0.25
+"""Limit of the same phase as a share of the grace time; the lower limit applies."""
 
 
 class StopTimes(msgspec.Struct, frozen=True):
-    """Parts of a planned stop, in this order, in seconds.
+    """Durations of the phases of a planned stop, in this order, in seconds.
 
     Attributes
     ----------
     unready_s
-        The node says that it isn't ready and serves what still comes.
+        The node reports that it isn't ready and still serves new requests.
     finish_s
-        It takes no more connections and finishes what is under way.
+        It accepts no more connections and finishes the requests in flight.
     settling_s
-        It lets settlements reach the store.
+        It waits for settlements in flight to reach the store group.
     """
 
     unready_s: float
@@ -43,9 +40,9 @@
 
     @classmethod
     def within(cls, grace_s: float) -> "StopTimes":
-        """Return times that fit into ``grace_s``, from the request to stop to the kill."""
-        unready_s = min(LONGEST_UNREADY_S, UNREADY_SHARE * grace_s)
-        settling_s = min(SETTLING_S, SETTLING_SHARE * grace_s)
-        margin_s = min(MARGIN_S, MARGIN_SHARE * grace_s)
+        """Return durations that fit into ``grace_s``, the time from the stop signal to the kill."""
+        unready_s = min(MAX_UNREADY_S, MAX_UNREADY_SHARE * grace_s)
+        settling_s = min(MAX_SETTLING_S, MAX_SETTLING_SHARE * grace_s)
+        margin_s = min(MAX_MARGIN_S, MAX_MARGIN_SHARE * grace_s)
         finish_s = grace_s - unready_s - settling_s - margin_s
         return cls(unready_s=unready_s, finish_s=finish_s, settling_s=settling_s)
--- a/tests/daemon/fleet/test_node_bounds.py
+++ b/tests/daemon/fleet/test_node_bounds.py
@@ -1,4 +1,4 @@
-"""The bounds of a node come from its settings, its machine and its routes."""
+"""The bounds of a node are derived from its settings, its machine and its routes."""
 
 import unittest
 from unittest import mock
@@ -8,7 +8,7 @@
 from structlog.testing import capture_logs
 
 from passlane.daemon.fleet import node_bounds
-from passlane.daemon.fleet.node_bounds import MOST_PATIENCE_S, NodeBounds
+from passlane.daemon.fleet.node_bounds import MAX_ROUTE_STALL_S, NodeBounds
 from passlane.decisions.admission.held_bytes import LONGEST_STALL_S
 from passlane.decisions.admission.node_load import Admission
 from passlane.messages.common import Address
@@ -37,7 +37,7 @@
 
 
 def run_for(bounds, seconds):
-    """Sample on a virtual clock."""
+    """Sample for ``seconds`` on a virtual clock."""
 
     async def main():
         with anyio.move_on_after(seconds):
@@ -51,20 +51,20 @@
     def bounds(self, *arguments, **more):
         return NodeBounds(settings(*arguments, **more), Metrics())
 
-    def test_the_bound_for_all_callers_comes_from_the_memory_that_is_told(self):
+    def test_the_bound_for_all_callers_is_a_share_of_memory_unless_it_is_set(self):
         made = self.bounds(MachineSettings(memory_mb=128))
         self.assertEqual(made._bounds.for_all, 8_000_000)
         self.assertIsNone(self.bounds()._bounds.for_all)
         made = self.bounds(MachineSettings(memory_mb=128), all_callers_bytes=100_000)
         self.assertEqual(made._bounds.for_all, 100_000)
 
-    def test_slow_callers_are_waited_for_as_long_as_the_slowest_route_allows(self):
+    def test_the_stall_bound_follows_the_target_latency_of_the_slowest_route(self):
         made = self.bounds()
-        for target_s, stall_s in ((0.25, LONGEST_STALL_S), (0.75, 3.0), (60.0, MOST_PATIENCE_S)):
-            made.take_configuration(configuration(route(target_latency_s=target_s)))
+        for target_s, stall_s in ((0.25, LONGEST_STALL_S), (0.75, 3.0), (60.0, MAX_ROUTE_STALL_S)):
+            made.apply_configuration(configuration(route(target_latency_s=target_s)))
             self.assertEqual(made._bounds.longest_stall_s, stall_s)
 
-    def test_memory_beyond_what_the_machine_has_changes_what_is_taken_on(self):
+    def test_memory_beyond_the_capacity_of_the_machine_stops_admission(self):
         made = self.bounds(MachineSettings(memory_mb=1), enabled=True)
         with capture_logs() as lines:
             run_for(made, 3.0)
@@ -72,7 +72,7 @@
         (line,) = lines
         self.assertEqual((line["event"], line["cause"]), ("node_admission_changed", "memory"))
 
-    def test_a_reading_that_is_not_told_leaves_one_line_and_decides_nothing(self):
+    def test_an_unavailable_reading_is_logged_once_and_does_not_affect_admission(self):
         made = self.bounds(MachineSettings(memory_mb=1), enabled=True)
         failing = mock.Mock(side_effect=OSError("no such file"))
         with capture_logs() as lines, mock.patch.object(node_bounds, "resident_bytes", failing):
@@ -81,7 +81,7 @@
         self.assertEqual(failing.call_count, 1)
         self.assertIs(made.admission.state, Admission.ALL)
 
-    def test_metrics_are_few_and_counted_once(self):
+    def test_an_ended_answer_is_counted_once_in_the_metrics(self):
         metrics = Metrics()
         made = NodeBounds(settings(), metrics)
         made.unread.ended["reader_stopped"] = 2
--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -126,9 +126,9 @@
             )
             held = configuration(route(kind=RouteKind.STREAM, timeout_s=8.0))
             relay.replace_configuration(held)
-            bounds.take_configuration(held)
+            bounds.apply_configuration(held)
             limits = HttpLimits(
-                write_buffer_bytes=bounds.caller_bytes, watch=bounds.unread, finish_s=0.1
+                write_buffer_bytes=bounds.max_caller_bytes, watch=bounds.unread, finish_s=0.1
             )
             ingress = ClientIngress(relay, lambda: False)
             tasks.start_soon(UvicornHttpServer(sockets).serve, address, ingress, limits)
