--- a/src/passlane/settings/__init__.py
+++ b/src/passlane/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Typed settings of the daemon, checked at start."""
+"""Typed settings of the processes, checked at startup."""
--- a/src/passlane/settings/checks.py
+++ b/src/passlane/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of settings that go beyond the types of single fields."""
+"""Checks of settings beyond the types of single fields."""
 
 import ipaddress
 import re
@@ -12,7 +12,7 @@
 NAME_PATTERN = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$")
 MAX_PORT = 65_535
 MIN_LEASE_HEARTBEATS = 2.0
-"""A lease must outlast this many heartbeats, or one lost message ends it."""
+"""A lease must be longer than this many heartbeats, or one lost message ends it."""
 MIN_ELECTION_HEARTBEATS = 3.0
 MAX_CLOCK_DRIFT_FRACTION = 0.2
 MIN_TOKEN_LENGTH = 8
@@ -23,14 +23,14 @@
 
 
 class SettingsProblem(msgspec.Struct, frozen=True):
-    """One fault: the dotted key and what is wrong with its value."""
+    """An invalid setting: its dotted key and what was expected."""
 
     key: str
     message: str
 
 
 def find_problems(settings: Settings) -> list[SettingsProblem]:
-    """Return all faults of settings whose types are right; empty if there is none."""
+    """Return all problems of settings that have the right types; empty if there are none."""
     return [
         *_process_problems(settings),
         *_number_problems(settings, ""),
@@ -49,15 +49,15 @@
                 f"process.{field}", "expected 1 to 63 letters, digits, dots, dashes, underscores"
             )
     if not settings.process.data_folder:
-        yield SettingsProblem("process.data_folder", "expected a folder")
+        yield SettingsProblem("process.data_folder", "expected a path, got an empty text")
     if not settings.process.roles:
         yield SettingsProblem("process.roles", "expected at least one role")
     if len(set(settings.process.roles)) != len(settings.process.roles):
-        yield SettingsProblem("process.roles", "a role is named twice")
+        yield SettingsProblem("process.roles", "a role occurs more than once")
 
 
 def _number_problems(section: msgspec.Struct, prefix: str) -> Iterator[SettingsProblem]:
-    """Find numbers that are not positive; every number in the settings must be."""
+    """Find numbers that are not positive and finite; only a few settings may be zero."""
     for name in section.__struct_fields__:
         value = getattr(section, name)
         key = f"{prefix}{name}"
@@ -66,8 +66,8 @@
         if isinstance(value, msgspec.Struct):
             yield from _number_problems(value, f"{key}.")
         elif isinstance(value, int | float) and not isinstance(value, bool):
-            lowest_ok = value >= 0 if key in _MAY_BE_ZERO else value > 0
-            if not lowest_ok or value == float("inf"):
+            is_in_range = value >= 0 if key in _MAY_BE_ZERO else value > 0
+            if not is_in_range or value == float("inf"):
                 yield SettingsProblem(key, f"expected a positive number, got {value}")
 
 
@@ -75,8 +75,8 @@
     if isinstance(value, Address):
         yield from _check_address(value, key)
     elif isinstance(value, tuple):
-        for place, item in enumerate(value):
-            yield from _address_problems(item, f"{key}[{place}]")
+        for index, item in enumerate(value):
+            yield from _address_problems(item, f"{key}[{index}]")
     elif isinstance(value, msgspec.Struct):
         for name in value.__struct_fields__:
             yield from _address_problems(getattr(value, name), f"{key}.{name}".lstrip("."))
@@ -86,7 +86,7 @@
     try:
         ipaddress.ip_address(address.host)
     except ValueError:
-        yield SettingsProblem(key, f"expected an IP number, got {address.host!r}")
+        yield SettingsProblem(key, f"expected an IP address, got {address.host!r}")
     if not 0 < address.port <= MAX_PORT:
         yield SettingsProblem(key, f"expected a port from 1 to {MAX_PORT}, got {address.port}")
 
@@ -94,11 +94,11 @@
 def _role_problems(settings: Settings) -> Iterator[SettingsProblem]:
     roles = settings.process.roles
     if Role.NODE in roles and settings.addresses.callers is None:
-        yield SettingsProblem("addresses.callers", "a node needs this address")
+        yield SettingsProblem("addresses.callers", "required for the role node")
     if Role.NODE in roles and not settings.store_addresses:
-        yield SettingsProblem("store_addresses", "a node needs the store's addresses")
+        yield SettingsProblem("store_addresses", "required for the role node")
     if Role.STORE in roles and not settings.control_addresses:
-        yield SettingsProblem("control_addresses", "a store needs the control group's addresses")
+        yield SettingsProblem("control_addresses", "required for the role store")
     if Role.STORE in roles:
         yield from _group_problems(settings, settings.store_group, "store_group")
     if Role.CONTROL in roles:
@@ -109,15 +109,15 @@
     settings: Settings, group: GroupSettings, key: str
 ) -> Iterator[SettingsProblem]:
     if not group.members:
-        yield SettingsProblem(f"{key}.members", "expected the group's first members")
+        yield SettingsProblem(f"{key}.members", "expected the initial members of the group")
     names = [member.name for member in group.members]
     if len(set(names)) != len(names):
-        yield SettingsProblem(f"{key}.members", "a name stands twice")
+        yield SettingsProblem(f"{key}.members", "a name occurs more than once")
     for member in group.members:
-        own = member.name == settings.process.name
-        if own and member.internal != settings.addresses.internal:
+        is_own = member.name == settings.process.name
+        if is_own and member.internal != settings.addresses.internal:
             yield SettingsProblem(
-                f"{key}.members", f"{member.name} does not have this process's internal address"
+                f"{key}.members", f"{member.name} has another address than addresses.internal"
             )
 
 
@@ -145,17 +145,17 @@
 def _security_problems(settings: Settings) -> Iterator[SettingsProblem]:
     for section in ("callers", "operators"):
         tokens = [entry.token for entry in getattr(settings.security, section)]
-        for place, token in enumerate(tokens):
+        for index, token in enumerate(tokens):
             if len(token) < MIN_TOKEN_LENGTH:
-                # The token itself must not show in the message.
+                # The message must not contain the token.
                 yield SettingsProblem(
-                    f"security.{section}[{place}].token",
+                    f"security.{section}[{index}].token",
                     f"expected at least {MIN_TOKEN_LENGTH} characters",
                 )
         if len(set(tokens)) != len(tokens):
-            yield SettingsProblem(f"security.{section}", "a token stands twice")
-    for place, entry in enumerate(settings.security.callers):
+            yield SettingsProblem(f"security.{section}", "a token occurs more than once")
+    for index, entry in enumerate(settings.security.callers):
         if entry.tenant is None:
             yield SettingsProblem(
-                f"security.callers[{place}].tenant", "a caller's token needs a tenant"
+                f"security.callers[{index}].tenant", "required for the token of a caller"
             )
--- a/src/passlane/settings/fleet.py
+++ b/src/passlane/settings/fleet.py
@@ -1,7 +1,7 @@
-"""Settings of a process that finds its fleet from seeds; TOML, as all of passlane's settings.
+"""Settings of a process of a fleet, which finds the other processes from seeds.
 
-The file holds what a machine is told at its start. What the process decides from it stands
-in the code of the parts that use it.
+The file is TOML. It contains the settings of one machine; values derived from them are computed by
+the code that uses them.
 """
 
 from collections.abc import Iterator
@@ -19,16 +19,16 @@
 from passlane.settings.loader import SettingsError, convert_settings, read_toml
 
 MAX_PORT = 65_535
-FEWEST_CALLER_BYTES = 4_096
-"""One event of usual size still fits."""
+MIN_CALLER_BYTES = 4_096
+"""Large enough for an event of usual size."""
 
 
 class _Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of sections: an unknown key is an error."""
+    """Base of the sections; an unknown key is an error."""
 
 
 class FleetProcessSettings(_Section, frozen=True):
-    """Who this process is and where its files live; nodes have no data folder."""
+    """Identity of this process and the folder of its files; nodes have no data folder."""
 
     name: str
     role: FleetRole
@@ -38,7 +38,7 @@
 
 
 class FleetAddressSettings(_Section, frozen=True):
-    """Where this process listens; what its role does not serve is left out."""
+    """Addresses on which this process listens; ``None`` for those that its role doesn't serve."""
 
     internal: Address
     callers: Address | None = None
@@ -48,40 +48,46 @@
 
 
 class BackendListSettings(_Section, frozen=True):
-    """The platform's list of back ends and the calls a second that all nodes may make."""
+    """Address of the platform's list of backends, and the rate limit of all nodes' calls for it."""
 
     address: Address
     rate_per_s: float
 
 
 class FleetTimingSettings(_Section, frozen=True):
-    """Bounds in seconds that a stop must keep."""
+    """Time limit of a planned stop.
+
+    Attributes
+    ----------
+    grace_s
+        Seconds between the stop signal and the kill.
+    """
 
     grace_s: float = 8.0
 
 
 class FaultToleranceSettings(_Section, frozen=True):
-    """How many machines with a disk may be lost at once with all promises kept."""
+    """Number of machines with a disk that may fail at the same time while all guarantees hold."""
 
     machines: int = 1
 
     @property
     def voters(self) -> int:
-        """Voters that a group needs, so that a majority is left."""
+        """Voters that a group needs to keep a majority."""
         return 2 * self.machines + 1
 
 
 class QuotaSettings(_Section, frozen=True):
-    """How the limits of tenants are measured.
+    """Measurement and tolerance of the rate limits of tenants.
 
     Attributes
     ----------
     window_s
-        A limit holds within any span of this length, in seconds.
+        Length in seconds of the sliding window to which a limit applies.
     overage
         Share by which a limit may be exceeded.
     slack_requests
-        Requests by which it may be exceeded on top.
+        Requests by which a limit may be exceeded in addition.
     """
 
     window_s: float = 5.0
@@ -90,27 +96,27 @@
 
 
 class TurnSettings(_Section, frozen=True):
-    """How turns of programs are served.
+    """Scheduling of the turns of programs.
 
     Attributes
     ----------
     are_placed_by_store
         Whether the leader of the store group orders the turns of all nodes and chooses their
-        engines; else each node does by itself.
+        engines. Otherwise each node does so for its own turns.
     """
 
     are_placed_by_store: bool = False
 
 
 class MachineSettings(_Section, frozen=True):
-    """What the machine has for this process; ``None`` where it isn't told.
+    """Resources of the machine for this process; ``None`` where they aren't configured.
 
     Attributes
     ----------
     memory_mb
-        Memory in megabytes, beyond which the process is killed.
+        Memory limit in megabytes; a process that exceeds it is killed.
     descriptors
-        Descriptors that the process may have open.
+        Maximum number of open file descriptors.
     """
 
     memory_mb: float | None = None
@@ -118,24 +124,26 @@
 
 
 class NodeBoundsSettings(_Section, frozen=True):
-    """What a node holds for slow readers, and what it takes on; see ``docs/design/node-bounds.md``.
+    """Bounds on buffered answers of slow readers, and on the load at which a node admits requests.
 
     Attributes
     ----------
     enabled
-        Whether a node refuses what it can't carry.
+        Whether the node refuses requests beyond its capacity.
     caller_bytes
-        Bytes that one caller may leave unread before its answer waits.
+        Maximum unread bytes of one caller; beyond it, writing the answer blocks.
     all_callers_bytes
-        Bytes for all callers; 0 takes a share of the machine's memory, if that is told.
+        Maximum unread bytes of all callers; 0 for a share of the machine's memory, if that is
+        configured.
     longest_stall_s
-        A caller that has taken nothing for so long is ended; more where routes' targets ask for it.
+        Time in seconds after which a caller that reads nothing is disconnected; extended if the
+        target latency of a route requires it.
     late_loop_s
-        A loop that is so late in the mean keeps new programs away.
+        Mean lag in seconds of the event loop above which the node refuses new programs.
     very_late_loop_s
-        A loop that is so late in the mean keeps all new requests away.
+        Mean lag in seconds of the event loop above which the node refuses all new requests.
     most_under_way
-        Requests that may be under way at once; 0 for no bound.
+        Maximum number of requests in flight; 0 for no bound.
     """
 
     enabled: bool = False
@@ -148,7 +156,13 @@
 
 
 class FleetSettings(_Section, frozen=True):
-    """The whole settings file; ``seeds`` are operators' addresses of control replicas."""
+    """The settings file.
+
+    Attributes
+    ----------
+    seeds
+        Operators' addresses of some control replicas.
+    """
 
     process: FleetProcessSettings
     addresses: FleetAddressSettings
@@ -163,7 +177,7 @@
 
 
 def load_fleet_settings(path: Path) -> FleetSettings:
-    """Return the checked settings of a file; raise ``SettingsError`` otherwise."""
+    """Return the checked settings of a file; raise ``SettingsError`` if they are invalid."""
     data: dict[str, Any] = read_toml(path)
     settings = convert_settings(path, data, FleetSettings)
     problems = list(_find_problems(settings))
@@ -179,11 +193,11 @@
     if role is FleetRole.NODE:
         for field in ("callers", "readiness"):
             if getattr(settings.addresses, field) is None:
-                yield SettingsProblem(f"addresses.{field}", "a node needs it")
+                yield SettingsProblem(f"addresses.{field}", "required for the role node")
     elif not settings.process.data_folder:
-        yield SettingsProblem("process.data_folder", "a replica needs a folder")
+        yield SettingsProblem("process.data_folder", "required for the roles store and control")
     if role is FleetRole.CONTROL and settings.addresses.operators is None:
-        yield SettingsProblem("addresses.operators", "a control replica needs it")
+        yield SettingsProblem("addresses.operators", "required for the role control")
     if settings.fault_tolerance.machines < 0:
         yield SettingsProblem("fault_tolerance.machines", "expected 0 or more")
     if settings.quotas.window_s <= 0:
@@ -207,8 +221,8 @@
 
 
 def _find_bounds_problems(bounds: NodeBoundsSettings) -> Iterator[SettingsProblem]:
-    if bounds.caller_bytes < FEWEST_CALLER_BYTES:
-        yield SettingsProblem("node_bounds.caller_bytes", f"expected {FEWEST_CALLER_BYTES} or more")
+    if bounds.caller_bytes < MIN_CALLER_BYTES:
+        yield SettingsProblem("node_bounds.caller_bytes", f"expected {MIN_CALLER_BYTES} or more")
     if bounds.all_callers_bytes and bounds.all_callers_bytes < bounds.caller_bytes:
         yield SettingsProblem(
             "node_bounds.all_callers_bytes", "expected 0, or caller_bytes or more"
--- a/src/passlane/settings/loader.py
+++ b/src/passlane/settings/loader.py
@@ -1,6 +1,6 @@
-"""Reads and checks a daemon's settings file.
+"""Reads and checks the settings file of ``passlaned``.
 
-Every error carries the code ``invalid_settings``, the file's path and the key.
+Every error has the code ``invalid_settings`` and names the file and the key.
 """
 
 import re
@@ -26,7 +26,7 @@
 
 
 class SettingsError(PasslaneError):
-    """A settings file that cannot be used; ``problems`` names each fault."""
+    """A settings file is invalid; ``problems`` lists every invalid key."""
 
     def __init__(self, path: Path, problems: Sequence[SettingsProblem]) -> None:
         lines = "; ".join(f"{path}: {problem.key}: {problem.message}" for problem in problems)
@@ -48,16 +48,16 @@
     Raises
     ------
     SettingsError
-        When the file cannot be read, holds unknown keys or values that don't fit.
+        When the file cannot be read or contains unknown keys or invalid values.
     """
     data = read_toml(path)
     for key, value in overrides.items():
-        _put(data, key, value)
+        _set_value(data, key, value)
     return parse_settings(path, data)
 
 
 def parse_settings(path: Path, data: dict[str, Any]) -> Settings:
-    """Return the checked settings held by ``data``; ``path`` stands in errors only."""
+    """Return the checked settings in ``data``; ``path`` is used in errors only."""
     settings = convert_settings(path, data, Settings)
     problems = find_problems(settings)
     if problems:
@@ -68,7 +68,7 @@
 def convert_settings(
     path: Path, data: dict[str, Any], settings_class: type[SettingsType]
 ) -> SettingsType:
-    """Return ``data`` as a struct of settings; raise ``SettingsError`` if it doesn't fit."""
+    """Return ``data`` as a settings struct; raise ``SettingsError`` if it has other types."""
     try:
         converted = _with_addresses(data, type_info(settings_class), "")
         return msgspec.convert(converted, settings_class)
@@ -79,7 +79,7 @@
 
 
 def read_toml(path: Path) -> dict[str, Any]:
-    """Return what a TOML file holds; raise ``SettingsError`` when it cannot be read."""
+    """Return the contents of a TOML file; raise ``SettingsError`` if it cannot be read."""
     try:
         return tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -89,7 +89,7 @@
         raise SettingsError(path, [SettingsProblem("file", f"not TOML: {error}")]) from None
 
 
-def _put(data: dict[str, Any], dotted_key: str, value: Any) -> None:
+def _set_value(data: dict[str, Any], dotted_key: str, value: Any) -> None:
     *sections, name = dotted_key.split(".")
     for section in sections:
         data = data.setdefault(section, {})
@@ -106,7 +106,7 @@
 
 
 class _AddressError(Exception):
-    """A text that is no address; ``convert_settings`` makes a ``SettingsError`` of it."""
+    """A text is not an address; ``convert_settings`` converts this to a ``SettingsError``."""
 
     def __init__(self, problem: SettingsProblem) -> None:
         super().__init__(problem.message)
@@ -114,17 +114,17 @@
 
 
 def _with_addresses(value: Any, expected: Type, key: str) -> Any:
-    """Return ``value`` with each ``host:port`` text put in the form of an ``Address``.
+    """Return ``value`` with each ``host:port`` text replaced by the fields of an ``Address``.
 
-    Text is only converted where the settings' types ask for an address.
+    Text is only converted where the expected type is an address.
     """
     if isinstance(expected, UnionType):
         members = [t for t in expected.types if isinstance(t, StructType | VarTupleType)]
         return _with_addresses(value, members[0], key) if members else value
     if isinstance(expected, VarTupleType) and isinstance(value, list):
         return [
-            _with_addresses(item, expected.item_type, f"{key}[{place}]")
-            for place, item in enumerate(value)
+            _with_addresses(item, expected.item_type, f"{key}[{index}]")
+            for index, item in enumerate(value)
         ]
     if not isinstance(expected, StructType):
         return value
--- a/src/passlane/settings/model.py
+++ b/src/passlane/settings/model.py
@@ -1,4 +1,4 @@
-"""The settings file of a daemon, as typed structs. Units stand in the field names."""
+"""The settings file of ``passlaned``, as typed structs; field names end in their unit."""
 
 import enum
 
@@ -9,7 +9,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a daemon does; one process may have several roles."""
+    """Role of a daemon; one process may have several."""
 
     NODE = "node"
     STORE = "store"
@@ -17,11 +17,11 @@
 
 
 class _Section(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of sections: an unknown key is an error."""
+    """Base of the sections; an unknown key is an error."""
 
 
 class ProcessSettings(_Section, frozen=True):
-    """Who this process is and where its files live."""
+    """Identity of this process and the folder of its files."""
 
     name: str
     roles: tuple[Role, ...]
@@ -31,10 +31,16 @@
 
 
 class AddressSettings(_Section, frozen=True):
-    """Where this process listens; ``host:port`` in the file.
-
-    ``internal`` serves other passlane processes, ``callers`` (nodes only) the callers'
-    HTTP, ``operators`` the operators' HTTP with metrics and health.
+    """Addresses on which this process listens; ``host:port`` in the file.
+
+    Attributes
+    ----------
+    internal
+        Messages of other passlane processes.
+    operators
+        HTTP of operators, with metrics and health.
+    callers
+        HTTP of callers; nodes only.
     """
 
     internal: Address
@@ -43,19 +49,26 @@
 
 
 class PeerSettings(_Section, frozen=True):
-    """A replica of a group that this process knows from the start."""
+    """A configured replica of a group."""
 
     name: str
     internal: Address
 
 
 class GroupSettings(_Section, frozen=True):
-    """Timing and first members of the replicated groups.
-
-    ``members`` are the first voters. An election starts after a random time between one
-    and two ``election_timeout_s`` without a leader, and after
-    ``first_election_share`` of that while no leader was heard since the start. ``places``
-    is how many voters a group keeps; without it each replica votes that asks for it.
+    """Timing and initial members of a replicated group.
+
+    Attributes
+    ----------
+    members
+        The initial voters.
+    election_timeout_s
+        An election starts after a random time between one and two timeouts without a leader.
+    first_election_share
+        Share of the election timeout that applies to the first elections after a start.
+    places
+        Number of voters that a group maintains; without it, each replica that requests to vote
+        becomes a voter.
     """
 
     members: tuple[PeerSettings, ...] = ()
@@ -69,9 +82,12 @@
 
 
 class ControlSettings(_Section, frozen=True):
-    """What the control group asks for before it accepts a change.
+    """Conditions under which the control group accepts a change.
 
-    ``regions`` must each hold a change first; empty means the process's own region.
+    Attributes
+    ----------
+    regions
+        Regions in each of which a change must be stored first; empty means the process's own.
     """
 
     regions: tuple[str, ...] = ()
@@ -90,13 +106,17 @@
 class NodeSettings(_Section, frozen=True):
     """Limits and intervals of a node.
 
-    Engines that the node uses are polled each ``engine_poll_s``, others each
-    ``idle_engine_poll_s``; both grow so that all polls stay below
-    ``max_engine_polls_per_s``.
-
-    ``platform_list`` is the address of the platform's list of machines. The leader of the
-    region's store group reads it, to learn which machines are about to leave, so it is set
-    for processes with the store role; a node does not read it. Without it no list is read.
+    Attributes
+    ----------
+    engine_poll_s
+        Interval for engines that the node uses; it grows if all polls would exceed
+        ``max_engine_polls_per_s``.
+    idle_engine_poll_s
+        The same for other engines.
+    platform_list
+        Address of the platform's list of machines, from which the leader of the region's store
+        group reads which machines are about to be removed. It is set for processes with the store
+        role; a node doesn't read it. Without it no list is read.
     """
 
     max_body_bytes: int = 1_000_000
@@ -113,7 +133,7 @@
 
 
 class TokenSettings(_Section, frozen=True):
-    """One bearer token; ``tenant`` is set for callers' tokens only."""
+    """A bearer token; ``tenant`` is set for tokens of callers only."""
 
     token: str
     tenant: TenantId | None = None
@@ -127,14 +147,14 @@
 
 
 class ObservabilitySettings(_Section, frozen=True):
-    """Size of the ring log and where it is written when something goes wrong."""
+    """Size of the ring log and the folder to which it is dumped on failures."""
 
     ring_lines: int = 10_000
     dump_folder: str = "ring"
 
 
 class SimulatedDelaySettings(_Section, frozen=True):
-    """For a fleet on one machine: added one-way delay to peers, by their zone, in seconds."""
+    """Added one-way network delay to peers by their zone, to simulate zones on one machine."""
 
     zone_of_host: dict[str, str] = {}
     same_zone_s: float = 0.0
@@ -142,10 +162,14 @@
 
 
 class Settings(_Section, frozen=True):
-    """The whole settings file.
-
-    ``store_addresses`` are the internal addresses of the region's store replicas,
-    ``control_addresses`` those of the control replicas.
+    """The settings file.
+
+    Attributes
+    ----------
+    store_addresses
+        Internal addresses of the region's store replicas.
+    control_addresses
+        Internal addresses of the control replicas.
     """
 
     process: ProcessSettings
--- a/tests/settings/test_loader.py
+++ b/tests/settings/test_loader.py
@@ -1,4 +1,4 @@
-"""Settings files: what is right is read, and each fault is named with file and key."""
+"""Settings files: valid ones are read; for invalid ones the error names the file and the key."""
 
 import copy
 import unittest
@@ -15,7 +15,7 @@
 
 PATH = Path("fleet/store-1.toml")
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "process": {
         "name": "store-1",
         "roles": ["store", "control", "node"],
@@ -39,7 +39,7 @@
     "node": {"platform_list": "127.0.0.1:9000"},
 }
 
-FAULTS: list[tuple[str, Any, str]] = [
+INVALID_VALUES: list[tuple[str, Any, str]] = [
     ("process.name", "", "process.name"),
     ("process.zone", "zone one", "process.zone"),
     ("process.roles", ["store", "boss"], "process.roles[1]"),
@@ -67,8 +67,8 @@
 
 
 def changed(key: str, value: Any) -> dict[str, Any]:
-    """Return the good settings with one value replaced."""
-    data = copy.deepcopy(GOOD)
+    """Return the valid settings with one value replaced."""
+    data = copy.deepcopy(VALID)
     section = data
     *parents, name = key.split(".")
     for parent in parents:
@@ -78,14 +78,14 @@
 
 
 class LoaderTest(unittest.TestCase):
-    def test_good_settings_are_read(self) -> None:
-        settings = parse_settings(PATH, copy.deepcopy(GOOD))
+    def test_valid_settings_are_read(self) -> None:
+        settings = parse_settings(PATH, copy.deepcopy(VALID))
         self.assertEqual(settings.addresses.internal, Address("127.0.0.1", 7001))
         self.assertEqual(settings.node.platform_list, Address("127.0.0.1", 9000))
         self.assertEqual(settings.store_group.members[0].internal.port, 7001)
 
-    def test_each_fault_names_code_file_and_key_but_no_token(self) -> None:
-        for key, value, expected_key in FAULTS:
+    def test_errors_name_the_code_the_file_and_the_key_but_no_token(self) -> None:
+        for key, value, expected_key in INVALID_VALUES:
             with self.subTest(key=key, value=value):
                 with self.assertRaises(SettingsError) as caught:
                     parse_settings(PATH, changed(key, value))
@@ -96,7 +96,7 @@
                 self.assertIn(expected_key, text)
                 self.assertNotIn("hunter2", text)
 
-    def test_missing_file_and_broken_text_are_named(self) -> None:
+    def test_a_missing_file_is_named_and_invalid_toml_is_refused(self) -> None:
         with self.assertRaises(SettingsError) as caught:
             load_settings(Path("/nowhere/at-all.toml"))
         self.assertIn("/nowhere/at-all.toml", str(caught.exception))
@@ -105,7 +105,7 @@
 
     @hypothesis_settings(derandomize=True, database=None, deadline=None, max_examples=300)
     @given(
-        strategies.sampled_from(sorted(GOOD)),
+        strategies.sampled_from(sorted(VALID)),
         strategies.recursive(
             strategies.none() | strategies.integers() | strategies.text(max_size=5),
             lambda inner: (
@@ -117,7 +117,7 @@
     )
     def test_any_section_is_read_or_refused_with_a_code(self, key: str, value: Any) -> None:
         try:
-            settings = parse_settings(PATH, {**copy.deepcopy(GOOD), key: value})
+            settings = parse_settings(PATH, {**copy.deepcopy(VALID), key: value})
         except SettingsError as error:
             self.assertTrue(error.problems)
         else:
