--- a/src/passlane/platform/__init__.py
+++ b/src/passlane/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Names, formats and calls of the platform that passlane runs on; nothing here decides."""
+"""Wire names, formats and HTTP of the platform that passlane runs on; contains no decisions."""
--- a/src/passlane/platform/answer_writer.py
+++ b/src/passlane/platform/answer_writer.py
@@ -1,4 +1,4 @@
-"""Writes answers to clients of the platform over ASGI."""
+"""Writes answers to the platform's clients over ASGI."""
 
 from collections.abc import Callable, Sequence
 
@@ -12,7 +12,7 @@
 
 
 class _Refusal(msgspec.Struct, frozen=True):
-    """Body of an answer of this system's own."""
+    """Body of an answer that passlane generates itself."""
 
     reason: str
 
@@ -23,14 +23,14 @@
     Attributes
     ----------
     is_abandoned
-        Whether the connection of the client has ended.
+        Whether the client's connection has ended.
     abandon_reason
-        Why it has, if it has.
+        Reason for its end; meaningful only if ``is_abandoned``.
 
     Parameters
     ----------
     must_close
-        Returns whether clients are to open another connection for their next request.
+        Returns whether answers must close the connection, so that the client reconnects.
     """
 
     def __init__(self, send: Send, must_close: Callable[[], bool]) -> None:
@@ -43,21 +43,21 @@
 
     @property
     def has_started(self) -> bool:
-        """Whether the head was written."""
+        """Whether the head has been written."""
         return self._status != 0
 
     @property
     def status(self) -> int:
-        """Status that was written; 0 before the head."""
+        """Status of the head; 0 before it is written."""
         return self._status
 
     @property
     def is_finished(self) -> bool:
-        """Whether the whole answer was written."""
+        """Whether the whole answer has been written."""
         return self._is_finished
 
     async def start(self, status: int, headers: Sequence[Header], length: int | None) -> None:
-        """Write the head; without a length the body goes out in chunks."""
+        """Write the head; without a length the body is sent in chunks."""
         encoded = [
             (header.name.encode("latin-1"), header.value.encode("latin-1")) for header in headers
         ]
@@ -79,7 +79,10 @@
         self._is_finished = True
 
     async def refuse(self, status: int, reason: str, retry_after_s: float | None) -> None:
-        """Write a whole answer of this system's own."""
+        """Write a complete answer that passlane generates itself.
+
+        ``retry_after_s`` is in seconds.
+        """
         body = _encoder.encode(_Refusal(reason))
         headers = [Header("content-type", "application/json")]
         if retry_after_s is not None:
--- a/src/passlane/platform/client_ingress.py
+++ b/src/passlane/platform/client_ingress.py
@@ -1,4 +1,4 @@
-"""The HTTP that clients of the platform speak to a node."""
+"""HTTP interface of a node for the platform's clients."""
 
 from collections.abc import Callable
 
@@ -30,12 +30,12 @@
 
 
 class ClientIngress:
-    """ASGI application that hands clients' requests to the relay.
+    """ASGI application that forwards clients' requests to the relay.
 
     Parameters
     ----------
     must_close
-        Returns whether clients are to open another connection for their next request.
+        Returns whether answers must close the connection, so that the client reconnects.
     """
 
     def __init__(self, relay: RelayService, must_close: Callable[[], bool]) -> None:
@@ -55,17 +55,17 @@
             body = await self._read_body(scope, receive)
             call = parse_call(scope["method"], _target(scope), headers, body, arrived_at)
         except PasslaneError as error:
-            await self._refuse(error, AsgiAnswerWriter(send, _always))
+            await self._refuse(error, AsgiAnswerWriter(send, _always_close))
             return
         writer = AsgiAnswerWriter(send, self._must_close)
         async with anyio.create_task_group() as tasks:
             ending = scope.get("state", {}).get(ENDING_STATE)
-            tasks.start_soon(_cancel_when_gone, receive, writer, tasks.cancel_scope, ending)
+            tasks.start_soon(_cancel_on_disconnect, receive, writer, tasks.cancel_scope, ending)
             try:
                 await self._relay.handle(call, writer)
             except AnswerAbortedError:
-                # Returning without an end makes the server close the connection, so that
-                # the answer doesn't look whole.
+                # Without the end of the body, the server closes the connection, so that the
+                # client recognizes the answer as incomplete.
                 pass
             except Exception:
                 _log.exception("request_failed", request_id=call.request_id)
@@ -81,7 +81,7 @@
 
     @staticmethod
     async def _refuse(error: PasslaneError, writer: AsgiAnswerWriter) -> None:
-        """Refuse a request that could not be read; the rest of it isn't waited for."""
+        """Refuse a malformed request without reading the rest of it."""
         _log.info("request_unreadable", code=error.code.value, message=error.message)
         if error.code is ErrorCode.CONNECTION_LOST:
             return
@@ -89,18 +89,18 @@
         await writer.refuse(BODY_TOO_LARGE if too_large else BAD_REQUEST, error.message, None)
 
 
-def _always() -> bool:
-    """Have the connection closed after the answer."""
+def _always_close() -> bool:
+    """Return ``True``: the connection of a malformed request is closed after the answer."""
     return True
 
 
-async def _cancel_when_gone(
+async def _cancel_on_disconnect(
     receive: Receive,
     writer: AsgiAnswerWriter,
     scope: anyio.CancelScope,
     ending: ConnectionEnding | None,
 ) -> None:
-    """Cancel the work on a request once the connection of its client has ended."""
+    """Cancel the processing of a request when the client's connection ends."""
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
--- a/src/passlane/platform/configuration_format.py
+++ b/src/passlane/platform/configuration_format.py
@@ -1,4 +1,4 @@
-"""The platform's configuration document and the product's route configuration."""
+"""Converts between the platform's configuration document and ``RouteConfiguration``."""
 
 from collections.abc import Mapping
 from typing import Annotated, Literal
@@ -17,8 +17,9 @@
 )
 from passlane.routes.tenants import digest_of_key
 
-MILLISECONDS = 1_000.0
-WHOLE_WEIGHT = 1
+MILLISECONDS_PER_SECOND = 1_000.0
+FULL_WEIGHT = 1
+"""Weight of the only service of a route."""
 
 _Kind = Literal["safe", "unsafe", "streaming"]
 _KINDS: dict[_Kind, RouteKind] = {
@@ -26,10 +27,10 @@
     "unsafe": RouteKind.AT_MOST_ONCE,
     "streaming": RouteKind.STREAM,
 }
-_WORDS: dict[RouteKind, _Kind] = {kind: word for word, kind in _KINDS.items()}
+_WIRE_KINDS: dict[RouteKind, _Kind] = {kind: word for word, kind in _KINDS.items()}
 
 
-class _Part(msgspec.Struct, frozen=True):
+class _SplitService(msgspec.Struct, frozen=True):
     service: str
     weight: int
 
@@ -43,7 +44,7 @@
     target_latency_ms: float = 0.0
     priority: int = 5
     service: str | None = None
-    traffic_split: tuple[_Part, ...] | None = None
+    traffic_split: tuple[_SplitService, ...] | None = None
     max_attempts: int = 1
     retained: bool = False
     retention_s: float = 0.0
@@ -96,12 +97,12 @@
 
 
 def parse_configuration(source: bytes) -> RouteConfiguration:
-    """Return the configuration that a document holds; it is not checked yet.
+    """Return the configuration in a document, without checking its consistency.
 
     Raises
     ------
     PasslaneError
-        ``INVALID_DOCUMENT`` when it cannot be read whole.
+        ``INVALID_DOCUMENT`` when the document is not valid JSON or a field has another type.
     """
     try:
         document = _decoder.decode(source)
@@ -125,7 +126,7 @@
     Parameters
     ----------
     keys_of_tenant
-        API keys by tenant; a configuration holds digests only.
+        API keys by tenant, since a configuration contains only their digests.
     """
     document = _Document(
         version=configuration.version,
@@ -151,15 +152,15 @@
         name=route.name,
         host=route.host,
         path_prefix=route.path_prefix,
-        kind=_WORDS[route.kind],
-        timeout_ms=route.timeout_s * MILLISECONDS,
-        target_latency_ms=route.target_latency_s * MILLISECONDS,
+        kind=_WIRE_KINDS[route.kind],
+        timeout_ms=route.timeout_s * MILLISECONDS_PER_SECOND,
+        target_latency_ms=route.target_latency_s * MILLISECONDS_PER_SECOND,
         priority=route.priority,
         service=share.service,
         max_attempts=route.max_attempts,
         retained=route.keeps_turns,
         retention_s=route.retention_s,
-        target_gap_ms=route.target_gap_s * MILLISECONDS,
+        target_gap_ms=route.target_gap_s * MILLISECONDS_PER_SECOND,
     )
 
 
@@ -179,15 +180,15 @@
         host=route.host,
         path_prefix=route.path_prefix,
         kind=_KINDS[route.kind],
-        timeout_s=route.timeout_ms / MILLISECONDS,
-        target_latency_s=route.target_latency_ms / MILLISECONDS,
+        timeout_s=route.timeout_ms / MILLISECONDS_PER_SECOND,
+        target_latency_s=route.target_latency_ms / MILLISECONDS_PER_SECOND,
         priority=route.priority,
         shares=_shares_of(route),
         max_attempts=route.max_attempts,
         keeps_turns=route.retained,
         retention_s=route.retention_s,
         is_resumable=route.resumable,
-        target_gap_s=route.target_gap_ms / MILLISECONDS,
+        target_gap_s=route.target_gap_ms / MILLISECONDS_PER_SECOND,
         is_public=route.public,
         is_sticky=route.sticky,
     )
@@ -195,8 +196,8 @@
 
 def _shares_of(route: _Route) -> tuple[ServiceShare, ...]:
     if route.traffic_split:
-        return tuple(ServiceShare(part.service, part.weight) for part in route.traffic_split)
-    return (ServiceShare(route.service, WHOLE_WEIGHT),) if route.service is not None else ()
+        return tuple(ServiceShare(split.service, split.weight) for split in route.traffic_split)
+    return (ServiceShare(route.service, FULL_WEIGHT),) if route.service is not None else ()
 
 
 def _tenant_of(tenant: _Tenant) -> Tenant:
@@ -225,6 +226,6 @@
     return RequestLimits(
         max_header_bytes=limits.max_header_bytes,
         max_body_bytes=limits.max_body_bytes,
-        header_timeout_s=limits.header_timeout_ms / MILLISECONDS,
-        idle_timeout_s=limits.idle_timeout_ms / MILLISECONDS,
+        header_timeout_s=limits.header_timeout_ms / MILLISECONDS_PER_SECOND,
+        idle_timeout_s=limits.idle_timeout_ms / MILLISECONDS_PER_SECOND,
     )
--- a/src/passlane/platform/engine_client.py
+++ b/src/passlane/platform/engine_client.py
@@ -1,4 +1,4 @@
-"""Requests to the platform's engines and applications."""
+"""Sends requests to the platform's engines and applications."""
 
 from collections.abc import AsyncGenerator, AsyncIterator, Mapping
 from contextlib import aclosing, asynccontextmanager
@@ -19,13 +19,13 @@
 )
 
 WRONG_INSTANCE_STATUS = 421
-FIRST_FAILURE_STATUS = 300
-FIRST_REFUSAL_STATUS = 400
+MIN_FAILURE_STATUS = 300
+MIN_REFUSAL_STATUS = 400
 MAX_REFUSAL_BYTES = 4_096
-"""A refusal's body is read up to here, so that its connection can be kept."""
-REFUSAL_READ_S = 0.03
-"""So long a refusal's body may take; the request waits for it before its next attempt."""
-MILLISECONDS = 1_000
+"""Maximum size of a refusal's body that is read in order to reuse the connection."""
+REFUSAL_READ_TIMEOUT_S = 0.03
+"""Timeout for reading a refusal's body, which delays the request's next attempt."""
+MILLISECONDS_PER_SECOND = 1_000
 
 _log = get_logger(__name__)
 
@@ -38,7 +38,7 @@
         self.head = _head_of(response, request_id)
 
     def chunks(self) -> AsyncGenerator[bytes, None]:
-        """Return the body's parts as they arrive."""
+        """Return the chunks of the body as they arrive."""
         return self._response.chunks()
 
 
@@ -49,14 +49,14 @@
         self._http_client = http_client
 
     def has_idle_connection(self, backend: BackendRecord) -> bool:
-        """Whether a request could be sent without opening a connection."""
+        """Whether a request can be sent without opening a connection."""
         return self._http_client.has_idle_connection(backend.address)
 
     @asynccontextmanager
     async def exchange(
         self, backend: BackendRecord, request: BackendRequest
     ) -> AsyncIterator[EngineAnswer]:
-        """Send a request and give its answer."""
+        """Send a request and yield its answer; read a refusal to its end afterwards."""
         call = request.call
         http_request = HttpRequest(
             method=call.method,
@@ -72,17 +72,17 @@
             answer = EngineAnswer(response, call.request_id)
             yield answer
             if answer.head.refusal is not None:
-                await _read_rest(response, call.request_id)
+                await _read_refusal_body(response, call.request_id)
 
 
-async def _read_rest(response: HttpResponse, request_id: str) -> None:
-    """Read a short refusal to its end, so that its connection can be used again.
+async def _read_refusal_body(response: HttpResponse, request_id: str) -> None:
+    """Read a refusal to its end, so that its connection can be reused.
 
-    A longer one, or one that breaks off or takes its time, is left, which closes it.
+    A body that is too long, incomplete or too slow is abandoned, which closes the connection.
     """
     size = 0
     try:
-        with anyio.move_on_after(REFUSAL_READ_S):
+        with anyio.move_on_after(REFUSAL_READ_TIMEOUT_S):
             async with aclosing(response.chunks()) as chunks:
                 async for chunk in chunks:
                     size += len(chunk)
@@ -95,9 +95,9 @@
 def _headers_for(backend: BackendRecord, request: BackendRequest) -> dict[str, str]:
     headers: dict[str, str] = {}
     for header in request.call.headers:
-        before = headers.get(header.name)
-        headers[header.name] = f"{before}, {header.value}" if before else header.value
-    headers[names.DEADLINE_MS] = str(int(request.remaining_s * MILLISECONDS))
+        previous = headers.get(header.name)
+        headers[header.name] = f"{previous}, {header.value}" if previous else header.value
+    headers[names.DEADLINE_MS] = str(int(request.remaining_s * MILLISECONDS_PER_SECOND))
     headers[names.TARGET_INSTANCE] = backend.instance_id
     if request.engine_priority is not None:
         headers[names.REQUEST_PRIORITY] = str(request.engine_priority)
@@ -108,14 +108,14 @@
     return headers
 
 
-def _is_own(headers: Mapping[str, str], request_id: str) -> bool:
-    """Return whether an answer proves to be one to this request: engines echo the id in all."""
+def _echoes_request_id(headers: Mapping[str, str], request_id: str) -> bool:
+    """Return whether an answer belongs to this request; engines echo the id in every answer."""
     return headers.get(names.ATTEMPT_ID) == request_id
 
 
 def _head_of(response: HttpResponse, request_id: str) -> AnswerHead:
     headers = response.headers
-    is_own = _is_own(headers, request_id)
+    is_matching = _echoes_request_id(headers, request_id)
     length = headers.get("content-length")
     return AnswerHead(
         status=response.status,
@@ -124,8 +124,8 @@
             for name, value in headers.items()
             if name not in names.CONNECTION_HEADERS
         ),
-        refusal=_refusal_of(response) if is_own else None,
-        is_authentic=is_own and _has_marks(response.status, headers),
+        refusal=_refusal_of(response) if is_matching else None,
+        is_authentic=is_matching and _has_required_headers(response.status, headers),
         length=int(length) if length is not None else None,
     )
 
@@ -133,17 +133,18 @@
 def _refusal_of(response: HttpResponse) -> Refusal | None:
     if response.status == WRONG_INSTANCE_STATUS:
         return Refusal.WRONG_INSTANCE
-    if response.status < FIRST_REFUSAL_STATUS:
+    if response.status < MIN_REFUSAL_STATUS:
         return None
     return Refusal.NOT_EXECUTED if names.NOT_EXECUTED in response.headers else None
 
 
-def _has_marks(status: int, headers: Mapping[str, str]) -> bool:
-    """Return whether a success bears the engine's signature and its body unencoded.
+def _has_required_headers(status: int, headers: Mapping[str, str]) -> bool:
+    """Return whether a success has the engine's signature and an unencoded body.
 
-    One that says besides that the request did not run contradicts itself.
+    A success with the header ``NOT_EXECUTED`` is contradictory and doesn't count. Other statuses
+    require no headers.
     """
-    if status >= FIRST_FAILURE_STATUS:
+    if status >= MIN_FAILURE_STATUS:
         return True
-    is_plain = "content-encoding" not in headers and names.NOT_EXECUTED not in headers
-    return is_plain and names.SIGNATURE in headers
+    is_consistent = "content-encoding" not in headers and names.NOT_EXECUTED not in headers
+    return is_consistent and names.SIGNATURE in headers
--- a/src/passlane/platform/instance_list.py
+++ b/src/passlane/platform/instance_list.py
@@ -12,10 +12,10 @@
 from passlane.runtime.interfaces import HttpClient, HttpConnectionError, HttpRequest
 
 OK = 200
-TOO_MANY_CALLS = 429
+TOO_MANY_REQUESTS = 429
 MAX_PAGES = 200
-MOST_REASONS_LOGGED = 5
-"""Entries of one reading whose reason is logged; the others are counted. Chosen."""
+MAX_REASONS_LOGGED = 5
+"""Maximum number of invalid entries per read whose reason is logged; all are counted."""
 
 _log = get_logger(__name__)
 
@@ -26,7 +26,7 @@
     Parameters
     ----------
     metrics
-        Gets the counter of entries that could not be read; ``None`` for none.
+        Registry for the counter of invalid entries; ``None`` for no counter.
     """
 
     def __init__(
@@ -40,13 +40,14 @@
             metrics.define_when_exposed(self._define_metrics)
 
     async def read(self) -> tuple[BackendRecord, ...]:
-        """Return the whole list but for entries that can't be read, which name no back end.
+        """Return the backends of all pages; invalid entries are skipped.
 
         Raises
         ------
         PasslaneError
-            ``PROTOCOL_ERROR`` when a page can't be read; ``UNAVAILABLE`` when the list can't be
-            had; ``LIMIT_EXCEEDED`` over the rate of calls.
+            ``PROTOCOL_ERROR`` when a page is invalid or the list exceeds ``MAX_PAGES``;
+            ``UNAVAILABLE`` when the list can't be fetched; ``LIMIT_EXCEEDED`` when the platform's
+            rate limit is exceeded.
         """
         records: list[BackendRecord] = []
         unreadable: list[UnreadableEntry] = []
@@ -57,18 +58,20 @@
             unreadable += page.unreadable
             token = page.next_token
             if token is None:
-                self._note_unreadable(unreadable)
+                self._report_unreadable(unreadable)
                 return tuple(records)
-        raise PasslaneError(ErrorCode.PROTOCOL_ERROR, "the list of engines has no end")
+        raise PasslaneError(
+            ErrorCode.PROTOCOL_ERROR, "the list of engines has more pages than the maximum"
+        )
 
-    def _note_unreadable(self, entries: list[UnreadableEntry]) -> None:
-        """Count entries that can't be read, and log them when they are others than before."""
+    def _report_unreadable(self, entries: list[UnreadableEntry]) -> None:
+        """Count the invalid entries, and log them if they differ from those of the last read."""
         self._unreadable_count += len(entries)
         if entries != self._unreadable:
             _log.warning(
                 "backend_entries_unreadable",
                 entries=len(entries),
-                reasons=[entry.reason for entry in entries[:MOST_REASONS_LOGGED]],
+                reasons=[entry.reason for entry in entries[:MAX_REASONS_LOGGED]],
             )
         self._unreadable = entries
 
@@ -96,8 +99,10 @@
                 body = b"".join([chunk async for chunk in response.chunks()])
         except HttpConnectionError as error:
             raise PasslaneError(ErrorCode.UNAVAILABLE, str(error)) from error
-        if response.status == TOO_MANY_CALLS:
-            raise PasslaneError(ErrorCode.LIMIT_EXCEEDED, "too many calls for the list of engines")
+        if response.status == TOO_MANY_REQUESTS:
+            raise PasslaneError(
+                ErrorCode.LIMIT_EXCEEDED, "list of engines: the rate limit is exceeded"
+            )
         if response.status != OK:
-            raise PasslaneError(ErrorCode.UNAVAILABLE, f"list of engines: {response.status}")
+            raise PasslaneError(ErrorCode.UNAVAILABLE, f"list of engines: status {response.status}")
         return decode_page(body)
--- a/src/passlane/platform/list_format.py
+++ b/src/passlane/platform/list_format.py
@@ -1,8 +1,8 @@
 """Decodes pages of the platform's list of engines and applications, entry by entry.
 
-An entry may come from a writer that this system knows nothing of: it may lack fields, have others
-or other types, name a state that isn't known, or hold bytes that can't be read. Such an entry names
-no back end, and the others hold. Only a page whose frame can't be read is an error.
+Entries may come from incompatible writers: fields may be missing, unknown or of other types, the
+state may be unknown, and texts may contain invalid bytes. An invalid entry is skipped and the
+others are used. Only a page that is invalid as a whole is an error.
 """
 
 import ipaddress
@@ -16,20 +16,20 @@
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 
-HIGHEST_PORT = 65_535
-LONGEST_REASON = 120
-"""Characters of the reason why an entry can't be read, as logged. Chosen."""
+MAX_PORT = 65_535
+MAX_REASON_CHARACTERS = 120
+"""Maximum length of the logged reason why an entry is invalid."""
 REPLACEMENT = "\N{REPLACEMENT CHARACTER}"
-"""Stands where bytes of a page were not text."""
+"""Replaces bytes of a page that are not valid UTF-8."""
 
 _Name = Annotated[str, msgspec.Meta(min_length=1)]
 _Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class _Entry(msgspec.Struct, frozen=True):
-    """One entry of a page, with all fields that every entry has, used or not.
+    """One entry of a page, with all required fields, used or not.
 
-    ``born`` is the Unix time of the start, in ms; older platforms leave it out.
+    ``born`` is the Unix time of the instance's start, in ms; older platforms omit it.
     """
 
     id: _Name
@@ -46,39 +46,43 @@
 
 
 class _Page(msgspec.Struct, frozen=True):
-    """A page whose entries are not looked at yet."""
+    """A page whose entries are not decoded yet."""
 
     instances: list[msgspec.Raw]
     next_token: str | None = None
 
 
 class _LenientPage(msgspec.Struct, frozen=True):
-    """The same, of a page that holds bytes that are no text."""
+    """A page that contains invalid UTF-8, with entries of any type."""
 
     instances: list[Any]
     next_token: str | None = None
 
 
-class _WrittenPage(msgspec.Struct, frozen=True):
-    """A page as it is written."""
+class _EncodedPage(msgspec.Struct, frozen=True):
+    """A page to be encoded."""
 
     instances: tuple[_Entry, ...]
     next_token: str | None = None
 
 
 class UnreadableEntry(msgspec.Struct, frozen=True):
-    """An entry that names no back end, and why."""
+    """The reason why an entry is invalid."""
 
     reason: str
 
 
 class ListPage(msgspec.Struct, frozen=True):
-    """What one page says.
+    """Contents of one page.
 
     Attributes
     ----------
+    records
+        Backends of the valid entries.
+    unreadable
+        Reasons of the invalid entries.
     next_token
-        Names the page that follows; ``None`` on the last.
+        Token of the next page; ``None`` on the last.
     """
 
     records: tuple[BackendRecord, ...]
@@ -92,79 +96,79 @@
 
 
 def decode_page(body: bytes) -> ListPage:
-    """Return what a page says.
+    """Return the contents of a page.
 
     Raises
     ------
     PasslaneError
-        ``PROTOCOL_ERROR`` when the page itself can't be read.
+        ``PROTOCOL_ERROR`` when the page is invalid as a whole.
     """
     try:
         page = _page_decoder.decode(body)
-        return _page_of([_read_raw(entry) for entry in page.instances], page.next_token)
+        return _page_of([_decode_entry(entry) for entry in page.instances], page.next_token)
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError):
-        # Bytes of one entry that are no text make the strict decoder refuse the whole page.
+        # Invalid UTF-8 in one entry makes the strict decoder refuse the whole page.
         return _decode_leniently(body)
 
 
 def encode_page(records: Iterable[BackendRecord]) -> bytes:
-    """Return the only page of a list, as the platform writes it."""
-    return _encoder.encode(_WrittenPage(tuple(_entry_of(record) for record in records)))
+    """Return a list with a single page in the platform's format."""
+    return _encoder.encode(_EncodedPage(tuple(_entry_of(record) for record in records)))
 
 
 def _decode_leniently(body: bytes) -> ListPage:
-    """Decode a page with bytes that are no text; an entry that holds them can't be read."""
+    """Decode a page that contains invalid UTF-8; the entries that contain it are invalid."""
     try:
         content = json.loads(body.decode(errors="replace"), strict=False)
         page = msgspec.convert(content, _LenientPage)
     except (ValueError, RecursionError) as error:
-        # What msgspec raises is a ValueError as well.
+        # Errors of msgspec are subclasses of ValueError.
         raise PasslaneError(ErrorCode.PROTOCOL_ERROR, f"list of engines: {error}") from error
-    return _page_of([_read_content(entry) for entry in page.instances], page.next_token)
+    return _page_of([_convert_entry(entry) for entry in page.instances], page.next_token)
 
 
 def _page_of(
     entries: Iterable[BackendRecord | UnreadableEntry], next_token: str | None
 ) -> ListPage:
-    read = list(entries)
+    decoded = list(entries)
     return ListPage(
-        records=tuple(entry for entry in read if isinstance(entry, BackendRecord)),
-        unreadable=tuple(entry for entry in read if isinstance(entry, UnreadableEntry)),
+        records=tuple(entry for entry in decoded if isinstance(entry, BackendRecord)),
+        unreadable=tuple(entry for entry in decoded if isinstance(entry, UnreadableEntry)),
         next_token=next_token,
     )
 
 
-def _read_raw(entry: msgspec.Raw) -> BackendRecord | UnreadableEntry:
+def _decode_entry(entry: msgspec.Raw) -> BackendRecord | UnreadableEntry:
     try:
         return _record_of(_entry_decoder.decode(entry))
     except UnicodeDecodeError:
-        return UnreadableEntry("holds bytes that are no text")
+        return UnreadableEntry("a text contains invalid UTF-8 or control characters")
     except (ValueError, RecursionError) as error:
-        return UnreadableEntry(str(error)[:LONGEST_REASON])
+        return UnreadableEntry(str(error)[:MAX_REASON_CHARACTERS])
 
 
-def _read_content(content: Any) -> BackendRecord | UnreadableEntry:
+def _convert_entry(content: Any) -> BackendRecord | UnreadableEntry:
     try:
-        if _holds_unreadable_text(content):
-            return UnreadableEntry("holds bytes that are no text")
+        if _has_invalid_text(content):
+            return UnreadableEntry("a text contains invalid UTF-8 or control characters")
         return _record_of(msgspec.convert(content, _Entry))
     except (ValueError, RecursionError) as error:
-        return UnreadableEntry(str(error)[:LONGEST_REASON])
+        return UnreadableEntry(str(error)[:MAX_REASON_CHARACTERS])
 
 
-def _holds_unreadable_text(content: Any) -> bool:
-    """Whether any text of an entry was not readable: control signs, or bytes that were replaced."""
+def _has_invalid_text(content: Any) -> bool:
+    """Whether any text of an entry contains replaced bytes or characters that aren't printable."""
     if isinstance(content, dict):
-        return any(map(_holds_unreadable_text, (*content, *content.values())))
+        return any(map(_has_invalid_text, (*content, *content.values())))
     if isinstance(content, list):
-        return any(map(_holds_unreadable_text, content))
+        return any(map(_has_invalid_text, content))
     return isinstance(content, str) and (REPLACEMENT in content or not content.isprintable())
 
 
 def _record_of(entry: _Entry) -> BackendRecord:
-    """Return what an entry names; raise ``ValueError`` where its texts are none of a back end."""
+    """Return the backend of an entry; raise ``ValueError`` for an invalid name or address."""
     if not (entry.id + entry.service + entry.zone).isprintable():
-        raise ValueError("a name holds signs that can't be printed")
+        raise ValueError("id, service or zone contains characters that aren't printable")
     return BackendRecord(
         instance_id=entry.id,
         service=entry.service,
@@ -179,11 +183,11 @@
 def _address_of(text: str) -> Address:
     """Return the address of an entry; raise ``ValueError`` if it isn't IP:PORT."""
     if not text.isascii():
-        raise ValueError("the address is not IP:PORT")
+        raise ValueError("expected an address of the form IP:PORT, got characters beyond ASCII")
     address = Address.parse(text)
     ipaddress.IPv4Address(address.host)
-    if not 0 < address.port <= HIGHEST_PORT:
-        raise ValueError("the address has no port that can be connected to")
+    if not 0 < address.port <= MAX_PORT:
+        raise ValueError("expected a port from 1 to 65535 in the address")
     return address
 
 
--- a/src/passlane/platform/names.py
+++ b/src/passlane/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names: headers, paths, words."""
+"""Names in the platform's protocol: headers, paths and the settings variable."""
 
 ATTEMPT_ID = "x-passlane-attempt-id"
 DEADLINE_MS = "x-passlane-deadline-ms"
@@ -18,12 +18,13 @@
 
 TENANT = "x-passlane-tenant"
 API_KEY = "x-api-key"
-EXPECTED_WEIGHTS = "x-passlane-expect-version"
+EXPECTED_VERSION = "x-passlane-expect-version"
+"""Version of the model's weights."""
 HOLD = "x-passlane-hold"
 PIN_MS = "x-passlane-pin-ms"
-MEMORY_BACKUP = "x-passlane-kv-backup"
-MEMORY_COPY = "kv-from"
-MEMORY_SOURCE = "kv-fetch"
+KV_BACKUP = "x-passlane-kv-backup"
+KV_FROM = "kv-from"
+KV_FETCH = "kv-fetch"
 
 READINESS_PATH = "/api/readyz"
 PUT_CONFIGURATION_PATH = "/api/config/put"
@@ -49,22 +50,22 @@
         "expect",
     }
 )
-"""Headers that concern one connection, or that each side writes itself."""
+"""Headers of a single connection, or that each HTTP implementation sets itself; not forwarded."""
 
-OWNED_HEADERS = frozenset(
+RESERVED_HEADERS = frozenset(
     {
         TENANT,
         TARGET_INSTANCE,
         REQUEST_PRIORITY,
-        EXPECTED_WEIGHTS,
+        EXPECTED_VERSION,
         HOLD,
         PIN_MS,
-        MEMORY_BACKUP,
-        MEMORY_COPY,
-        MEMORY_SOURCE,
+        KV_BACKUP,
+        KV_FROM,
+        KV_FETCH,
     }
 )
-"""Headers that only this system sets: engines obey them, so a client's own are dropped."""
+"""Headers that only passlane may set: engines act on them, so those of clients are dropped."""
 
-UNTOLD_HEADERS = frozenset({API_KEY})
-"""Headers that are for this system alone and reach no back end."""
+CREDENTIAL_HEADERS = frozenset({API_KEY})
+"""Headers with credentials for passlane, which are not forwarded to backends."""
--- a/src/passlane/platform/operator_api.py
+++ b/src/passlane/platform/operator_api.py
@@ -1,4 +1,4 @@
-"""The HTTP that operators of the platform speak to a control replica."""
+"""HTTP interface of a control replica for the platform's operators."""
 
 import re
 
@@ -38,7 +38,7 @@
 
 
 class _Acknowledgement(msgspec.Struct, frozen=True):
-    """Body of an acknowledged order."""
+    """Body of the answer to an accepted configuration."""
 
     version: int
 
@@ -50,7 +50,7 @@
 
 
 class _Retirement(msgspec.Struct, frozen=True):
-    """How far a store machine has been emptied."""
+    """State of the retirement of a store machine."""
 
     state: str
 
@@ -77,9 +77,9 @@
                 code=error.code.value,
                 message=error.message,
             )
-            # The rest of a body that is too long isn't waited for.
-            closes = error.code is ErrorCode.BODY_TOO_LARGE
-            headers = {"connection": "close"} if closes else {}
+            # The rest of a body that is too large isn't read, so the connection can't be reused.
+            must_close = error.code is ErrorCode.BODY_TOO_LARGE
+            headers = {"connection": "close"} if must_close else {}
             response = json_response(status, _Problem(error.message), headers)
         await send_response(send, response)
 
@@ -89,8 +89,8 @@
             version = await self._operator.replace_configuration(configuration)
             return json_response(OK, _Acknowledgement(version))
         if request.path == names.GET_CONFIGURATION_PATH and request.method == "GET":
-            held = await self._operator.read_configuration()
-            return Response(status=OK, body=held.source)
+            stored = await self._operator.read_configuration()
+            return Response(status=OK, body=stored.source)
         if match := _RETIRE_PATH.fullmatch(request.path):
             return await self._answer_retirement(request, match)
         raise PasslaneError(ErrorCode.NOT_FOUND, f"{request.method} {request.path} is unknown")
--- a/src/passlane/platform/readiness.py
+++ b/src/passlane/platform/readiness.py
@@ -1,4 +1,4 @@
-"""The question by which the platform learns whether a node takes connections."""
+"""The readiness probe, by which the platform decides whether to route clients to a node."""
 
 from collections.abc import Callable
 
@@ -17,7 +17,7 @@
         self._is_ready = is_ready
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one question."""
+        """Answer one probe."""
         status = NOT_FOUND
         if scope["path"] == names.READINESS_PATH:
             status = OK if self._is_ready() else UNAVAILABLE
--- a/src/passlane/platform/request_format.py
+++ b/src/passlane/platform/request_format.py
@@ -1,4 +1,4 @@
-"""Turns a client's request on the platform into the product's typed call."""
+"""Parses a client's HTTP request on the platform into a ``RelayedCall``."""
 
 import math
 from collections.abc import Sequence
@@ -8,9 +8,9 @@
 from passlane.platform import names
 from passlane.routes.tenants import digest_of_key
 
-MILLISECONDS = 1_000.0
+MILLISECONDS_PER_SECOND = 1_000.0
 NO_DEADLINE = float("inf")
-_NEVER_PASSED_ON = names.CONNECTION_HEADERS | names.OWNED_HEADERS | names.UNTOLD_HEADERS
+_NOT_FORWARDED = names.CONNECTION_HEADERS | names.RESERVED_HEADERS | names.CREDENTIAL_HEADERS
 
 
 def parse_call(
@@ -20,12 +20,16 @@
     body: bytes,
     now: float,
 ) -> RelayedCall:
-    """Return the call that a request stands for.
+    """Return the call of a request.
 
     Parameters
     ----------
+    target
+        Path and query.
     headers
-        In the order in which they came, names in lower case.
+        In the order of the request, with names in lower case.
+    now
+        Local time, in seconds, at which the request arrived.
 
     Raises
     ------
@@ -41,34 +45,34 @@
         method=method,
         host=values.get("host", ""),
         target=target,
-        headers=_passed_on(headers, values.get("connection", "")),
-        dropped_headers=_owned_among(headers),
+        headers=_forwarded_headers(headers, values.get("connection", "")),
+        dropped_headers=_reserved_names(headers),
         key_digests=_key_digests(headers),
         body=body,
         arrived_at=now,
-        deadline_at=_later(values, names.DEADLINE_MS, now) or NO_DEADLINE,
+        deadline_at=_parse_deadline(values, names.DEADLINE_MS, now) or NO_DEADLINE,
         program=_program_of(values, now),
-        most_tokens=_most_tokens(values),
+        most_tokens=_max_tokens(values),
         prompt_parts=_prompt_parts(values.get(names.PROMPT_PREFIX, "")),
         previous_turn=values.get(names.PREVIOUS_TURN) or None,
         last_event_id=values.get(names.LAST_EVENT_ID) or None,
     )
 
 
-def _passed_on(headers: Sequence[Header], connection: str) -> tuple[Header, ...]:
-    named = {name.strip().lower() for name in connection.split(",")}
-    dropped = _NEVER_PASSED_ON | named
+def _forwarded_headers(headers: Sequence[Header], connection: str) -> tuple[Header, ...]:
+    hop_by_hop = {name.strip().lower() for name in connection.split(",")}
+    dropped = _NOT_FORWARDED | hop_by_hop
     return tuple(header for header in headers if header.name not in dropped)
 
 
-def _owned_among(headers: Sequence[Header]) -> tuple[str, ...]:
-    """Return the names of headers that a client must not set, each once."""
-    found = [header.name for header in headers if header.name in names.OWNED_HEADERS]
+def _reserved_names(headers: Sequence[Header]) -> tuple[str, ...]:
+    """Return the distinct names of reserved headers that a client has set."""
+    found = [header.name for header in headers if header.name in names.RESERVED_HEADERS]
     return tuple(dict.fromkeys(found))
 
 
 def _key_digests(headers: Sequence[Header]) -> tuple[bytes, ...]:
-    """Return the digests of all keys that a request carries; the keys themselves go no further."""
+    """Return the digests of all API keys of a request; the keys themselves are not retained."""
     return tuple(digest_of_key(header.value) for header in headers if header.name == names.API_KEY)
 
 
@@ -78,51 +82,52 @@
         return None
     return ProgramContext(
         program_id=program_id,
-        deadline_at=_later(values, names.PROGRAM_DEADLINE_MS, now),
-        budget_tokens=_whole_number(values, names.TOKEN_BUDGET),
+        deadline_at=_parse_deadline(values, names.PROGRAM_DEADLINE_MS, now),
+        budget_tokens=_parse_optional_number(values, names.TOKEN_BUDGET),
     )
 
 
-def _most_tokens(values: dict[str, str]) -> int:
+def _max_tokens(values: dict[str, str]) -> int:
     usage = values.get(names.TOKEN_USAGE)
     if usage is None:
         return 0
-    _, _, most = usage.partition(",")
-    return _number_in(most, names.TOKEN_USAGE)
+    # The header contains the number of prompt tokens and the maximum number of generated tokens.
+    _, _, max_tokens = usage.partition(",")
+    return _parse_number(max_tokens, names.TOKEN_USAGE)
 
 
 def _prompt_parts(text: str) -> tuple[PromptPart, ...]:
     parts = []
     for entry in filter(None, (item.strip() for item in text.split(","))):
         part_id, _, tokens = entry.rpartition(":")
-        parts.append(PromptPart(part_id, _number_in(tokens, names.PROMPT_PREFIX)))
+        parts.append(PromptPart(part_id, _parse_number(tokens, names.PROMPT_PREFIX)))
     return tuple(parts)
 
 
-def _later(values: dict[str, str], name: str, now: float) -> float | None:
-    """Return the local time that lies a header's milliseconds ahead."""
+def _parse_deadline(values: dict[str, str], name: str, now: float) -> float | None:
+    """Return the local time of the deadline in a header, which is in milliseconds from now."""
     text = values.get(name)
     if text is None:
         return None
     try:
         milliseconds = float(text)
     except ValueError:
-        raise _malformed(name) from None
+        raise _malformed_header(name) from None
     if not math.isfinite(milliseconds):
-        raise _malformed(name)
-    return now + milliseconds / MILLISECONDS
+        raise _malformed_header(name)
+    return now + milliseconds / MILLISECONDS_PER_SECOND
 
 
-def _whole_number(values: dict[str, str], name: str) -> int | None:
+def _parse_optional_number(values: dict[str, str], name: str) -> int | None:
     text = values.get(name)
-    return _number_in(text, name) if text is not None else None
+    return _parse_number(text, name) if text is not None else None
 
 
-def _number_in(text: str, name: str) -> int:
+def _parse_number(text: str, name: str) -> int:
     if not text.strip().isdecimal():
-        raise _malformed(name)
+        raise _malformed_header(name)
     return int(text)
 
 
-def _malformed(name: str) -> PasslaneError:
+def _malformed_header(name: str) -> PasslaneError:
     return PasslaneError(ErrorCode.BAD_REQUEST, f"{name} is malformed")
--- a/tests/on_platform/test_engine_answers.py
+++ b/tests/on_platform/test_engine_answers.py
@@ -13,7 +13,7 @@
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.platform import engine_client
-from passlane.platform.engine_client import MAX_REFUSAL_BYTES, REFUSAL_READ_S, EngineClient
+from passlane.platform.engine_client import MAX_REFUSAL_BYTES, REFUSAL_READ_TIMEOUT_S, EngineClient
 from passlane.relay.backends import BackendRequest
 from passlane.runtime.http_client import SingleConnectionHttpClient
 from passlane.runtime.interfaces import HttpConnectionError
@@ -149,7 +149,7 @@
         began_at = anyio.current_time()
         head, _ = await ground.ask("r-0")
         self.assertIs(head.refusal, Refusal.NOT_EXECUTED)
-        self.assertLess(anyio.current_time() - began_at, REFUSAL_READ_S + 0.1)
+        self.assertLess(anyio.current_time() - began_at, REFUSAL_READ_TIMEOUT_S + 0.1)
         await ground.ask("r-1")
         self.assertEqual(ground.engine.connections, 2)
 
@@ -198,14 +198,14 @@
         self.assertEqual(len(result.failures) + len(result.errors), 1)
 
     def test_an_answer_without_an_id_that_is_believed_is_caught(self):
-        def is_own(headers, request_id):
+        def echoes_request_id(headers, request_id):
             return headers.get("x-passlane-attempt-id", request_id) == request_id
 
-        defect = Replacement(engine_client, "_is_own", is_own)
+        defect = Replacement(engine_client, "_echoes_request_id", echoes_request_id)
         self.assert_caught(defect, LateAnswerTest("test_nor_does_one_without_an_id"))
 
     def test_an_answer_with_another_id_that_is_believed_is_caught(self):
-        defect = Replacement(engine_client, "_is_own", lambda headers, request_id: True)
+        defect = Replacement(engine_client, "_echoes_request_id", lambda headers, request_id: True)
         name = "test_a_refusal_too_many_proves_nothing_about_the_next_request"
         self.assert_caught(defect, LateAnswerTest(name))
 
@@ -223,7 +223,7 @@
         async def leave(response, request_id):
             del response, request_id
 
-        defect = Replacement(engine_client, "_read_rest", leave)
+        defect = Replacement(engine_client, "_read_refusal_body", leave)
         test = KeptConnectionTest("test_short_refusals_need_one_connection")
         self.assert_caught(defect, test)
 
