--- a/tests/daemon/fleet/test_node_bounds.py
+++ b/tests/daemon/fleet/test_node_bounds.py
@@ -52,41 +52,41 @@
         return NodeBounds(settings(*arguments, **more), Metrics())
 
     def test_the_bound_for_all_callers_is_a_share_of_memory_unless_it_is_set(self):
-        made = self.bounds(MachineSettings(memory_mb=128))
-        self.assertEqual(made._bounds.for_all, 8_000_000)
+        sampler = self.bounds(MachineSettings(memory_mb=128))
+        self.assertEqual(sampler._bounds.for_all, 8_000_000)
         self.assertIsNone(self.bounds()._bounds.for_all)
-        made = self.bounds(MachineSettings(memory_mb=128), all_callers_bytes=100_000)
-        self.assertEqual(made._bounds.for_all, 100_000)
+        sampler = self.bounds(MachineSettings(memory_mb=128), all_callers_bytes=100_000)
+        self.assertEqual(sampler._bounds.for_all, 100_000)
 
     def test_the_stall_bound_follows_the_target_latency_of_the_slowest_route(self):
-        made = self.bounds()
+        sampler = self.bounds()
         for target_s, stall_s in ((0.25, LONGEST_STALL_S), (0.75, 3.0), (60.0, MAX_ROUTE_STALL_S)):
-            made.apply_configuration(configuration(route(target_latency_s=target_s)))
-            self.assertEqual(made._bounds.longest_stall_s, stall_s)
+            sampler.apply_configuration(configuration(route(target_latency_s=target_s)))
+            self.assertEqual(sampler._bounds.longest_stall_s, stall_s)
 
     def test_memory_beyond_the_capacity_of_the_machine_stops_admission(self):
-        made = self.bounds(MachineSettings(memory_mb=1), enabled=True)
+        sampler = self.bounds(MachineSettings(memory_mb=1), enabled=True)
         with capture_logs() as lines:
-            run_for(made, 3.0)
-        self.assertIs(made.admission.state, Admission.NOTHING)
+            run_for(sampler, 3.0)
+        self.assertIs(sampler.admission.state, Admission.NOTHING)
         (line,) = lines
         self.assertEqual((line["event"], line["cause"]), ("node_admission_changed", "memory"))
 
     def test_an_unavailable_reading_is_logged_once_and_does_not_affect_admission(self):
-        made = self.bounds(MachineSettings(memory_mb=1), enabled=True)
+        sampler = self.bounds(MachineSettings(memory_mb=1), enabled=True)
         failing = mock.Mock(side_effect=OSError("no such file"))
         with capture_logs() as lines, mock.patch.object(node_bounds, "resident_bytes", failing):
-            run_for(made, 5.0)
+            run_for(sampler, 5.0)
         self.assertEqual([line["event"] for line in lines], ["usage_not_told"])
         self.assertEqual(failing.call_count, 1)
-        self.assertIs(made.admission.state, Admission.ALL)
+        self.assertIs(sampler.admission.state, Admission.ALL)
 
     def test_an_ended_answer_is_counted_once_in_the_metrics(self):
         metrics = Metrics()
-        made = NodeBounds(settings(), metrics)
-        made.unread.ended["reader_stopped"] = 2
+        sampler = NodeBounds(settings(), metrics)
+        sampler.unread.ended["reader_stopped"] = 2
         metrics.expose()
-        made.unread.ended["reader_stopped"] = 3
+        sampler.unread.ended["reader_stopped"] = 3
         text = metrics.expose().decode()
         self.assertIn('passlane_answers_ended_unread_total{reason="reader_stopped"} 3.0', text)
         self.assertIn("passlane_loop_lag_seconds 0.0", text)
--- a/tests/on_platform/fleet.py
+++ b/tests/on_platform/fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on the virtual clock: control, store and node processes, and the platform."""
+"""A simulated fleet on a virtual clock: control, store and node processes, and the platform."""
 
 import inspect
 import random
@@ -50,7 +50,7 @@
 
 @dataclass
 class Machine:
-    """One machine of the fleet; its disk outlives its process."""
+    """One machine of the fleet; its disk is retained when its process ends."""
 
     name: str
     role: FleetRole
@@ -59,7 +59,7 @@
     is_first_start: bool = True
     scope: anyio.CancelScope | None = None
     process: object = None
-    lives: int = 0
+    start_count: int = 0
 
 
 @dataclass
@@ -67,14 +67,14 @@
     status: int
     headers: dict
     body: bytes
-    is_whole: bool
+    is_complete: bool
 
 
 class Fleet:
-    """Machines by name, and clients and operators that call them."""
+    """The machines by name, with the requests of clients and operators to them."""
 
-    def __init__(self, tasks, seed, machines_lost):
-        self.machines_lost = machines_lost
+    def __init__(self, tasks, seed, tolerated_losses):
+        self.tolerated_losses = tolerated_losses
         self.places_turns = True
         self.tasks = tasks
         self.seed = seed
@@ -88,15 +88,15 @@
         self.client = SingleConnectionHttpClient(self.network.host(CLIENT_HOST))
 
     def add(self, role, number):
-        """Add a machine that was never started."""
-        place = list(FleetRole).index(role)
-        host = f"10.{place}.0.{number}"
+        """Add a machine without starting it."""
+        role_index = list(FleetRole).index(role)
+        host = f"10.{role_index}.0.{number}"
         name = f"{role.value}-{number}"
         disk = SimulatedDisk(random.Random(f"{self.seed} {name}"))
         self.machines[name] = Machine(name, role, host, disk)
         return self.machines[name]
 
-    def settings_of(self, machine):
+    def build_settings(self, machine):
         controls = [m.host for m in self.machines.values() if m.role is FleetRole.CONTROL]
         host = machine.host
         return FleetSettings(
@@ -115,25 +115,25 @@
             ),
             seeds=tuple(Address(seed, OPERATORS_PORT) for seed in controls[:3]),
             backend_list=BackendListSettings(address=LIST_ADDRESS, rate_per_s=40.0),
-            fault_tolerance=FaultToleranceSettings(machines=self.machines_lost),
+            fault_tolerance=FaultToleranceSettings(machines=self.tolerated_losses),
             quotas=QuotaSettings(window_s=5.0, overage=0.1, slack_requests=20.0),
             turns=TurnSettings(are_placed_by_store=self.places_turns),
         )
 
     def start(self, name):
         machine = self.machines[name]
-        machine.lives += 1
+        machine.start_count += 1
         machine.scope = anyio.CancelScope()
         self.network.reconnect(machine.host)
-        self.tasks.start_soon(self._live, machine, machine.scope)
+        self.tasks.start_soon(self._run_process, machine, machine.scope)
 
-    async def _live(self, machine, scope):
+    async def _run_process(self, machine, scope):
         environment = build_simulated_environment(
             self.network.host(machine.host),
             machine.disk,
-            random.Random(f"{self.seed} {machine.name} {machine.lives}"),
+            random.Random(f"{self.seed} {machine.name} {machine.start_count}"),
         )
-        settings = self.settings_of(machine)
+        settings = self.build_settings(machine)
         pool = ConnectionPool(environment)
         router = MessageRouter()
         context = FleetContext(settings, environment, pool, router, Metrics())
@@ -147,7 +147,7 @@
                 tasks.cancel_scope.cancel()
 
     def kill(self, name, *, wipe=False, power=True):
-        """End a machine's process at once; it is not started for the first time again."""
+        """Kill a machine's process; its next start doesn't count as its first."""
         machine = self.machines[name]
         machine.is_first_start = False
         machine.scope.cancel()
@@ -159,7 +159,7 @@
         self.network.drop_connections(machine.host, reset_peers=True)
         self.network.remove_listeners(machine.host)
         if wipe:
-            machine.disk = SimulatedDisk(random.Random(f"{self.seed} {name} {machine.lives}"))
+            machine.disk = SimulatedDisk(random.Random(f"{self.seed} {name} {machine.start_count}"))
 
     async def serve_platform(self):
         for address, application in [
@@ -172,7 +172,7 @@
             self.tasks.start_soon(environment.http_server.serve, address, application)
 
     async def fetch(self, address, method, path, headers=None, body=b"", timeout_s=6.0):
-        """Send one request; ``None`` when no answer came."""
+        """Send one request; return its answer or ``None``."""
         request = HttpRequest(method, address, path, headers or {}, body, True)
         return await self._exchange(request, timeout_s)
 
@@ -181,46 +181,48 @@
             with anyio.fail_after(timeout_s):
                 async with self.client.exchange(request) as response:
                     parts = bytearray()
-                    is_whole = False
+                    is_complete = False
                     try:
                         async for part in response.chunks():
                             parts += part
-                        is_whole = True
+                        is_complete = True
                     except HttpConnectionError:
                         pass
-                    return Answer(response.status, dict(response.headers), bytes(parts), is_whole)
+                    return Answer(
+                        response.status, dict(response.headers), bytes(parts), is_complete
+                    )
         except (HttpConnectionError, TimeoutError):
             return None
 
-    async def operate(self, method, path, body=b"", *, name="control-1"):
+    async def operator_request(self, method, path, body=b"", *, name="control-1"):
         address = Address(self.machines[name].host, OPERATORS_PORT)
         return await self.fetch(address, method, path, {}, body, timeout_s=1.5)
 
     async def put_configuration(self, version, **changes):
-        """Send a configuration until it is acknowledged, by any running control replica."""
+        """Retry a configuration at random control replicas until one acknowledges it."""
         body = configuration(version, **changes)
         with anyio.fail_after(30):
             while True:
                 names = [m.name for m in self.running(FleetRole.CONTROL)]
-                answer = await self.operate(
+                answer = await self.operator_request(
                     "POST", "/api/config/put", body, name=self.random.choice(names)
                 )
                 if answer is not None and answer.status == 200:
                     return body
                 await anyio.sleep(0.1)
 
-    async def put_once(self, version, **changes):
-        """Send a configuration until it gets a clear answer; return that answer."""
+    async def put_configuration_once(self, version, **changes):
+        """Retry a configuration until the answer is no server error; return that answer."""
         with anyio.fail_after(30):
             while True:
                 body = configuration(version, **changes)
-                answer = await self.operate("POST", "/api/config/put", body)
+                answer = await self.operator_request("POST", "/api/config/put", body)
                 if answer is not None and answer.status < 500:
                     return answer
                 await anyio.sleep(0.1)
 
     async def turn(self, request_id, *, node="node-1", previous=None, budget=10_000, **headers):
-        """Take one turn of a program at a node."""
+        """Send one turn of a program to a node."""
         address = Address(self.machines[node].host, CALLERS_PORT)
         all_headers = {
             "x-passlane-attempt-id": request_id,
@@ -245,7 +247,7 @@
         return await self._exchange(request, 6.0)
 
     async def tool_call(self, request_id, *, node="node-1", **headers):
-        """Make one call of a tool at a node."""
+        """Send one tool call to a node."""
         address = Address(self.machines[node].host, CALLERS_PORT)
         all_headers = {
             "x-passlane-attempt-id": request_id,
@@ -255,22 +257,22 @@
         request = HttpRequest("POST", address, "/calls/x", all_headers, b"", True, "one.example")
         return await self._exchange(request, 6.0)
 
-    async def turn_until_whole(self, request_id, **options):
-        """Repeat a turn, each time under another id, until it ends whole; return that id."""
+    async def retry_turn(self, request_id, **options):
+        """Retry a turn with another id each time until it completes; return that id."""
         with anyio.fail_after(30):
             for number in range(1_000):
                 attempt = f"{request_id}.{number}"
                 answer = await self.turn(attempt, **options)
-                if answer is not None and answer.status == 200 and answer.is_whole:
+                if answer is not None and answer.status == 200 and answer.is_complete:
                     return attempt
                 await anyio.sleep(0.1)
-        raise AssertionError("no turn ended whole")
+        raise AssertionError("no attempt of the turn completed")
 
     def running(self, role):
         return [m for m in self.machines.values() if m.role is role and m.scope is not None]
 
-    def body_run_for(self, request_id):
-        """The body that an engine got for a request; ``None`` if none ran it."""
+    def executed_body(self, request_id):
+        """Return the body that an engine received for a request; ``None`` if no engine ran it."""
         for engine in self.engines:
             for run_id, body in engine.runs:
                 if run_id == request_id:
@@ -282,7 +284,7 @@
         answer = await self.fetch(address, "GET", "/api/readyz", timeout_s=1.0)
         return answer is not None and answer.status == 503
 
-    async def until_ready(self, node="node-1", timeout_s=20.0):
+    async def wait_until_ready(self, node="node-1", timeout_s=20.0):
         address = Address(self.machines[node].host, READINESS_PORT)
         with anyio.fail_after(timeout_s):
             while True:
@@ -291,8 +293,8 @@
                     return
                 await anyio.sleep(0.1)
 
-    async def until(self, condition, timeout_s=30.0):
-        """Wait until a condition, which may be asynchronous, holds."""
+    async def wait_until(self, condition, timeout_s=30.0):
+        """Wait until a condition, which may be asynchronous, is true."""
         with anyio.fail_after(timeout_s):
             while True:
                 value = condition()
@@ -303,7 +305,7 @@
                 await anyio.sleep(0.05)
 
     def store_leader(self):
-        """The store machine that leads; one that was wiped has no replica for a moment."""
+        """Return the store machine that leads; one that was wiped has no replica at first."""
         (leader,) = (
             machine
             for machine in self.running(FleetRole.STORE)
@@ -312,17 +314,17 @@
         return leader
 
     def store_voters(self, name):
-        """Hosts of the voters, as one store replica knows them."""
+        """Return the hosts of the voters in the membership of one store replica."""
         process = self.machines[name].process
         host = process.replica if process is not None else None
         return {m.address.host for m in host.members if m.is_voter} if host else set()
 
 
 @asynccontextmanager
-async def running_fleet(seed, controls=3, stores=3, nodes=2, machines_lost=1):
-    """Run a fleet whose first configuration is in force; so many machines may be lost."""
+async def running_fleet(seed, controls=3, stores=3, nodes=2, tolerated_losses=1):
+    """Run a fleet with a configuration; it tolerates the loss of ``tolerated_losses`` machines."""
     async with anyio.create_task_group() as tasks:
-        fleet = Fleet(tasks, seed, machines_lost)
+        fleet = Fleet(tasks, seed, tolerated_losses)
         for role, count in (
             (FleetRole.CONTROL, controls),
             (FleetRole.STORE, stores),
@@ -335,13 +337,13 @@
             fleet.start(name)
         await fleet.put_configuration(1)
         for number in range(1, nodes + 1):
-            await fleet.until_ready(f"node-{number}")
+            await fleet.wait_until_ready(f"node-{number}")
         yield fleet
         tasks.cancel_scope.cancel()
 
 
 def run_on_virtual_clock(main, seed=0):
-    """Run an async function on the virtual clock, with trio's own choices seeded."""
+    """Run an async function on a virtual clock, with trio's scheduling seeded."""
     from trio._core import _run
 
     _run._r.seed(seed)
--- a/tests/on_platform/stand_in.py
+++ b/tests/on_platform/stand_in.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform, by its published protocol: the list of engines and engines."""
+"""Stand-ins for the platform's engines and its list of engines, with the published protocol."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 class StandInEngine:
-    """Answers every request with a stream of events; remembers what it ran.
+    """Answers every request with a stream of events and records the requests that it ran.
 
     Attributes
     ----------
@@ -58,12 +58,12 @@
         await send({"type": "http.response.body", "body": body})
 
     def output_of(self, request_id):
-        """What the data of a turn's events adds to the history."""
+        """Return what the events of a turn append to the history."""
         return "".join(f"{request_id}.{n}\n" for n in range(1, EVENTS + 1)).encode()
 
 
 class StandInList:
-    """Answers with the list of engines, in pages of two."""
+    """Answers with the list of engines in pages of two."""
 
     def __init__(self, engines):
         self.engines = engines
--- a/tests/on_platform/test_deploy.py
+++ b/tests/on_platform/test_deploy.py
@@ -1,4 +1,4 @@
-"""The files of the deploy folder fit the product."""
+"""The files in ``deploy/`` are consistent with the code."""
 
 import re
 import subprocess
@@ -38,7 +38,7 @@
 import passlane.daemon.fleet.control, passlane.daemon.fleet.store
 import passlane.runtime.http_client, uvicorn.protocols.http.httptools_impl
 """
-FILLED = """
+FILLED_TEMPLATE = """
 seeds = ["10.1.0.34:8144","10.2.0.37:8144"]
 
 [process]
@@ -73,13 +73,13 @@
 
 
 class DeployTest(unittest.TestCase):
-    def test_pinned_packages_are_those_of_the_lock_file(self):
+    def test_pinned_packages_match_the_lock_file(self):
         lock = set(PIN.findall((ROOT / "requirements.lock").read_text()))
         deployed = set(PIN.findall((ROOT / "deploy/requirements.lock").read_text()))
         self.assertGreater(len(deployed), 5)
         self.assertEqual(deployed - lock, set())
 
-    def test_processes_start_with_nothing_but_what_is_deployed(self):
+    def test_processes_start_with_only_the_deployed_packages(self):
         deployed = {
             name.split("==")[0].lower().replace("_", "-")
             for name in PIN.findall((ROOT / "deploy/requirements.lock").read_text())
@@ -95,18 +95,22 @@
         deploy = tomllib.loads((ROOT / "deploy/system.toml").read_text())
         self.assertEqual(set(deploy["roles"]), {role.value for role in FleetRole})
 
-    def test_the_template_names_only_keys_that_settings_have(self):
+    def test_the_template_contains_only_keys_of_the_settings(self):
         template = (ROOT / "deploy/settings.toml").read_text()
         keys = set(re.findall(r"^(?:\{\{#[a-z.]+\}\})?([a-z_]+) = ", template, re.MULTILINE))
         for key in keys - {"operators"}:
-            self.assertIn(f"{key} = ", FILLED.format(role="", folder="", addresses=NODE_ADDRESSES))
+            self.assertIn(
+                f"{key} = ", FILLED_TEMPLATE.format(role="", folder="", addresses=NODE_ADDRESSES)
+            )
 
 
 class FleetSettingsTest(unittest.TestCase):
     def load(self, role="node", folder="", addresses=NODE_ADDRESSES, extra=""):
         with tempfile.TemporaryDirectory() as directory:
             path = Path(directory) / "settings.toml"
-            path.write_text(FILLED.format(role=role, folder=folder, addresses=addresses) + extra)
+            path.write_text(
+                FILLED_TEMPLATE.format(role=role, folder=folder, addresses=addresses) + extra
+            )
             return load_fleet_settings(path)
 
     def assert_problem(self, key, **changes):
@@ -122,14 +126,14 @@
         self.assertEqual((settings.machine.memory_mb, settings.machine.descriptors), (260, 4100))
         self.assertFalse(settings.node_bounds.enabled)
 
-    def test_faults_are_named_by_their_key(self):
+    def test_errors_name_the_key(self):
         self.assert_problem("addresses.callers", addresses='readiness = "10.1.0.30:1"')
         self.assert_problem("process.data_folder", role="store")
         self.assert_problem("addresses.operators", role="control", folder="/data")
         self.assert_problem("process.role", role="broker")
         self.assert_problem("timing.unknown", extra="unknown = 1\n")
 
-    def test_bounds_of_a_node_that_make_no_sense_are_named(self):
+    def test_errors_name_invalid_bounds_of_a_node(self):
         for key, value in (
             ("caller_bytes", "10"),
             ("all_callers_bytes", "65_535"),
--- a/tests/on_platform/test_fleet.py
+++ b/tests/on_platform/test_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet on the virtual clock, from seeds on, over the platform's protocol."""
+"""A simulated fleet on a virtual clock, started from seeds, over the platform's protocol."""
 
 import functools
 import unittest
@@ -10,7 +10,7 @@
 
 
 def on_seeds(*seeds, **options):
-    """Run a test's body inside a running fleet, once for each seed."""
+    """Run a test's body with a running fleet, once for each seed."""
 
     def decorate(body):
         @functools.wraps(body)
@@ -31,49 +31,49 @@
 
 class FleetTest(unittest.TestCase):
     @on_seeds()
-    async def test_turns_go_on_from_one_another_through_any_node(self, fleet):
+    async def test_a_turn_continues_another_through_any_node(self, fleet):
         first = await fleet.turn("one", node="node-1")
-        self.assertEqual((first.status, first.is_whole), (200, True))
+        self.assertEqual((first.status, first.is_complete), (200, True))
         self.assertEqual(first.headers["x-passlane-response-signature"], "signed")
         second = await fleet.turn("two", node="node-2", previous="one")
-        self.assertTrue(second.is_whole)
+        self.assertTrue(second.is_complete)
         output = fleet.engines[0].output_of("one")
-        self.assertEqual(fleet.body_run_for("two"), b"<one>" + output + b"<two>")
+        self.assertEqual(fleet.executed_body("two"), b"<one>" + output + b"<two>")
 
     @on_seeds()
     async def test_an_unknown_turn_is_not_found_and_reaches_no_engine(self, fleet):
         answer = await fleet.turn("one", previous="never")
         self.assertEqual(answer.status, 404)
-        self.assertIsNone(fleet.body_run_for("one"))
+        self.assertIsNone(fleet.executed_body("one"))
 
     @on_seeds()
-    async def test_a_budget_holds_over_all_nodes(self, fleet):
+    async def test_a_budget_applies_across_all_nodes(self, fleet):
         statuses = [
             (await fleet.turn(str(n), node=f"node-{n % 2 + 1}", budget=100)).status
             for n in range(6)
         ]
-        # Three events of nine tokens each turn, thirty reserved for the next.
+        # Each turn generates three events of nine tokens and requires a reservation of thirty.
         self.assertEqual(statuses, [200, 200, 200, 402, 402, 402])
-        self.assertIsNone(fleet.body_run_for("3"))
+        self.assertIsNone(fleet.executed_body("3"))
 
     @on_seeds()
-    async def test_the_newest_configuration_is_read_back_as_it_was_sent(self, fleet):
+    async def test_the_newest_configuration_is_returned_unchanged(self, fleet):
         newest = await fleet.put_configuration(9, timeout_ms=3000)
         await fleet.put_configuration(5, timeout_ms=2000)
         for name in ("control-1", "control-2", "control-3"):
-            answer = await fleet.operate("GET", "/api/config/get", name=name)
+            answer = await fleet.operator_request("GET", "/api/config/get", name=name)
             self.assertEqual((answer.status, answer.body), (200, newest))
 
     @on_seeds()
     async def test_an_invalid_configuration_changes_nothing(self, fleet):
-        before = (await fleet.operate("GET", "/api/config/get")).body
+        before = (await fleet.operator_request("GET", "/api/config/get")).body
         for body in (b"{", before.replace(b'"version": 1', b'"version": 8')[:-9]):
-            answer = await fleet.operate("POST", "/api/config/put", body)
+            answer = await fleet.operator_request("POST", "/api/config/put", body)
             self.assertEqual(answer.status, 400)
-        self.assertEqual((await fleet.operate("GET", "/api/config/get")).body, before)
+        self.assertEqual((await fleet.operator_request("GET", "/api/config/get")).body, before)
 
     @on_seeds(0, 1, 2, 3, 4, nodes=6)
-    async def test_right_after_a_loss_of_all_processes_a_turn_waits_and_is_served(self, fleet):
+    async def test_a_turn_right_after_a_loss_of_all_processes_waits_and_is_served(self, fleet):
         names = list(fleet.machines)
         for name in names:
             fleet.kill(name, power=False)
@@ -81,44 +81,44 @@
             fleet.start(name)
         returned_at = anyio.current_time()
         answer = await fleet.turn("one", node="node-6")
-        self.assertEqual((answer.status, answer.is_whole), (200, True))
+        self.assertEqual((answer.status, answer.is_complete), (200, True))
         self.assertLess(anyio.current_time() - returned_at, 0.8)
 
     @on_seeds()
-    async def test_a_configuration_and_a_turn_outlive_a_loss_of_power_everywhere(self, fleet):
+    async def test_a_configuration_and_a_turn_survive_a_power_loss_of_all_machines(self, fleet):
         await fleet.put_configuration(2)
-        self.assertTrue((await fleet.turn("one")).is_whole)
+        self.assertTrue((await fleet.turn("one")).is_complete)
         names = list(fleet.machines)
         for name in names:
             fleet.kill(name)
         await anyio.sleep(2.0)
         for name in names:
             fleet.start(name)
-        await fleet.until_ready(timeout_s=10.0)
-        last = await fleet.turn_until_whole("two", previous="one")
-        self.assertTrue(fleet.body_run_for(last).startswith(b"<one>"))
-        answer = await fleet.operate("GET", "/api/config/get")
+        await fleet.wait_until_ready(timeout_s=10.0)
+        last = await fleet.retry_turn("two", previous="one")
+        self.assertTrue(fleet.executed_body(last).startswith(b"<one>"))
+        answer = await fleet.operator_request("GET", "/api/config/get")
         self.assertIn(b'"version": 2', answer.body)
 
     @on_seeds(0, 1, 2, 3)
-    async def test_one_store_and_one_control_disk_may_be_lost_with_all_power(self, fleet):
+    async def test_one_store_disk_and_one_control_disk_may_be_lost_in_a_power_loss(self, fleet):
         newest = await fleet.put_configuration(2)
-        self.assertTrue((await fleet.turn("one")).is_whole)
+        self.assertTrue((await fleet.turn("one")).is_complete)
         for name in list(fleet.machines):
             fleet.kill(name, wipe=name in ("store-1", "control-1"))
         await anyio.sleep(1.0)
         for name in list(fleet.machines):
             fleet.start(name)
-        last = await fleet.turn_until_whole("two", previous="one")
-        self.assertTrue(fleet.body_run_for(last).startswith(b"<one>"))
-        await fleet.until_ready(timeout_s=10.0)
-        answer = await fleet.operate("GET", "/api/config/get", name="control-2")
+        last = await fleet.retry_turn("two", previous="one")
+        self.assertTrue(fleet.executed_body(last).startswith(b"<one>"))
+        await fleet.wait_until_ready(timeout_s=10.0)
+        answer = await fleet.operator_request("GET", "/api/config/get", name="control-2")
         self.assertEqual((answer.status, answer.body), (200, newest))
 
 
 class PlacedTurnsTest(unittest.TestCase):
     @on_seeds()
-    async def test_turns_of_all_nodes_share_the_places_of_the_engines(self, fleet):
+    async def test_turns_of_all_nodes_share_the_slots_of_the_engines(self, fleet):
         answers = []
 
         async def take(number):
@@ -134,7 +134,7 @@
         self.assertEqual(len(used), 3)
 
     @on_seeds()
-    async def test_a_leader_that_is_lost_while_turns_run_holds_nobody_up_for_long(self, fleet):
+    async def test_a_loss_of_the_leader_while_turns_run_delays_others_only_briefly(self, fleet):
         await fleet.turn("before")
         leader = fleet.store_leader()
         async with anyio.create_task_group() as tasks:
@@ -142,47 +142,47 @@
             await anyio.sleep(0.01)
             fleet.kill(leader.name)
         started = anyio.current_time()
-        attempt = await fleet.turn_until_whole("after", previous="before")
+        attempt = await fleet.retry_turn("after", previous="before")
         self.assertLess(anyio.current_time() - started, 3.0)
-        self.assertTrue(fleet.body_run_for(attempt).startswith(b"<before>"))
+        self.assertTrue(fleet.executed_body(attempt).startswith(b"<before>"))
 
     @on_seeds()
-    async def test_nodes_choose_engines_where_the_store_does_not(self, fleet):
+    async def test_nodes_choose_engines_if_the_store_does_not(self, fleet):
         fleet.places_turns = False
         fleet.kill("node-1")
         fleet.start("node-1")
         await anyio.sleep(3.0)
-        attempt = await fleet.turn_until_whole("alone")
-        self.assertIsNotNone(fleet.body_run_for(attempt))
+        attempt = await fleet.retry_turn("alone")
+        self.assertIsNotNone(fleet.executed_body(attempt))
 
 
-class CutOffNodeTest(unittest.TestCase):
+class PartitionTest(unittest.TestCase):
     @on_seeds()
-    async def test_a_node_without_control_and_stores_is_not_ready_and_refuses_early(self, fleet):
-        self.assertTrue((await fleet.turn("one")).is_whole)
+    async def test_a_partitioned_node_is_not_ready_and_refuses_early(self, fleet):
+        self.assertTrue((await fleet.turn("one")).is_complete)
         node = fleet.machines["node-1"].host
         counted = {m.host for m in fleet.machines.values() if m.role is not FleetRole.NODE}
         fleet.network.cut({node}, counted)
         await fleet.turn("two")
-        await fleet.until(lambda: fleet.is_not_ready("node-1"), timeout_s=4.0)
+        await fleet.wait_until(lambda: fleet.is_not_ready("node-1"), timeout_s=4.0)
         started = anyio.current_time()
         refused = await fleet.turn("three")
         self.assertEqual(refused.status, 503)
         self.assertLess(anyio.current_time() - started, 0.4)
         self.assertEqual(refused.headers["connection"], "close")
-        self.assertIsNone(fleet.body_run_for("three"))
+        self.assertIsNone(fleet.executed_body("three"))
         fleet.network.heal()
-        await fleet.until_ready("node-1", timeout_s=10.0)
-        self.assertTrue((await fleet.turn("four", previous="one")).is_whole)
+        await fleet.wait_until_ready("node-1", timeout_s=10.0)
+        self.assertTrue((await fleet.turn("four", previous="one")).is_complete)
 
     @on_seeds()
-    async def test_a_cut_off_store_leader_is_replaced_within_a_turns_patience(self, fleet):
+    async def test_a_partitioned_store_leader_is_replaced_before_a_turn_times_out(self, fleet):
         await fleet.turn("one")
         leader = fleet.store_leader().host
         counted = {m.host for m in fleet.machines.values() if m.role is not FleetRole.NODE}
         fleet.network.cut({leader}, counted - {leader})
         started = anyio.current_time()
-        self.assertTrue((await fleet.turn("two", previous="one")).is_whole)
+        self.assertTrue((await fleet.turn("two", previous="one")).is_complete)
         self.assertLess(anyio.current_time() - started, 1.5)
 
 
@@ -195,13 +195,11 @@
             await anyio.sleep(0.5)
             fleet.start(lost)
             await anyio.sleep(4.3)
-        last = await fleet.turn_until_whole("two", previous="one")
-        self.assertTrue(fleet.body_run_for(last).startswith(b"<one>"))
+        last = await fleet.retry_turn("two", previous="one")
+        self.assertTrue(fleet.executed_body(last).startswith(b"<one>"))
 
     @on_seeds()
-    async def test_store_machines_at_other_addresses_take_the_place_of_those_that_are_gone(
-        self, fleet
-    ):
+    async def test_store_machines_at_other_addresses_replace_lost_ones(self, fleet):
         await fleet.turn("one")
         for number in (1, 2, 3):
             fleet.kill(f"store-{number}", wipe=True)
@@ -210,20 +208,20 @@
             machine.is_first_start = False
             fleet.start(machine.name)
             await anyio.sleep(4.3)
-        last = await fleet.turn_until_whole("two", previous="one")
-        self.assertTrue(fleet.body_run_for(last).startswith(b"<one>"))
+        last = await fleet.retry_turn("two", previous="one")
+        self.assertTrue(fleet.executed_body(last).startswith(b"<one>"))
         voters = fleet.store_voters("store-13")
         self.assertEqual(voters, {fleet.machines[f"store-{n}"].host for n in (11, 12, 13)})
 
     @on_seeds(0, 1, 2, 3)
-    async def test_a_replaced_store_that_comes_back_is_a_spare_and_votes_when_needed(self, fleet):
-        self.assertTrue((await fleet.turn("one")).is_whole)
+    async def test_a_replaced_store_that_returns_is_a_spare_and_votes_when_needed(self, fleet):
+        self.assertTrue((await fleet.turn("one")).is_complete)
         fleet.kill("store-1")
         machine = fleet.add(FleetRole.STORE, 4)
         machine.is_first_start = False
         fleet.start(machine.name)
         host = fleet.machines["store-1"].host
-        await fleet.until(
+        await fleet.wait_until(
             lambda: fleet.store_voters("store-4") and host not in fleet.store_voters("store-4")
         )
         fleet.start("store-1")
@@ -231,13 +229,13 @@
         self.assertNotIn(host, fleet.store_voters("store-4"))
         self.assertEqual(len(fleet.store_voters("store-4")), 3)
         fleet.kill("store-2")
-        await fleet.until(lambda: host in fleet.store_voters("store-4"), timeout_s=6.0)
-        last = await fleet.turn_until_whole("two", previous="one")
-        self.assertTrue(fleet.body_run_for(last).startswith(b"<one>"))
+        await fleet.wait_until(lambda: host in fleet.store_voters("store-4"), timeout_s=6.0)
+        last = await fleet.retry_turn("two", previous="one")
+        self.assertTrue(fleet.executed_body(last).startswith(b"<one>"))
 
-    @on_seeds(stores=9, machines_lost=2)
-    async def test_two_voters_lost_for_good_are_replaced_within_the_time_to_catch_up(self, fleet):
-        self.assertTrue((await fleet.turn("one")).is_whole)
+    @on_seeds(stores=9, tolerated_losses=2)
+    async def test_two_permanently_lost_voters_are_replaced(self, fleet):
+        self.assertTrue((await fleet.turn("one")).is_complete)
         for _ in range(3):
             leader = fleet.store_leader()
             before = fleet.store_voters(leader.name)
@@ -246,8 +244,8 @@
             for machine in lost:
                 fleet.kill(machine.name, wipe=True)
             await anyio.sleep(6.0)
-            last = await fleet.turn_until_whole("two", previous="one")
-            self.assertTrue(fleet.body_run_for(last).startswith(b"<one>"))
+            last = await fleet.retry_turn("two", previous="one")
+            self.assertTrue(fleet.executed_body(last).startswith(b"<one>"))
             survivor = fleet.store_leader()
             after = fleet.store_voters(survivor.name)
             self.assertEqual(len(after), 5)
@@ -256,9 +254,9 @@
                 fleet.start(machine.name)
             await anyio.sleep(1.0)
 
-    @on_seeds(stores=9, machines_lost=2)
-    async def test_two_disks_of_voters_may_be_lost_with_all_power(self, fleet):
-        self.assertTrue((await fleet.turn("one")).is_whole)
+    @on_seeds(stores=9, tolerated_losses=2)
+    async def test_two_disks_of_voters_may_be_lost_in_a_power_loss(self, fleet):
+        self.assertTrue((await fleet.turn("one")).is_complete)
         leader = fleet.store_leader()
         voters = fleet.store_voters(leader.name)
         lost = [m.name for m in fleet.running(FleetRole.STORE) if m.host in voters][:2]
@@ -267,15 +265,13 @@
         await anyio.sleep(1.0)
         for name in list(fleet.machines):
             fleet.start(name)
-        last = await fleet.turn_until_whole("two", previous="one")
-        self.assertTrue(fleet.body_run_for(last).startswith(b"<one>"))
+        last = await fleet.retry_turn("two", previous="one")
+        self.assertTrue(fleet.executed_body(last).startswith(b"<one>"))
         holder = fleet.store_leader()
-        await fleet.until(lambda: len(fleet.store_voters(holder.name)) == 5, timeout_s=10.0)
+        await fleet.wait_until(lambda: len(fleet.store_voters(holder.name)) == 5, timeout_s=10.0)
 
     @on_seeds(controls=5)
-    async def test_control_machines_at_other_addresses_take_the_place_of_those_that_are_gone(
-        self, fleet
-    ):
+    async def test_control_machines_at_other_addresses_replace_lost_ones(self, fleet):
         newest = b""
         for number in (4, 5):
             fleet.kill(f"control-{number}", wipe=True)
@@ -285,43 +281,45 @@
             fleet.start(machine.name)
             await anyio.sleep(4.3)
             newest = await fleet.put_configuration(number)
-        answer = await fleet.operate("GET", "/api/config/get", name="control-15")
+        answer = await fleet.operator_request("GET", "/api/config/get", name="control-15")
         self.assertEqual(answer.body, newest)
 
 
 class RetirementTest(unittest.TestCase):
     @on_seeds(stores=4)
-    async def test_a_store_machine_is_emptied_and_its_turns_stay(self, fleet):
+    async def test_a_store_machine_is_retired_without_loss_of_turns(self, fleet):
         await fleet.turn("one")
-        answer = await fleet.operate("POST", "/api/retire/store-1/start", b'{"duration_s":5}')
+        answer = await fleet.operator_request(
+            "POST", "/api/retire/store-1/start", b'{"duration_s":5}'
+        )
         self.assertEqual(answer.status, 200)
 
         async def is_completed():
-            answer = await fleet.operate("GET", "/api/retire/store-1/get")
+            answer = await fleet.operator_request("GET", "/api/retire/store-1/get")
             return answer is not None and b"completed" in answer.body
 
-        await fleet.until(is_completed, timeout_s=10.0)
+        await fleet.wait_until(is_completed, timeout_s=10.0)
         fleet.kill("store-1", wipe=True)
         await anyio.sleep(0.5)
-        self.assertTrue((await fleet.turn("two", previous="one")).is_whole)
+        self.assertTrue((await fleet.turn("two", previous="one")).is_complete)
 
-    @on_seeds(stores=9, machines_lost=2)
+    @on_seeds(stores=9, tolerated_losses=2)
     async def test_a_retired_voter_is_replaced_before_it_leaves(self, fleet):
-        self.assertTrue((await fleet.turn("one")).is_whole)
+        self.assertTrue((await fleet.turn("one")).is_complete)
         leader = fleet.store_leader()
         others = fleet.store_voters(leader.name) - {leader.host}
         retired = next(m for m in fleet.running(FleetRole.STORE) if m.host in others)
         path = f"/api/retire/{retired.name}"
-        answer = await fleet.operate("POST", f"{path}/start", b"{}")
+        answer = await fleet.operator_request("POST", f"{path}/start", b"{}")
         self.assertEqual(answer.status, 200)
         counts = set()
 
         async def is_completed():
             counts.add(len(fleet.store_voters(leader.name)))
-            answer = await fleet.operate("GET", f"{path}/get")
+            answer = await fleet.operator_request("GET", f"{path}/get")
             return answer is not None and b"completed" in answer.body
 
-        await fleet.until(is_completed, timeout_s=10.0)
+        await fleet.wait_until(is_completed, timeout_s=10.0)
         self.assertLessEqual(counts, {5, 6})
         voters = fleet.store_voters(leader.name)
         self.assertEqual(len(voters), 5)
@@ -330,10 +328,10 @@
         self.assertEqual(fleet.store_voters(leader.name), voters)
 
     @on_seeds()
-    async def test_too_few_left_or_an_unknown_machine_is_refused(self, fleet):
-        answer = await fleet.operate("POST", "/api/retire/store-1/start", b"{}")
+    async def test_retiring_too_many_machines_or_an_unknown_one_is_refused(self, fleet):
+        answer = await fleet.operator_request("POST", "/api/retire/store-1/start", b"{}")
         self.assertEqual(answer.status, 409)
-        answer = await fleet.operate("POST", "/api/retire/store-9/start", b"{}")
+        answer = await fleet.operator_request("POST", "/api/retire/store-9/start", b"{}")
         self.assertEqual(answer.status, 404)
 
 
@@ -348,7 +346,7 @@
         self.assertGreaterEqual(fleet.list.calls - before, pages * 8)
 
     @on_seeds(nodes=4)
-    async def test_every_node_leaves_a_draining_engine_soon(self, fleet):
+    async def test_every_node_stops_using_a_draining_engine(self, fleet):
         await anyio.sleep(3)
         fleet.engines[0].state = "draining"
         await anyio.sleep(1.5)
@@ -364,7 +362,7 @@
         self.assertEqual(self.ready_engines(fleet), [{"i-2", "i-3"}] * 3)
 
     @on_seeds(nodes=4)
-    async def test_without_the_control_group_nodes_read_for_themselves(self, fleet):
+    async def test_without_the_control_group_each_node_reads_the_list(self, fleet):
         await anyio.sleep(3)
         for number in range(1, 4):
             fleet.kill(f"control-{number}")
@@ -373,7 +371,7 @@
         self.assertEqual(self.ready_engines(fleet), [{"i-2", "i-3"}] * 4)
 
     def ready_engines(self, fleet):
-        """Engines that each running node would use."""
+        """Return the ids of the engines that each running node uses."""
         return [
             {load.record.instance_id for load in machine.process._registry.of_service("models")}
             for machine in fleet.running(FleetRole.NODE)
--- a/tests/on_platform/test_formats.py
+++ b/tests/on_platform/test_formats.py
@@ -1,4 +1,4 @@
-"""Requests, configurations and answers of the platform as the product's types."""
+"""Conversion of the platform's requests, configurations and answers to passlane's types."""
 
 import unittest
 
@@ -40,7 +40,7 @@
     def parse(self, **changes):
         return parse_call("POST", "/a/b?c=d", headers(**changes), b"body", 10.0)
 
-    def test_a_turn(self):
+    def test_a_turn_request(self):
         call = self.parse()
         self.assertEqual((call.request_id, call.path, call.host), ("9c41", "/a/b", "one.example"))
         self.assertEqual(call.deadline_at, 14.0)
@@ -48,12 +48,12 @@
         self.assertEqual((call.most_tokens, call.previous_turn), (288, "40c8"))
         self.assertEqual(call.prompt_parts, (PromptPart("5c1e", 800), PromptPart("91bd", 410)))
 
-    def test_headers_of_one_connection_are_not_passed_on(self):
+    def test_headers_of_a_single_connection_are_not_forwarded(self):
         names = {header.name for header in self.parse().headers}
         self.assertFalse(names & {"connection", "x-hop", "host"})
         self.assertIn("x-own", names)
 
-    def test_headers_of_this_system_are_not_taken_from_clients(self):
+    def test_reserved_headers_of_clients_are_dropped(self):
         forged = {
             "x_passlane_tenant": "other",
             "x_passlane_hold": "h1",
@@ -71,21 +71,21 @@
         self.assertFalse(names & forged_names)
         self.assertEqual(set(call.dropped_headers), forged_names)
 
-    def test_a_proper_request_has_no_dropped_headers(self):
+    def test_a_valid_request_has_no_dropped_headers(self):
         self.assertEqual(self.parse().dropped_headers, ())
 
-    def test_a_key_is_taken_as_a_digest_and_goes_no_further(self):
+    def test_only_the_digest_of_a_key_is_retained(self):
         call = self.parse(x_api_key="key-1", connection="X-Api-Key")
         self.assertEqual(call.key_digests, (digest_of_key("key-1"),))
         self.assertNotIn("key-1", repr(call))
 
-    def test_each_key_of_a_request_counts(self):
+    def test_each_key_of_a_request_has_a_digest(self):
         twice = [*headers(), Header("x-api-key", "key-1"), Header("x-api-key", "key-1")]
         call = parse_call("POST", "/a", twice, b"", 10.0)
         self.assertEqual(len(call.key_digests), 2)
         self.assertNotIn("x-api-key", {header.name for header in call.headers})
 
-    def test_what_is_missing_or_malformed_is_refused(self):
+    def test_missing_or_malformed_headers_are_refused(self):
         for changes in (
             {"x_passlane_attempt_id": None},
             {"x_passlane_deadline_ms": "soon"},
@@ -147,7 +147,7 @@
 
 
 class ConfigurationFormatTest(unittest.TestCase):
-    def test_a_document(self):
+    def test_a_document_is_parsed(self):
         source = msgspec.json.encode(DOCUMENT)
         parsed = parse_configuration(source)
         first, second = parsed.routes
@@ -159,7 +159,7 @@
         self.assertEqual(parsed.services[0].tokens_per_event, 9)
         self.assertEqual(parsed.limits.idle_timeout_s, 15.0)
 
-    def test_a_document_that_is_written_is_read_back(self):
+    def test_an_encoded_document_is_parsed_back(self):
         engine = RoutedService(
             name="engines", health_path="/h", max_connections=4, slots=2, tokens_per_event=9,
             memory_tokens=1_000,
@@ -170,16 +170,16 @@
             max_attempts=2, keeps_turns=True, retention_s=60.0, target_gap_s=0.2,
         )  # fmt: skip
         tenant = Tenant(name="t", priority=2, rate_per_s=4.0, burst=5.0)
-        held = parse_configuration(msgspec.json.encode(DOCUMENT))
-        wanted = msgspec.structs.replace(
-            held, routes=(route,), services=(engine,), tenants=(tenant,)
+        parsed_document = parse_configuration(msgspec.json.encode(DOCUMENT))
+        edited = msgspec.structs.replace(
+            parsed_document, routes=(route,), services=(engine,), tenants=(tenant,)
         )
-        read = parse_configuration(document_of(wanted, {"t": ("key",)}))
+        read = parse_configuration(document_of(edited, {"t": ("key",)}))
         self.assertEqual((read.version, read.routes, read.services), (7, (route,), (engine,)))
         with_key = msgspec.structs.replace(tenant, key_digests=(digest_of_key("key"),))
         self.assertEqual(read.tenants, (with_key,))
 
-    def test_what_cannot_be_read_whole_is_invalid(self):
+    def test_an_incomplete_document_is_invalid(self):
         source = msgspec.json.encode(DOCUMENT)
         without_routes = {k: v for k, v in DOCUMENT.items() if k != "routes"}
         for broken in (source[:-20], b"", b"[]", msgspec.json.encode(without_routes)):
@@ -187,7 +187,7 @@
                 parse_configuration(broken)
             self.assertIs(caught.exception.code, ErrorCode.INVALID_DOCUMENT)
 
-    def test_tenants(self):
+    def test_tenants_are_parsed(self):
         tenants = [
             {
                 "name": "corner",
@@ -203,7 +203,7 @@
         self.assertEqual((corner.priority, corner.rate_per_s, corner.burst), (0, 8.0, 4.5))
         self.assertEqual((free.priority, free.is_limited, free.key_digests), (None, False, ()))
 
-    def test_tenants_that_cannot_be_read_are_invalid_and_no_key_is_told(self):
+    def test_invalid_tenants_are_refused_without_revealing_keys(self):
         for broken in (
             [{"name": "corner", "api_keys": ["secret", ""]}],
             [{"name": "corner", "api_keys": ["secret", 5]}],
@@ -240,40 +240,40 @@
 
 
 class EngineAnswerTest(unittest.TestCase):
-    def test_a_success_needs_signature_own_id_and_no_encoding(self):
+    def test_a_success_needs_the_signature_the_request_id_and_no_encoding(self):
         marks = {"x_passlane_attempt_id": "own", "x_passlane_response_signature": "s"}
         self.assertTrue(head_of(200, **marks).is_authentic)
         self.assertFalse(head_of(200, x_passlane_attempt_id="own").is_authentic)
         self.assertFalse(head_of(200, **(marks | {"x_passlane_attempt_id": "x"})).is_authentic)
         self.assertFalse(head_of(200, **marks, content_encoding="gzip").is_authentic)
 
-    def test_a_refusal_counts_only_for_the_own_request(self):
+    def test_a_refusal_counts_only_with_the_id_of_the_request(self):
         own = {"x_passlane_attempt_id": "own"}
         full = head_of(503, x_passlane_not_executed="1", **own)
         self.assertIs(full.refusal, Refusal.NOT_EXECUTED)
         self.assertIs(head_of(421, **own).refusal, Refusal.WRONG_INSTANCE)
-        late = head_of(503, x_passlane_not_executed="1", x_passlane_attempt_id="other")
-        self.assertIsNone(late.refusal)
-        self.assertFalse(late.is_authentic)
+        foreign = head_of(503, x_passlane_not_executed="1", x_passlane_attempt_id="other")
+        self.assertIsNone(foreign.refusal)
+        self.assertFalse(foreign.is_authentic)
         self.assertIsNone(head_of(503, **own).refusal)
 
-    def test_an_answer_without_an_id_proves_nothing(self):
+    def test_an_answer_without_an_id_is_not_trusted(self):
         marks = {"x_passlane_response_signature": "s"}
         for status in (200, 400, 408, 421, 429, 500, 503):
             head = head_of(status, x_passlane_not_executed="1", **marks)
             self.assertIsNone(head.refusal)
             self.assertIs(judge_answer(head), Judgement.UNTRUSTED)
 
-    def test_an_answer_that_bears_two_ids_proves_nothing(self):
+    def test_an_answer_with_two_ids_is_not_trusted(self):
         both = head_of(503, x_passlane_not_executed="1", x_passlane_attempt_id="own, other")
         self.assertIs(judge_answer(both), Judgement.UNTRUSTED)
 
-    def test_a_success_that_says_it_did_not_run_is_neither(self):
+    def test_a_success_marked_as_not_executed_is_not_trusted(self):
         marks = {"x_passlane_attempt_id": "own", "x_passlane_response_signature": "s"}
-        spoiled = head_of(200, x_passlane_not_executed="1", **marks)
-        self.assertIs(judge_answer(spoiled), Judgement.UNTRUSTED)
+        contradictory = head_of(200, x_passlane_not_executed="1", **marks)
+        self.assertIs(judge_answer(contradictory), Judgement.UNTRUSTED)
 
-    def test_headers_of_the_connection_stay_behind(self):
+    def test_connection_headers_are_removed_from_answers(self):
         head = head_of(200, content_length="5", connection="close", content_type="text/plain")
         self.assertEqual([header.name for header in head.headers], ["content-type"])
         self.assertEqual(head.length, 5)
--- a/tests/on_platform/test_instance_list.py
+++ b/tests/on_platform/test_instance_list.py
@@ -1,14 +1,6 @@
-"""Entries of the platform's list that another writer has made.
+"""Invalid entries in the platform's list of backends.
 
-What happens: an entry lacks a field, has one of another type, names a state that isn't known, or
-holds bytes that can't be read. Until it is gone no node learns of any change, or sends requests
-to it.
-
-Why: a page was decoded as a whole, so one bad entry lost them all; any state other than ready was
-taken for draining; an address was parsed outside of any guard.
-
-What showed it: of the kinds of entry below, most raised ``PasslaneError`` or ``ValueError`` for the
-whole list, or came back as a back end.
+Guards against an invalid entry that hides the valid ones, or that is used as a backend.
 """
 
 import copy
@@ -43,22 +35,22 @@
 PLAIN = {name: ENTRY[name] for name in ENTRY if name not in ("stage", "models")} | {
     "id": "i-3", "address": "10.128.0.11:8080", "service": "tools", "state": "draining",
 }  # fmt: skip
-GOOD = [OTHER, PLAIN]
+VALID_ENTRIES = [OTHER, PLAIN]
 USED_FIELDS = ("id", "service", "address", "zone", "version", "slots", "state", "cold_left_ms")
-OF_OTHER_TYPES = (None, True, 1.5, "7", "", -1, [], {}, ["ready"], {"a": 1})
+INVALID_VALUES = (None, True, 1.5, "7", "", -1, [], {}, ["ready"], {"a": 1})
 
 
-class PagedBytes:
-    """An HTTP client that answers each page with bytes."""
+class FakePagedClient:
+    """HTTP client whose responses are the given pages, in order."""
 
     def __init__(self, *pages):
         self.pages = pages
-        self.asked = []
+        self.requested_paths = []
 
     @asynccontextmanager
     async def exchange(self, request):
-        self.asked.append(request.path)
-        yield Page(self.pages[len(self.asked) - 1])
+        self.requested_paths.append(request.path)
+        yield Page(self.pages[len(self.requested_paths) - 1])
 
 
 class Page:
@@ -78,70 +70,70 @@
 
 def read(*pages, metrics=None):
     given = () if metrics is None else (metrics,)
-    return anyio.run(InstanceList(PagedBytes(*pages), Address("10.0.0.1", 80), *given).read)
+    return anyio.run(InstanceList(FakePagedClient(*pages), Address("10.0.0.1", 80), *given).read)
 
 
 def ids(records):
     return [record.instance_id for record in records]
 
 
-class BadEntryTest(unittest.TestCase):
-    def assert_names_nothing(self, bad, text=None):
-        raw = json.dumps(bad) if text is None else text
-        good = json.dumps(GOOD[0]), json.dumps(GOOD[1])
-        for order in ((raw, *good), (good[0], raw, good[1]), (*good, raw)):
+class InvalidEntryTest(unittest.TestCase):
+    def assert_skipped(self, invalid, text=None):
+        raw = json.dumps(invalid) if text is None else text
+        valid = json.dumps(VALID_ENTRIES[0]), json.dumps(VALID_ENTRIES[1])
+        for order in ((raw, *valid), (valid[0], raw, valid[1]), (*valid, raw)):
             joined = ",".join(order)
             body = f'{{"instances":[{joined}],"next_token":null}}'
             encoded = body.encode("utf-8", "surrogateescape")
             self.assertEqual(ids(read(encoded)), ["i-2", "i-3"], raw)
 
-    def test_a_field_that_is_missing(self):
+    def test_a_missing_field(self):
         for name in USED_FIELDS:
-            bad = copy.deepcopy(ENTRY)
-            del bad[name]
+            invalid = copy.deepcopy(ENTRY)
+            del invalid[name]
             with self.subTest(name):
-                self.assert_names_nothing(bad)
+                self.assert_skipped(invalid)
 
     def test_a_field_of_another_type(self):
         for name in USED_FIELDS:
-            for value in OF_OTHER_TYPES:
+            for value in INVALID_VALUES:
                 if name in ("service", "zone", "version") and value in ("7",):
-                    continue  # Any word may be a name.
+                    continue  # Any text is a valid name.
                 if name == "id" and value == "7":
                     continue
                 if name == "cold_left_ms" and value == 1.5:
-                    continue  # A number.
+                    continue  # Any number is valid.
                 with self.subTest(name, value=value):
-                    self.assert_names_nothing(ENTRY | {name: value})
+                    self.assert_skipped(ENTRY | {name: value})
 
-    def test_a_start_that_is_no_whole_number(self):
+    def test_a_start_time_that_is_not_an_integer(self):
         for value in (None, True, 1.5, "7", -1, [], {}):
             with self.subTest(value=value):
-                self.assert_names_nothing(ENTRY | {"born": value})
+                self.assert_skipped(ENTRY | {"born": value})
 
-    def test_a_state_that_is_not_known(self):
+    def test_an_unknown_state(self):
         for state in ("gone", "READY", "ready ", "starting"):
-            self.assert_names_nothing(ENTRY | {"state": state})
+            self.assert_skipped(ENTRY | {"state": state})
 
-    def test_an_address_that_is_none(self):
+    def test_an_invalid_address(self):
         for address in ("", "10.0.0.1", "10.0.0.1:", ":80", "10.0.0.1:0", "10.0.0.1:99999",
                         "10.0.0.1:٣", "host:80", "10.0.0.256:80", "10.0.0.1:80:80"):  # fmt: skip
             with self.subTest(address):
-                self.assert_names_nothing(ENTRY | {"address": address})
+                self.assert_skipped(ENTRY | {"address": address})
 
-    def test_an_entry_that_is_none(self):
+    def test_an_entry_that_is_not_an_object_with_the_fields(self):
         for entry in (None, True, 3, "i-9", [], {}, [ENTRY]):
-            self.assert_names_nothing(entry)
+            self.assert_skipped(entry)
 
-    def test_bytes_that_cannot_be_read(self):
+    def test_invalid_text(self):
         for broken in ("\udcff\udcfe", "\\ud800", "\x01", "\udc80"):
             for name in ("service", "zone", "id"):
                 entry = json.dumps(ENTRY | {name: "@@"}).replace("@@", broken)
                 with self.subTest(name, broken=broken):
-                    self.assert_names_nothing(None, entry)
+                    self.assert_skipped(None, entry)
 
-    def test_good_entries_hold(self):
-        records = read(page(ENTRY, *GOOD))
+    def test_valid_entries_are_read(self):
+        records = read(page(ENTRY, *VALID_ENTRIES))
         expected = BackendRecord(
             "i-2", "models", Address("10.128.0.10", 8080), "a", 12, BackendState.READY
         )
@@ -150,24 +142,24 @@
         self.assertEqual(records[2].state, BackendState.DRAINING)
         self.assertEqual(ids(records), ["i-1", "i-2", "i-3"])
 
-    def test_fields_that_are_not_known_are_passed_over(self):
+    def test_unknown_fields_are_ignored(self):
         self.assertEqual(ids(read(page(ENTRY | {"rack": {"a": [1]}}))), ["i-1"])
 
-    def test_bad_entries_are_counted(self):
+    def test_invalid_entries_are_counted(self):
         metrics = Metrics()
         read(page({}, ENTRY, {"id": 3}, next_token="t"), page(None), metrics=metrics)
         exposed = metrics.expose().decode()
         self.assertIn("passlane_unreadable_backend_entries_total 3.0", exposed)
 
 
-class UnreadablePageTest(unittest.TestCase):
-    def test_a_page_that_cannot_be_read_is_an_error_and_no_empty_list(self):
+class InvalidPageTest(unittest.TestCase):
+    def test_an_invalid_page_is_an_error_and_not_an_empty_list(self):
         for body in (b"", b"{", b"[]", b"null", b'{"instances":{}}', b'{"next_token":null}',
                      b"\xff\xfe", b"[" * 100_000, b'{"instances":[],"next_token":3}'):  # fmt: skip
             with self.subTest(body[:30]), self.assertRaises(PasslaneError):
                 read(body)
 
-    def test_the_second_page_counts_as_well(self):
+    def test_an_invalid_second_page_is_an_error(self):
         with self.assertRaises(PasslaneError):
             read(page(ENTRY, next_token="t"), b"{")
 
@@ -191,15 +183,17 @@
             max_size=4,
         )
     )
-    def test_whatever_stands_beside_them_the_good_ones_hold(self, entries):
+    def test_valid_entries_are_read_among_arbitrary_others(self, entries):
         found = ids(read(page(OTHER, *entries, PLAIN)))
         self.assertEqual((found[0], found[-1]), ("i-2", "i-3"))
 
     @given(st.data())
-    def test_one_byte_that_is_changed_names_no_other_address(self, data):
-        whole = page(ENTRY, *GOOD)
-        place = data.draw(st.integers(0, len(whole) - 1))
-        changed = whole[:place] + bytes([data.draw(st.integers(128, 255))]) + whole[place + 1 :]
+    def test_one_corrupted_byte_adds_no_backend(self, data):
+        whole = page(ENTRY, *VALID_ENTRIES)
+        position = data.draw(st.integers(0, len(whole) - 1))
+        changed = (
+            whole[:position] + bytes([data.draw(st.integers(128, 255))]) + whole[position + 1 :]
+        )
         try:
             records = read(changed)
         except PasslaneError:
@@ -207,9 +201,9 @@
         self.assertLessEqual(set(ids(records)), {"i-1", "i-2", "i-3"})
 
 
-class WrittenPageTest(unittest.TestCase):
-    def test_a_page_that_is_written_is_read(self):
-        records = read(page(*GOOD))
+class EncodedPageTest(unittest.TestCase):
+    def test_an_encoded_page_is_decoded(self):
+        records = read(page(*VALID_ENTRIES))
         self.assertEqual(read(encode_page(records)), records)
 
 
--- a/tests/on_platform/test_names.py
+++ b/tests/on_platform/test_names.py
@@ -1,4 +1,4 @@
-"""The platform's names stand in its folder alone."""
+"""Wire names of the platform occur only in the package ``platform``."""
 
 import re
 import unittest
@@ -15,7 +15,7 @@
 
 
 class NamesTest(unittest.TestCase):
-    def test_no_other_package_knows_them(self):
+    def test_no_other_package_contains_them(self):
         found = [
             f"{path.relative_to(SOURCE)}: {match[0]}"
             for path in SOURCE.rglob("*.py")
@@ -24,6 +24,6 @@
         ]
         self.assertEqual(found, [])
 
-    def test_the_pattern_finds_them_in_the_folder(self):
+    def test_the_pattern_matches_names_in_the_folder(self):
         texts = [path.read_text() for path in (SOURCE / "platform").glob("*.py")]
         self.assertGreater(sum(len(PLATFORM_NAMES.findall(text)) for text in texts), 10)
--- a/tests/on_platform/test_quotas.py
+++ b/tests/on_platform/test_quotas.py
@@ -1,4 +1,4 @@
-"""Limits of tenants over a whole fleet on the virtual clock, counted at the engines."""
+"""Rate limits of tenants in a simulated fleet on a virtual clock, counted at the engines."""
 
 import unittest
 from bisect import bisect_right
@@ -37,12 +37,12 @@
 }
 
 
-def allowed(tenant):
+def max_allowed_runs(tenant):
     return (tenant["rate_per_s"] * WINDOW_S + tenant["burst"]) * (1 + OVERAGE) + SLACK
 
 
 class Flood:
-    """Sends tool calls of one tenant through all nodes, evenly, and counts the answers."""
+    """Sends tool calls of one tenant through all nodes in turn and collects the answers."""
 
     def __init__(self, fleet, *, per_s, key="key-1", nodes=("node-1", "node-2")):
         self.fleet = fleet
@@ -67,14 +67,14 @@
         self.answers.append(answer)
 
 
-def fullest_window(fleet):
-    moments = sorted(moment for engine in fleet.engines for moment in engine.run_times)
+def max_runs_in_window(fleet):
+    timestamps = sorted(timestamp for engine in fleet.engines for timestamp in engine.run_times)
     return max(
-        bisect_right(moments, start + WINDOW_S) - place for place, start in enumerate(moments)
+        bisect_right(timestamps, start + WINDOW_S) - index for index, start in enumerate(timestamps)
     )
 
 
-async def begin(fleet, *tenants):
+async def apply_tenants(fleet, *tenants):
     await fleet.put_configuration(2, tenants=tenants)
     await anyio.sleep(APPLY_S)
 
@@ -82,10 +82,10 @@
 class QuotaTest(unittest.TestCase):
     @on_seeds()
     async def test_a_flood_over_all_nodes_stays_within_the_limit(self, fleet):
-        await begin(fleet, CORNER)
+        await apply_tenants(fleet, CORNER)
         flood = Flood(fleet, per_s=40)
         await flood.run(8.0)
-        self.assertLessEqual(fullest_window(fleet), allowed(CORNER))
+        self.assertLessEqual(max_runs_in_window(fleet), max_allowed_runs(CORNER))
         served = flood.statuses.count(200)
         self.assertGreater(served, 8 * CORNER["rate_per_s"])
         self.assertEqual(served + flood.statuses.count(429), len(flood.statuses))
@@ -93,33 +93,33 @@
         self.assertTrue(all(float(answer.headers["retry-after"]) > 0 for answer in refused))
 
     @on_seeds()
-    async def test_within_the_limit_nothing_is_refused(self, fleet):
-        await begin(fleet, CORNER)
+    async def test_no_request_within_the_limit_is_refused(self, fleet):
+        await apply_tenants(fleet, CORNER)
         flood = Flood(fleet, per_s=6)
         await flood.run(8.0)
         self.assertEqual(set(flood.statuses), {200})
 
     @on_seeds()
     async def test_a_tenant_without_a_limit_needs_no_grant(self, fleet):
-        await begin(fleet, CORNER, FREE)
+        await apply_tenants(fleet, CORNER, FREE)
         for machine in fleet.running(FleetRole.STORE):
             fleet.kill(machine.name)
         answer = await fleet.tool_call("one", x_api_key="key-9")
         self.assertEqual(answer.status, 200)
 
     @on_seeds()
-    async def test_without_the_store_group_nothing_limited_is_sent(self, fleet):
-        await begin(fleet, CORNER)
+    async def test_without_the_store_group_no_limited_request_is_sent(self, fleet):
+        await apply_tenants(fleet, CORNER)
         for machine in fleet.running(FleetRole.STORE):
             fleet.kill(machine.name)
         await anyio.sleep(2.0)
         answer = await fleet.tool_call("one", x_api_key="key-1")
         self.assertEqual(answer.status, 503)
-        self.assertIsNone(fleet.body_run_for("one"))
+        self.assertIsNone(fleet.executed_body("one"))
 
     @on_seeds()
-    async def test_a_lower_limit_binds_one_window_after_it_is_in_force(self, fleet):
-        await begin(fleet, CORNER)
+    async def test_a_lowered_limit_holds_one_window_after_it_is_applied(self, fleet):
+        await apply_tenants(fleet, CORNER)
         lower = CORNER | {"rate_per_s": 2, "burst": 2}
         flood = Flood(fleet, per_s=20)
         async with anyio.create_task_group() as tasks:
@@ -129,11 +129,11 @@
             await anyio.sleep(APPLY_S)
             for engine in fleet.engines:
                 engine.run_times.clear()
-        self.assertLessEqual(fullest_window(fleet), allowed(lower))
+        self.assertLessEqual(max_runs_in_window(fleet), max_allowed_runs(lower))
 
     @on_seeds(0, 1, 2, 3)
-    async def test_a_new_store_leader_gives_no_burst_anew(self, fleet):
-        await begin(fleet, CORNER)
+    async def test_a_new_store_leader_grants_no_second_burst(self, fleet):
+        await apply_tenants(fleet, CORNER)
         flood = Flood(fleet, per_s=40)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(flood.run, 8.0)
@@ -142,17 +142,17 @@
             fleet.kill(leader)
             await anyio.sleep(1.5)
             fleet.start(leader)
-        self.assertLessEqual(fullest_window(fleet), allowed(CORNER))
+        self.assertLessEqual(max_runs_in_window(fleet), max_allowed_runs(CORNER))
         self.assertGreater(flood.statuses.count(200), 30)
 
     @on_seeds()
-    async def test_a_restart_of_all_processes_gives_no_burst_anew(self, fleet):
+    async def test_a_restart_of_all_processes_grants_no_second_burst(self, fleet):
         await flood_around_a_restart(fleet)
-        self.assertLessEqual(fullest_window(fleet), allowed(CORNER))
+        self.assertLessEqual(max_runs_in_window(fleet), max_allowed_runs(CORNER))
 
-    @on_seeds(0, 1, stores=5, machines_lost=2)
-    async def test_leaders_that_are_lost_one_after_the_other_give_no_burst_anew(self, fleet):
-        await begin(fleet, CORNER)
+    @on_seeds(0, 1, stores=5, tolerated_losses=2)
+    async def test_successive_losses_of_leaders_grant_no_second_burst(self, fleet):
+        await apply_tenants(fleet, CORNER)
         await anyio.sleep(10.0)
         flood = Flood(fleet, per_s=20)
         async with anyio.create_task_group() as tasks:
@@ -161,30 +161,30 @@
                 await anyio.sleep(1.3)
                 fleet.kill(fleet.store_leader().name)
                 await anyio.sleep(0.7)
-        self.assertLessEqual(fullest_window(fleet), allowed(CORNER))
+        self.assertLessEqual(max_runs_in_window(fleet), max_allowed_runs(CORNER))
 
-    @on_seeds(0, 1, stores=5, machines_lost=2)
-    async def test_a_leader_cut_off_from_its_group_grants_nothing_more(self, fleet):
-        """Nodes reach both sides of the cut; the limit is large, so that little time counts."""
+    @on_seeds(0, 1, stores=5, tolerated_losses=2)
+    async def test_a_partitioned_leader_grants_nothing_more(self, fleet):
+        """Nodes reach both sides of the partition; the high limit makes a short excess visible."""
         tenant = CORNER | {"rate_per_s": 100, "burst": 0}
-        await begin(fleet, tenant)
+        await apply_tenants(fleet, tenant)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(Flood(fleet, per_s=400).run, 3.0)
             await anyio.sleep(0.6)
             leader = fleet.store_leader()
             others = {m.host for m in fleet.running(FleetRole.STORE)} - {leader.host}
             fleet.network.cut({leader.host}, others)
-        self.assertLessEqual(fullest_window(fleet), allowed(tenant))
+        self.assertLessEqual(max_runs_in_window(fleet), max_allowed_runs(tenant))
 
     @on_seeds()
-    async def test_a_node_that_was_cut_off_spends_nothing_granted_long_ago(self, fleet):
-        await flood_behind_a_cut(fleet)
-        self.assertLessEqual(fullest_window(fleet), allowed(LARGE))
+    async def test_a_node_that_was_partitioned_uses_no_stale_grants(self, fleet):
+        await flood_during_a_partition(fleet)
+        self.assertLessEqual(max_runs_in_window(fleet), max_allowed_runs(LARGE))
 
 
-class RepeatedRunTest(unittest.TestCase):
+class RetryTest(unittest.TestCase):
     @on_seeds()
-    async def test_a_request_that_runs_again_elsewhere_counts_again(self, fleet):
+    async def test_a_retry_at_another_engine_counts_again(self, fleet):
         await fleet.put_configuration(2, tenants=[CORNER], extra_routes=[LOOKUPS])
         await anyio.sleep(APPLY_S)
         with mock.patch.object(StandInEngine, "__call__", run_without_an_answer):
@@ -192,18 +192,18 @@
             await flood.run(8.0)
         runs = sum(len(engine.run_times) for engine in fleet.engines)
         self.assertGreater(runs, flood.statuses.count(502))
-        self.assertLessEqual(fullest_window(fleet), allowed(CORNER))
+        self.assertLessEqual(max_runs_in_window(fleet), max_allowed_runs(CORNER))
 
 
 async def run_without_an_answer(engine, scope, receive, send):
-    """Run a request and send what proves nothing: an answer without its id."""
+    """Run a request and send an answer without its id, which is not trusted."""
     await read_request(scope, receive, 10_000_000)
     engine.run_times.append(anyio.current_time())
     await engine._answer(send, 200, [], b"")
 
 
 class LookupFlood(Flood):
-    """Sends requests that may run at two engines each."""
+    """Sends requests that are retried at a second engine."""
 
     async def _send(self, number):
         self.sent += 1
@@ -216,20 +216,20 @@
 
 
 async def flood_around_a_restart(fleet):
-    """Flood, kill all processes at once, start them, flood again."""
-    await begin(fleet, CORNER)
+    """Send load, kill all processes at once, restart them, and send load again."""
+    await apply_tenants(fleet, CORNER)
     await Flood(fleet, per_s=40).run(2.0)
     for name in fleet.machines:
         fleet.kill(name, power=False)
     for name in fleet.machines:
         fleet.start(name)
-    await fleet.until_ready()
+    await fleet.wait_until_ready()
     await Flood(fleet, per_s=40).run(4.0)
 
 
-async def flood_behind_a_cut(fleet):
-    """Let one node hold grants, cut it off from the stores, use up the limit, then both."""
-    await begin(fleet, LARGE)
+async def flood_during_a_partition(fleet):
+    """Partition a node with unused grants from the stores; then send load through both nodes."""
+    await apply_tenants(fleet, LARGE)
     for number in range(60):
         await fleet.turn(f"turn-{number}", node="node-1", x_api_key="key-1")
     stores = {machine.host for machine in fleet.running(FleetRole.STORE)}
@@ -240,30 +240,30 @@
         tasks.start_soon(Flood(fleet, per_s=50, nodes=("node-1",)).run, 4.0)
 
 
-class PlantedDefectTest(unittest.TestCase):
-    """The checks above tell when what they guard is broken."""
+class InjectedDefectTest(unittest.TestCase):
+    """Each of these defects makes a check above fail."""
 
     @on_seeds()
-    async def test_a_leader_that_heard_nothing_of_grants_is_caught(self, fleet):
+    async def test_a_leader_without_replicated_grants_is_detected(self, fleet):
         with mock.patch.object(QuotaLedger, "note_replicated"):
             await flood_around_a_restart(fleet)
-        self.assertGreater(fullest_window(fleet), allowed(CORNER))
+        self.assertGreater(max_runs_in_window(fleet), max_allowed_runs(CORNER))
 
     @on_seeds()
-    async def test_a_limit_that_each_leader_counts_alone_is_caught(self, fleet):
-        with mock.patch.object(QuotaLedger, "enter_term", forget_all):
+    async def test_a_limit_counted_by_each_leader_alone_is_detected(self, fleet):
+        with mock.patch.object(QuotaLedger, "enter_term", forget_accounts):
             await flood_around_a_restart(fleet)
-        self.assertGreater(fullest_window(fleet), allowed(CORNER))
+        self.assertGreater(max_runs_in_window(fleet), max_allowed_runs(CORNER))
 
     @on_seeds()
-    async def test_a_limit_counted_by_each_node_alone_is_caught(self, fleet):
+    async def test_a_limit_counted_by_each_node_alone_is_detected(self, fleet):
         with mock.patch.object(RequestQuota, "admit", grant_always):
-            await begin(fleet, CORNER)
+            await apply_tenants(fleet, CORNER)
             await Flood(fleet, per_s=40).run(8.0)
-        self.assertGreater(fullest_window(fleet), allowed(CORNER))
+        self.assertGreater(max_runs_in_window(fleet), max_allowed_runs(CORNER))
 
 
-def forget_all(ledger, term, now):
+def forget_accounts(ledger, term, now):
     if term != ledger._term:
         ledger._term = term
         ledger._accounts.forget_all()
@@ -273,10 +273,10 @@
     return QuotaGranted()
 
 
-class WholeProgramsTest(unittest.TestCase):
+class ProgramQuotaTest(unittest.TestCase):
     @on_seeds()
-    async def test_turns_draw_for_the_tool_calls_that_follow(self, fleet):
-        await begin(fleet, CORNER | {"rate_per_s": 40, "burst": 40})
+    async def test_a_turn_draws_quota_for_the_tool_calls_that_follow(self, fleet):
+        await apply_tenants(fleet, CORNER | {"rate_per_s": 40, "burst": 40})
         self.assertEqual((await fleet.turn("one", x_api_key="key-1")).status, 200)
         for machine in fleet.running(FleetRole.STORE):
             fleet.kill(machine.name)
@@ -286,8 +286,8 @@
         self.assertEqual(statuses, [200, 200])
 
     @on_seeds()
-    async def test_programs_under_way_go_on_while_new_ones_are_refused(self, fleet):
-        await begin(fleet, CORNER)
+    async def test_running_programs_continue_while_new_ones_are_refused(self, fleet):
+        await apply_tenants(fleet, CORNER)
         first = await fleet.turn("first", x_api_key="key-1")
         self.assertEqual(first.status, 200)
         new = [
--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -1,4 +1,4 @@
-"""Callers and engines that stop reading, over real sockets: what is held, and for how long."""
+"""Callers and engines that stop reading, over real sockets: bounds on buffers and on the time."""
 
 import asyncio
 import random
@@ -12,7 +12,7 @@
 import anyio
 from structlog.testing import capture_logs
 
-from on_platform.test_deploy import FILLED, NODE_ADDRESSES
+from on_platform.test_deploy import FILLED_TEMPLATE, NODE_ADDRESSES
 from passlane.daemon.fleet.node_bounds import NodeBounds
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.placement.request_placement import NodePlace
@@ -44,12 +44,12 @@
 ATTEMPT_ID = names.ATTEMPT_ID.encode()
 BODY_BYTES = 4_000_000
 STALL_S = 1.0
-BEYOND_SAMPLING_S = 4.0
-"""Sampling, and the pace of a shared machine."""
+TIMING_MARGIN_S = 4.0
+"""Allows for sampling and for a busy machine."""
 
 
 class StandInEngine:
-    """Streams without end where the path has ``endless`` in it, else three events.
+    """Streams three events, or without end if the path contains ``endless``.
 
     ``closed`` counts the connections that have ended.
     """
@@ -84,13 +84,15 @@
     bounds = f"\n[node_bounds]\nlongest_stall_s = {STALL_S}\n"
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "settings.toml"
-        path.write_text(FILLED.format(role="node", folder="", addresses=NODE_ADDRESSES) + bounds)
+        path.write_text(
+            FILLED_TEMPLATE.format(role="node", folder="", addresses=NODE_ADDRESSES) + bounds
+        )
         return load_fleet_settings(path)
 
 
 def free_address():
-    with bound_socket("127.0.0.1", 0) as made:
-        return Address("127.0.0.1", made.getsockname()[1])
+    with bound_socket("127.0.0.1", 0) as listener:
+        return Address("127.0.0.1", listener.getsockname()[1])
 
 
 def request(path, request_id):
@@ -103,7 +105,7 @@
 class SlowReadersTest(unittest.TestCase):
     @asynccontextmanager
     async def node(self, engine):
-        """Serve by a node before one engine; give its address and its bounds."""
+        """Run a node with one engine; yield its address and its bounds."""
         engine_address = free_address()
         server = await asyncio.start_server(engine.serve, engine_address.host, engine_address.port)
         registry = BackendRegistry()
@@ -124,9 +126,9 @@
                 random.Random(1),
                 bounds.admission,
             )
-            held = configuration(route(kind=RouteKind.STREAM, timeout_s=8.0))
-            relay.replace_configuration(held)
-            bounds.apply_configuration(held)
+            applied = configuration(route(kind=RouteKind.STREAM, timeout_s=8.0))
+            relay.replace_configuration(applied)
+            bounds.apply_configuration(applied)
             limits = HttpLimits(
                 write_buffer_bytes=bounds.max_caller_bytes, watch=bounds.unread, finish_s=0.1
             )
@@ -137,21 +139,21 @@
             tasks.cancel_scope.cancel()
         server.close()
 
-    def test_a_caller_that_stops_reading_is_ended_and_no_other(self):
+    def test_only_the_caller_that_stops_reading_is_disconnected(self):
         engine = StandInEngine()
-        largest_held = 0
+        max_unread_bytes = 0
 
         async def main():
-            nonlocal largest_held
+            nonlocal max_unread_bytes
             async with self.node(engine) as (address, bounds):
                 stopped = socket.socket()
                 stopped.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
                 stopped.connect((address.host, address.port))
                 stopped.sendall(request("/first/endless", "stopped"))
-                with anyio.fail_after(STALL_S + BEYOND_SAMPLING_S):
+                with anyio.fail_after(STALL_S + TIMING_MARGIN_S):
                     while not bounds.unread.ended or engine.closed == 0:
-                        await self.check_others_go_on(address)
-                        largest_held = max(largest_held, bounds.unread.held_bytes)
+                        await self.check_other_callers_are_served(address)
+                        max_unread_bytes = max(max_unread_bytes, bounds.unread.held_bytes)
                         await anyio.sleep(0.1)
                 self.assertEqual(bounds.unread.held_bytes, 0)
                 self.assertEqual(bounds.unread.ended, {"reader_stopped": 1})
@@ -161,12 +163,12 @@
 
         with capture_logs() as lines:
             anyio.run(main)
-        self.assertGreater(largest_held, 0)
-        self.assertLessEqual(largest_held, 2 * 65_536)
+        self.assertGreater(max_unread_bytes, 0)
+        self.assertLessEqual(max_unread_bytes, 2 * 65_536)
         (ended,) = [line for line in lines if line["event"] == "answer_ended_unread"]
         self.assertEqual((ended["reason"], ended["log_level"]), ("reader_stopped", "warning"))
         self.assertGreaterEqual(ended["stalled_s"], STALL_S)
-        self.assertLess(ended["stalled_s"], STALL_S + BEYOND_SAMPLING_S)
+        self.assertLess(ended["stalled_s"], STALL_S + TIMING_MARGIN_S)
         reasons = {
             line["request_id"]: line["reason"] for line in lines if line["event"] == "request_ended"
         }
@@ -174,32 +176,32 @@
         self.assertGreater(len(reasons), 2)
         self.assertEqual(set(reasons.values()), {"answered"})
 
-    async def check_others_go_on(self, address):
-        """Have another caller take a whole answer while one has stopped reading."""
+    async def check_other_callers_are_served(self, address):
+        """Check that another caller receives a complete answer while one has stopped reading."""
         reader, writer = await asyncio.open_connection(address.host, address.port)
         writer.write(request("/first/short", f"other-{writer.get_extra_info('sockname')[1]}"))
         answer = await asyncio.wait_for(reader.readuntil(b"\r\n0\r\n\r\n"), 3.0)
         self.assertEqual(answer.count(EVENT), 3)
         writer.close()
 
-    def test_an_engine_that_stops_reading_costs_one_piece_besides_the_body(self):
+    def test_an_engine_that_stops_reading_costs_little_memory_besides_the_body(self):
         engine_socket = bound_socket("127.0.0.1", 0)
         engine_socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
         engine_socket.listen(1)
         address = Address("127.0.0.1", engine_socket.getsockname()[1])
         body = b"x" * BODY_BYTES
-        largest = 0
+        peak_bytes = 0
 
         async def main():
-            nonlocal largest
+            nonlocal peak_bytes
             client = SingleConnectionHttpClient(TcpNetwork())
             started_at = anyio.current_time()
             tracemalloc.start()
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self.expect_a_broken_exchange, client, address, body)
+                tasks.start_soon(self.expect_failed_exchange, client, address, body)
                 while tracemalloc.is_tracing():
                     await anyio.sleep(0.1)
-                    largest = max(largest, tracemalloc.get_traced_memory()[1])
+                    peak_bytes = max(peak_bytes, tracemalloc.get_traced_memory()[1])
                     if self.has_ended:
                         tracemalloc.stop()
             return anyio.current_time() - started_at
@@ -210,10 +212,10 @@
         finally:
             tracemalloc.stop()
             engine_socket.close()
-        self.assertLess(largest, BODY_BYTES // 10)
+        self.assertLess(peak_bytes, BODY_BYTES // 10)
         self.assertLess(elapsed_s, SILENCE_LIMIT_MS / 1_000 + 2.0)
 
-    async def expect_a_broken_exchange(self, client, address, body):
+    async def expect_failed_exchange(self, client, address, body):
         with self.assertRaises(HttpConnectionError) as caught:
             async with client.exchange(HttpRequest("POST", address, "/x", body=body)):
                 pass
--- a/tests/on_platform/test_tenants.py
+++ b/tests/on_platform/test_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants and their keys over a whole fleet on the virtual clock."""
+"""Tenants and their API keys in a simulated fleet on a virtual clock."""
 
 import unittest
 
@@ -9,12 +9,12 @@
 CORNER = {"name": "corner", "api_keys": ["key-1", "key-2"], "priority": 2}
 PHARMACY = {"name": "pharmacy", "api_keys": ["key-3"]}
 APPLY_S = 1.0
-"""Well within the time in which a change must be in force at each node in touch."""
+"""Time after which a configuration is applied at each connected node."""
 
 
 class KeyTest(unittest.TestCase):
     @on_seeds()
-    async def test_the_engine_learns_the_tenant_and_never_the_key(self, fleet):
+    async def test_the_engine_receives_the_tenant_but_not_the_key(self, fleet):
         await fleet.put_configuration(2, tenants=[CORNER, PHARMACY])
         await anyio.sleep(APPLY_S)
         answer = await fleet.turn("one", x_api_key="key-1", x_passlane_tenant="pharmacy")
@@ -25,7 +25,7 @@
         self.assertNotIn("key-1", str(headers))
 
     @on_seeds()
-    async def test_a_key_taken_away_moved_or_back_holds_at_each_node(self, fleet):
+    async def test_a_removed_moved_or_restored_key_takes_effect_at_each_node(self, fleet):
         await fleet.put_configuration(2, tenants=[CORNER])
         version = 2
         for tenants, expected in (
@@ -51,10 +51,10 @@
         unknown = await fleet.turn("four", previous="never", x_api_key="key-3")
         self.assertEqual((own.status, foreign.status, unknown.status), (200, 404, 404))
         self.assertEqual(foreign.body, unknown.body)
-        self.assertIsNone(fleet.body_run_for("three"))
+        self.assertIsNone(fleet.executed_body("three"))
 
     @on_seeds()
-    async def test_programs_of_two_tenants_share_no_budget(self, fleet):
+    async def test_programs_of_two_tenants_have_separate_budgets(self, fleet):
         await fleet.put_configuration(2, tenants=[CORNER, PHARMACY])
         await anyio.sleep(APPLY_S)
         statuses = [
@@ -68,7 +68,7 @@
     async def test_an_invalid_list_of_tenants_changes_nothing(self, fleet):
         await fleet.put_configuration(2, tenants=[CORNER])
         shared = [CORNER, PHARMACY | {"api_keys": ["key-1"]}]
-        answer = await fleet.put_once(3, tenants=shared)
+        answer = await fleet.put_configuration_once(3, tenants=shared)
         self.assertEqual(answer.status, 400)
         self.assertNotIn(b"key-1", answer.body)
         await anyio.sleep(APPLY_S)
