--- a/src/passlane/raft/__init__.py
+++ b/src/passlane/raft/__init__.py
@@ -1,1 +1,1 @@
-"""Raft as a pure state machine: events and time in, instructions out."""
+"""Raft as a pure state machine: it takes events and returns instructions."""
--- a/src/passlane/raft/config.py
+++ b/src/passlane/raft/config.py
@@ -13,39 +13,40 @@
 
 
 class ReplicaConfig(msgspec.Struct, frozen=True, kw_only=True):
-    """Who the replica is, and its timing and limits.
+    """Identity, timing and limits of one replica.
 
     Attributes
     ----------
     group
         Name of the Raft group; messages of other groups are ignored.
     replica_id
-        Identity of this replica. It lives on the same disk as the log and the vote, so a
-        wiped disk brings a new identity; messages for another identity are ignored.
+        Identity of this replica. It is stored on the same disk as the log and the vote, so
+        a wiped disk gets a new identity; messages for another identity are ignored.
     address
-        Where other replicas reach this one.
+        Address at which other replicas reach this one.
     heartbeat_s
         Seconds between the leader's heartbeats.
     election_timeout_s
-        Shortest time without a leader before an election; the longest is twice that. A
-        leader that hears no majority for this long steps down.
+        Minimum election timeout in seconds; each timeout is drawn between this and twice
+        this value. A leader without contact to a majority for this long steps down.
     first_election_share
-        A replica that has heard no leader since its start waits for this share of the
-        time-out; the share doubles with each election that it loses.
+        Share of the election timeout that applies until a replica has heard from a leader
+        since its start; the share doubles after each lost election, up to 1.
     max_batch_bytes
-        Most bytes of entries in one ``AppendRequest`` (one entry may be larger).
+        Maximum bytes of entries in one ``AppendRequest``; a single entry may be larger.
     max_in_flight_batches
-        Most unacknowledged ``AppendRequest`` with entries per follower.
+        Maximum number of unacknowledged ``AppendRequest`` with entries per follower.
     snapshot_chunk_bytes
-        Most bytes of a snapshot in one ``SnapshotRequest``.
+        Maximum bytes of a snapshot in one ``SnapshotRequest``.
     places
-        How many voters the group is to have; ``None`` lets each member vote.
+        Target number of voters; ``None`` makes every caught-up member a voter.
     replaced_voter_silence_s
-        A voter that was silent for so long, and already when another became a voter, is
-        removed by the leader. With bounded ``places`` a successor is looked for then.
+        Seconds of silence after which the leader removes a voter that was already silent
+        when another replica became a voter. With bounded ``places`` the leader replaces
+        a voter that is silent for this long.
     trailing_entries
-        Entries kept in memory behind a snapshot, so that a follower that is a little
-        behind needs no snapshot.
+        Entries retained in memory before the snapshot's last index, so that a follower
+        that is slightly behind needs no snapshot.
     """
 
     group: str
--- a/src/passlane/raft/errors.py
+++ b/src/passlane/raft/errors.py
@@ -2,9 +2,9 @@
 
 
 class RaftInvariantError(RuntimeError):
-    """A rule that Raft's safety rests on was broken; the replica must stop.
+    """A safety invariant of Raft was violated; the replica must stop.
 
-    This never happens with replicas that keep their durable state. The shell lets it end
-    the replica, so that a damaged one stops rather than spreads its state. It has no code,
-    because it answers no request: who handles coded errors must not take it for a refusal.
+    This cannot happen while all replicas keep their durable state. The error ends the
+    replica, so that a damaged replica does not replicate its state. It has no error code
+    because it is never the reply to a request; handlers of ``PasslaneError`` ignore it.
     """
--- a/src/passlane/raft/events.py
+++ b/src/passlane/raft/events.py
@@ -1,4 +1,4 @@
-"""Events that a Raft replica is told of.
+"""Events that a Raft replica handles.
 
 The replica is a plain state machine: ``Replica.handle(event, now)`` takes one event
 and the local monotonic time in seconds, and returns instructions (see
@@ -15,7 +15,7 @@
 
 
 class TimeAdvanced(msgspec.Struct, frozen=True):
-    """Time went on; the shell sends this at each tick and after each wake-up."""
+    """Time has advanced; the shell sends this at each tick and after each wake-up."""
 
 
 class MessageReceived(msgspec.Struct, frozen=True):
@@ -25,20 +25,20 @@
 
 
 class CommandsProposed(msgspec.Struct, frozen=True):
-    """Callers want ``commands`` appended; ``tokens`` name them in later instructions."""
+    """Callers propose ``commands``; ``tokens`` identify them in later instructions."""
 
     tokens: tuple[int, ...]
     commands: tuple[bytes, ...]
 
 
 class ReadRequested(msgspec.Struct, frozen=True):
-    """A caller wants a linearizable read; ``token`` names it."""
+    """A caller requests a linearizable read, identified by ``token``."""
 
     token: int
 
 
 class EntriesSynced(msgspec.Struct, frozen=True):
-    """All entries up to ``last_index``, written in ``term``, are durable here."""
+    """All entries up to ``last_index``, which has term ``last_term``, are durable here."""
 
     last_index: int
     last_term: int
@@ -51,7 +51,7 @@
 
 
 class SnapshotTaken(msgspec.Struct, frozen=True):
-    """The state machine's snapshot up to ``last_index`` is durable; ``data`` is kept."""
+    """The state machine's snapshot up to ``last_index`` is durable; ``data`` reads it."""
 
     last_index: int
     last_term: int
@@ -59,9 +59,9 @@
 
 
 class SnapshotInstalled(msgspec.Struct, frozen=True):
-    """The snapshot received from the leader is durable and the state restored from it.
+    """The snapshot received from the leader is durable and the state is restored from it.
 
-    ``data`` is where it is kept from now on; ``None`` keeps it as it was received.
+    ``data`` reads the stored snapshot; ``None`` keeps the received data in use.
     """
 
     last_index: int
@@ -69,11 +69,11 @@
 
 
 class TransferRequested(msgspec.Struct, frozen=True):
-    """This leader should hand leadership to the most advanced voter (planned stop)."""
+    """Leadership should move to the most advanced voter, as before a planned stop."""
 
 
 class MemberAdded(msgspec.Struct, frozen=True):
-    """An operator adds a replica, at first as a learner; it votes once caught up."""
+    """An operator adds a replica as a learner; it becomes a voter once it has caught up."""
 
     token: int
     replica_id: ReplicaId
@@ -88,10 +88,10 @@
 
 
 class ReplicaOffered(msgspec.Struct, frozen=True):
-    """A replica that does not vote would; counts only in a group with bounded voters.
+    """A replica offers to become a voter; only used in a group with bounded voters.
 
-    ``replaces`` are members whose files are gone, since this replica was made in their
-    place or lives at their address.
+    ``replaces`` lists members whose files are lost: this replica was created in their
+    place or uses their address.
     """
 
     replica_id: ReplicaId
@@ -101,7 +101,7 @@
 
 
 class ReplicaReleased(msgspec.Struct, frozen=True):
-    """An operator wants a replica replaced and removed; only with bounded voters."""
+    """An operator decommissions a replica; only used in a group with bounded voters."""
 
     replica_id: ReplicaId
 
--- a/src/passlane/raft/instructions.py
+++ b/src/passlane/raft/instructions.py
@@ -1,4 +1,4 @@
-"""Instructions that a Raft replica gives to its shell, to be carried out in order."""
+"""Instructions that a Raft replica returns; its shell carries them out in order."""
 
 import msgspec
 
@@ -9,23 +9,23 @@
 
 
 class SaveHardState(msgspec.Struct, frozen=True):
-    """Make term and vote durable; later ``SendMessage`` in this batch wait for that."""
+    """Make term and vote durable; a later ``SendMessage`` waits until they are."""
 
     term: int
     voted_for: ReplicaId | None
 
 
 class AppendEntries(msgspec.Struct, frozen=True):
-    """Write entries to the log, after cutting it off from ``entries[0].index`` on.
+    """Truncate the log from ``entries[0].index`` on, then write the entries.
 
-    The shell answers with ``EntriesSynced``; several may share one sync.
+    The shell reports ``EntriesSynced``; several writes may share one sync.
     """
 
     entries: tuple[LogEntry, ...]
 
 
 class SendMessage(msgspec.Struct, frozen=True):
-    """Send a message to a replica; it may get lost."""
+    """Send a message to a replica; delivery is not guaranteed."""
 
     address: Address
     message: AnyRaftMessage
@@ -34,7 +34,7 @@
 class SendSnapshotChunk(msgspec.Struct, frozen=True):
     """Send the bytes of ``data`` from ``message.offset`` to ``end`` in ``message``.
 
-    The shell reads them, since they may be on the disk; ``message.data`` is empty.
+    The shell reads the bytes, which may be on disk; ``message.data`` is empty.
     """
 
     address: Address
@@ -43,23 +43,26 @@
     end: int
 
     def read(self) -> SendMessage:
-        """Return the message with its bytes, to be sent like any other."""
+        """Return the message with the bytes of its chunk."""
         chunk = self.data[self.message.offset : self.end]
         message = msgspec.structs.replace(self.message, data=chunk)
         return SendMessage(address=self.address, message=message)
 
 
 class ApplyEntries(msgspec.Struct, frozen=True):
-    """Entries became committed; apply them in order. Tokens name local proposals."""
+    """Apply committed entries in order.
+
+    ``tokens`` has the token of each entry that was proposed here, else ``None``.
+    """
 
     entries: tuple[LogEntry, ...]
     tokens: tuple[int | None, ...]
 
 
 class RejectProposals(msgspec.Struct, frozen=True):
-    """Proposals that will not be appended here.
+    """Reject proposals that this replica cannot commit.
 
-    ``may_be_committed`` is true when they were appended but leadership was lost.
+    ``may_be_committed`` is true if they were appended before leadership was lost.
     """
 
     tokens: tuple[int, ...]
@@ -68,7 +71,7 @@
 
 
 class AllowRead(msgspec.Struct, frozen=True):
-    """The read may go ahead once ``index`` is applied here."""
+    """The read may be served once its read index ``index`` is applied here."""
 
     token: int
     index: int
@@ -82,7 +85,7 @@
 
 
 class InstallSnapshot(msgspec.Struct, frozen=True):
-    """Make the snapshot durable, restore the state from it, then drop the old log."""
+    """Make the snapshot durable, restore the state from it, then drop the previous log."""
 
     last_index: int
     last_term: int
@@ -91,7 +94,7 @@
 
 
 class LeadershipChanged(msgspec.Struct, frozen=True):
-    """The known leader changed; ``is_leader`` tells whether it is this replica."""
+    """The known leader changed; ``is_leader`` is true if it is this replica."""
 
     term: int
     leader: Address | None
@@ -99,22 +102,22 @@
 
 
 class MembershipChanged(msgspec.Struct, frozen=True):
-    """The membership in force changed (appended, not yet committed)."""
+    """The effective membership changed; its entry is appended, not necessarily committed."""
 
     membership: GroupMembership
 
 
 class PlaceDecided(msgspec.Struct, frozen=True):
-    """The leader of a group with bounded voters decided on a change; for the log.
+    """The leader of a group with bounded voters changes the membership; to be logged.
 
     Attributes
     ----------
     reason
         A ``voter_places.PlaceReason``.
     replica_id
-        The replica that joins, votes or leaves.
+        The replica that is added, promoted or removed.
     voters, learners
-        How many there are after the change.
+        Number of voters and learners after the change.
     """
 
     reason: str
--- a/src/passlane/raft/reads.py
+++ b/src/passlane/raft/reads.py
@@ -1,4 +1,4 @@
-"""Linearizable reads: a leader confirms by a round of heartbeats that it still leads."""
+"""Linearizable reads by read index: a heartbeat round confirms the leadership."""
 
 from passlane.identifiers import ReplicaId
 from passlane.raft.instructions import AllowRead, RejectRead
@@ -9,8 +9,8 @@
 class ReadRounds:
     """Reads that wait for a majority to confirm the leader, one round at a time.
 
-    A reply confirms a read only if its round began after the read was asked for, so reads
-    that come while a round is under way wait for the next one and share it.
+    A reply confirms a read only if its round began after the read was requested. Reads
+    that are requested during a round therefore share the next one.
 
     Parameters
     ----------
@@ -31,12 +31,12 @@
         self._waiting.append(token)
 
     def start_round(self) -> bool:
-        """Start a round if reads wait for one and none is under way.
+        """Start a round if reads are waiting and no round is under way.
 
         Returns
         -------
         bool
-            Whether one was started, so that heartbeats should be sent now.
+            Whether a round was started; the caller then sends heartbeats.
         """
         if self._confirming or not self._waiting:
             return False
@@ -48,12 +48,12 @@
         return True
 
     def confirm(self, replica_id: ReplicaId, read_round: int) -> None:
-        """Note that a replica acknowledged the leader's term in a round."""
+        """Record that a replica acknowledged the leader in a round."""
         if self._confirming and read_round >= self.current_round:
             self._confirmed_by.add(replica_id)
 
     def allow_confirmed(self) -> None:
-        """Allow the reads of the round if a majority has confirmed it."""
+        """Allow the reads of the current round if a majority has confirmed it."""
         if not self._confirming or not self._is_confirmed():
             return
         for token in self._confirming:
@@ -61,7 +61,7 @@
         self._confirming = []
 
     def reject_all(self) -> None:
-        """Reject all reads, since this replica leads no more."""
+        """Reject all reads because this replica no longer leads."""
         for token in (*self._confirming, *self._waiting):
             self._state.emit(RejectRead(token=token, leader=None))
         self._confirming = []
--- a/src/passlane/raft/snapshot_data.py
+++ b/src/passlane/raft/snapshot_data.py
@@ -1,14 +1,14 @@
-"""The encoded state of a snapshot, wherever its bytes are kept."""
+"""The encoded state of a snapshot, in memory or on disk."""
 
 import bisect
 from typing import Protocol
 
 
 class SnapshotData(Protocol):
-    """Bytes that are read in slices; ``bytes`` will do, and so will a file on the disk.
+    """Bytes that can be read in slices, such as ``bytes`` or a file on disk.
 
-    A replica only passes it on, and its shell reads the chunks that are sent, so a state of
-    gigabytes need not be in memory twice.
+    The replica never reads the data; its shell reads each chunk when it is sent, so a large
+    state is not in memory twice.
     """
 
     def __len__(self) -> int: ...
@@ -17,7 +17,7 @@
 
 
 class ReceivedSnapshotData:
-    """A snapshot in the chunks in which it arrived, which are never copied together."""
+    """A snapshot stored as the received chunks, which are not joined into one buffer."""
 
     def __init__(self) -> None:
         self._chunks: list[bytes] = []
@@ -25,7 +25,7 @@
         self._length = 0
 
     def append(self, chunk: bytes) -> None:
-        """Add the chunk that follows."""
+        """Append the next chunk."""
         if not chunk:
             return
         self._chunks.append(chunk)
@@ -38,7 +38,7 @@
     def __getitem__(self, key: slice, /) -> bytes:
         start, stop, step = key.indices(self._length)
         if step != 1:
-            raise ValueError("only slices of consecutive bytes can be read")
+            raise ValueError(f"slice step must be 1, got {step}")
         pieces = []
         position = bisect.bisect_right(self._starts, start) - 1
         while start < stop:
