--- a/src/passlane/raft/election.py
+++ b/src/passlane/raft/election.py
@@ -1,8 +1,8 @@
-"""Elections: timers, votes asked for, votes given.
+"""Leader election: election timer, pre-vote, vote requests and votes.
 
-A candidate first asks whether it would be elected (pre-vote) without a new term, so that
-a replica that was cut off cannot depose a working leader when it comes back. A replica
-that hears a leader refuses its vote, unless the leader itself asked for the election.
+A candidate first runs a pre-vote without a new term, so that a replica that returns after
+a partition cannot depose a healthy leader. A replica with recent contact to a leader rejects
+vote requests (leader lease), unless the leader itself started a leadership transfer.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 
 class ElectionPhase(enum.Enum):
-    """What a replica that does not lead is doing."""
+    """Phase of the election that a replica is running, if any."""
 
     IDLE = "idle"
     PRE_VOTE = "pre_vote"
@@ -24,7 +24,7 @@
 
 
 class Elections:
-    """The part of a replica that votes and stands for election.
+    """The part of a replica that votes and runs as a candidate.
 
     Parameters
     ----------
@@ -36,55 +36,55 @@
         self._state = state
         self._phase = ElectionPhase.IDLE
         self._granted: set[ReplicaId] = set()
-        self._heard_from_leader_at = -math.inf
+        self._leader_contact_at = -math.inf
         self._timeout_share = state.config.first_election_share
         self.deadline = math.inf
 
     @property
     def is_won(self) -> bool:
-        """Whether a majority elected this replica in its current term."""
+        """Whether a majority voted for this replica in its current term."""
         is_counting = self._phase is ElectionPhase.VOTE
         return is_counting and is_quorum(self._state.membership, self._granted)
 
     def restart_timer(self, now: float) -> None:
-        """Put the next election off by a new random time.
+        """Restart the election timer with a new random timeout.
 
-        After a loss of all processes nobody leads, and each moment counts. So while no
-        leader was heard since the start, this is only a share of the time-out, and twice as
-        much after each election that was lost. Where there is a leader, its followers refuse
-        the pre-vote of a replica that comes back too eagerly.
+        After a restart of all replicas there is no leader. To elect one sooner, a replica
+        that has not heard from a leader since its start waits for a share of the timeout
+        only; the share doubles after each lost election. If there is a leader, its followers
+        reject the early pre-vote.
         """
         timeout_s = self._timeout_share * self._state.config.election_timeout_s
         self.deadline = now + timeout_s * (1.0 + self._state.random.random())
 
-    def stand_down(self, now: float) -> None:
-        """Give up an election under way."""
+    def cancel_election(self, now: float) -> None:
+        """Cancel the current election, if any, and restart the timer."""
         self._phase = ElectionPhase.IDLE
         self._granted.clear()
         self.restart_timer(now)
 
-    def note_leader(self, now: float) -> None:
-        """Note that the current leader was heard."""
-        self._heard_from_leader_at = now
+    def record_leader_contact(self, now: float) -> None:
+        """Record a message from the current leader."""
+        self._leader_contact_at = now
         self._timeout_share = 1.0
-        self.stand_down(now)
+        self.cancel_election(now)
 
-    def forget_leader(self) -> None:
-        """Note that there is no leader to protect from other candidates."""
-        self._heard_from_leader_at = -math.inf
+    def end_leader_lease(self) -> None:
+        """End the leader lease, so that other candidates can get a vote."""
+        self._leader_contact_at = -math.inf
 
     def advance_time(self, now: float) -> None:
-        """Stand for election if no leader was heard for too long."""
+        """Start a pre-vote if the election timeout has elapsed."""
         if now < self.deadline:
             return
         self.restart_timer(now)
-        self.forget_leader()
+        self.end_leader_lease()
         self._state.set_leader(None, None)
         if self._state.is_voter:
             self._start_pre_vote(now)
 
     def start(self, now: float, *, is_transfer: bool) -> None:
-        """Stand for election in a new term."""
+        """Start an election in a new term."""
         state = self._state
         self._timeout_share = min(1.0, 2.0 * self._timeout_share)
         self.restart_timer(now)
@@ -92,10 +92,10 @@
         self._granted.clear()
         state.save_hard_state(state.term + 1, state.own_id)
         state.set_leader(None, None)
-        self._ask_for_votes(is_pre_vote=False, is_transfer=is_transfer)
+        self._request_votes(is_pre_vote=False, is_transfer=is_transfer)
 
-    def note_own_vote(self, term: int) -> None:
-        """Count the own vote, which is durable now."""
+    def record_own_vote(self, term: int) -> None:
+        """Count the replica's own vote, which is now durable."""
         if self._phase is ElectionPhase.VOTE and term == self._state.term:
             self._granted.add(self._state.own_id)
 
@@ -108,25 +108,25 @@
         elif self._phase is ElectionPhase.VOTE and reply.term == self._state.term:
             self._granted.add(reply.sender)
 
-    def protects_leader(self, request: VoteRequest, now: float) -> bool:
-        """Return whether a vote is refused because a leader is known to be at work."""
+    def is_leader_lease_active(self, request: VoteRequest, now: float) -> bool:
+        """Return whether the leader lease requires rejecting a vote request."""
         if request.is_transfer:
             return False
         timeout_s = self._state.config.election_timeout_s
-        return now < self._heard_from_leader_at + timeout_s
+        return now < self._leader_contact_at + timeout_s
 
     def answer_pre_vote(self, request: VoteRequest, now: float) -> None:
-        """Tell whether this replica would vote for the sender; changes nothing here."""
+        """Reply whether this replica would vote for the sender, without changing state."""
         state = self._state
         granted = (
             request.term > state.term
-            and not self.protects_leader(request, now)
+            and not self.is_leader_lease_active(request, now)
             and self._is_up_to_date(request)
         )
         self._reply(request, granted=granted, term=request.term if granted else state.term)
 
     def answer_vote(self, request: VoteRequest, now: float) -> None:
-        """Give or refuse a vote in the current term."""
+        """Grant or reject a vote in the current term."""
         state = self._state
         granted = (
             request.term == state.term
@@ -146,7 +146,7 @@
         if is_quorum(state.membership, self._granted):
             self.start(now, is_transfer=False)
             return
-        self._ask_for_votes(is_pre_vote=True, is_transfer=False)
+        self._request_votes(is_pre_vote=True, is_transfer=False)
 
     def _count_pre_vote(self, reply: VoteReply, now: float) -> None:
         if self._phase is not ElectionPhase.PRE_VOTE or reply.term != self._state.term + 1:
@@ -162,7 +162,7 @@
         log = self._state.log
         return (request.last_term, request.last_index) >= (log.last_term, log.last_index)
 
-    def _ask_for_votes(self, *, is_pre_vote: bool, is_transfer: bool) -> None:
+    def _request_votes(self, *, is_pre_vote: bool, is_transfer: bool) -> None:
         state = self._state
         for member in state.membership.members:
             if member.replica_id == state.own_id or not member.is_voter:
--- a/src/passlane/raft/follower.py
+++ b/src/passlane/raft/follower.py
@@ -1,4 +1,4 @@
-"""What a replica does for a leader: taking entries and snapshots, acknowledging them."""
+"""The follower: appends entries and installs snapshots from the leader, and replies."""
 
 from passlane.identifiers import ReplicaId
 from passlane.messages.common import Address
@@ -16,12 +16,12 @@
 
 
 class SnapshotAssembly:
-    """A snapshot that arrives in chunks.
+    """Assembles a snapshot from its chunks.
 
     Parameters
     ----------
     last_index, last_term
-        What the snapshot covers; chunks of another snapshot start a new assembly.
+        Last entry in the snapshot; a chunk of another snapshot starts a new assembly.
     """
 
     def __init__(self, last_index: int, last_term: int) -> None:
@@ -30,7 +30,10 @@
         self.data = ReceivedSnapshotData()
 
     def add(self, request: SnapshotRequest) -> bool:
-        """Add a chunk; return whether the snapshot is whole. Other chunks are ignored."""
+        """Add the next chunk and return whether the snapshot is complete.
+
+        A chunk at any other offset is ignored.
+        """
         if request.offset != len(self.data):
             return False
         self.data.append(request.data)
@@ -40,7 +43,7 @@
 class Follower:
     """The part of a replica that follows the leader of the current term.
 
-    Only entries known to equal the leader's are acknowledged, and only once durable.
+    Entries are acknowledged only if they match the leader's log and are durable.
 
     Parameters
     ----------
@@ -50,17 +53,17 @@
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
-        self._known_term = 0
+        self._followed_term = 0
         self._matched_index = 0
         self._read_round = 0
         self._assembly: SnapshotAssembly | None = None
 
     def handle_append(self, request: AppendRequest) -> None:
-        """Take entries from the leader, or tell it where to retry."""
-        self._enter_term()
+        """Append entries from the leader, or reject them with a conflict index."""
+        self._reset_on_new_term()
         self._read_round = max(self._read_round, request.read_round)
         if not self._matches(request):
-            self._refuse_append(request)
+            self._reject_append(request)
             return
         end_index = request.previous_index + len(request.entries)
         self._take_entries(request.entries)
@@ -70,8 +73,8 @@
             self._reply_append(request.sender, success=True)
 
     def handle_snapshot(self, request: SnapshotRequest) -> None:
-        """Take one chunk of a snapshot."""
-        self._enter_term()
+        """Handle one chunk of a snapshot."""
+        self._reset_on_new_term()
         state = self._state
         if self._covers(request):
             self._matched_index = max(self._matched_index, request.last_index)
@@ -85,27 +88,27 @@
             return
         self._reply_snapshot(request.sender, request.last_index, installed=False)
 
-    def note_synced(self) -> None:
-        """Acknowledge what has become durable."""
-        self._enter_term()
+    def acknowledge_synced(self) -> None:
+        """Acknowledge entries that have become durable."""
+        self._reset_on_new_term()
         leader_id = self._state.leader_id
         if leader_id is not None and self._matched_index > 0:
             self._reply_append(leader_id, success=True)
 
-    def note_installed(self, last_index: int) -> None:
+    def acknowledge_snapshot(self, last_index: int) -> None:
         """Acknowledge a snapshot that has become durable."""
-        self._enter_term()
+        self._reset_on_new_term()
         leader_id = self._state.leader_id
         if leader_id is not None and self._matched_index >= last_index:
             self._reply_snapshot(leader_id, last_index, installed=True)
 
-    def refuse_leader(self, request: AppendRequest) -> None:
-        """Tell a leader of an older term of the newer one."""
-        self._enter_term()
+    def reject_stale_leader(self, request: AppendRequest) -> None:
+        """Reject the request of a leader of an older term."""
+        self._reset_on_new_term()
         self._reply_append(request.sender, success=False, address=request.sender_address)
 
-    def _refuse_append(self, request: AppendRequest) -> None:
-        """Tell the leader where the logs may differ."""
+    def _reject_append(self, request: AppendRequest) -> None:
+        """Reject entries whose previous entry does not match."""
         refused_index = request.previous_index
         self._reply_append(
             request.sender,
@@ -114,11 +117,11 @@
             conflict_index=self._conflict_index(refused_index),
         )
 
-    def _enter_term(self) -> None:
-        """Forget the former leader's log when the term is new: it says nothing of this one's."""
-        if self._known_term == self._state.term:
+    def _reset_on_new_term(self) -> None:
+        """Reset what was tracked about the previous leader's log if the term has changed."""
+        if self._followed_term == self._state.term:
             return
-        self._known_term = self._state.term
+        self._followed_term = self._state.term
         self._matched_index = 0
         self._read_round = 0
         self._assembly = None
@@ -130,7 +133,10 @@
         return log.term_at(request.previous_index) == request.previous_term
 
     def _conflict_index(self, previous_index: int) -> int:
-        """Return the first index that may differ: the start of the conflicting term."""
+        """Return the first index that may differ: the start of the conflicting term.
+
+        It is never before the first uncommitted index.
+        """
         log = self._state.log
         if previous_index > log.last_index:
             return log.last_index + 1
@@ -140,22 +146,22 @@
     def _take_entries(self, entries: tuple[LogEntry, ...]) -> None:
         log = self._state.log
         for position, entry in enumerate(entries):
-            is_held = entry.index <= log.base_index or log.term_at(entry.index) == entry.term
-            if not is_held:
+            is_in_log = entry.index <= log.base_index or log.term_at(entry.index) == entry.term
+            if not is_in_log:
                 self._state.append_entries(entries[position:])
                 return
 
     def _is_worth_answering(self, request: AppendRequest) -> bool:
-        """Return whether to answer now; otherwise the answer follows the sync."""
+        """Return whether to reply now; otherwise the reply is sent after the sync."""
         end_index = request.previous_index + len(request.entries)
         return not request.entries or self._state.log.synced_index >= end_index
 
     def _acknowledged_index(self) -> int:
-        """Return how far the log is known to equal the leader's and is durable."""
+        """Return the last index that matches the leader's log and is durable."""
         return min(self._state.log.synced_index, self._matched_index)
 
     def _covers(self, request: SnapshotRequest) -> bool:
-        """Return whether all that the snapshot holds is in the log already."""
+        """Return whether the log already contains all entries in the snapshot."""
         state = self._state
         if request.last_index <= state.commit_index:
             return True
--- a/src/passlane/raft/leader.py
+++ b/src/passlane/raft/leader.py
@@ -1,4 +1,4 @@
-"""What a replica does while it leads: proposals, reads, changes of membership."""
+"""The leader: proposals, linearizable reads, membership changes and leadership transfer."""
 
 from collections import deque
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
     LogEntry,
     SnapshotReply,
 )
-from passlane.raft.disk_watch import STALL_ELECTION_TIMEOUTS, DiskWatch
+from passlane.raft.disk_stall import STALL_ELECTION_TIMEOUTS, DiskStallDetector
 from passlane.raft.events import MemberAdded, MemberRemoved, ReplicaOffered, ReplicaReleased
 from passlane.raft.instructions import PlaceDecided, RejectProposals
 from passlane.raft.membership import (
@@ -22,7 +22,7 @@
     voters_of,
     with_learner,
     with_voter,
-    without,
+    without_member,
 )
 from passlane.raft.progress import FollowerProgress
 from passlane.raft.reads import ReadRounds
@@ -33,14 +33,14 @@
 
 
 class Leader:
-    """One replica's leadership of one term.
+    """The part of a replica that leads; one instance for each term that it wins.
 
     Parameters
     ----------
     state
         The replica's shared state.
     now
-        Local time of the election.
+        Local time at which the election was won.
 
     Attributes
     ----------
@@ -58,7 +58,9 @@
         self._reads = self.reads_class(state)
         self._changes: deque[MemberAdded | MemberRemoved] = deque()
         self._transfer = LeadershipTransfer(state, self._replicator)
-        self._disk = DiskWatch(STALL_ELECTION_TIMEOUTS * state.config.election_timeout_s, now)
+        self._disk = DiskStallDetector(
+            STALL_ELECTION_TIMEOUTS * state.config.election_timeout_s, now
+        )
         self._promoted_at: float | None = None
         config = state.config
         self._places: VoterPlaces | None = None
@@ -67,10 +69,11 @@
         self.next_heartbeat_at = now
 
     def start(self, now: float) -> None:
-        """Announce the leadership and append a first entry of the own term.
+        """Announce the leadership and append an empty entry of the new term.
 
-        Entries of older terms cannot be committed by themselves, so without it reads and
-        older proposals would wait for the next command.
+        Entries of older terms are committed only together with an entry of the leader's
+        term. Without the empty entry, reads and older proposals would wait for the next
+        command.
         """
         state = self._state
         state.set_leader(state.own_id, state.config.address)
@@ -78,21 +81,21 @@
         self._send_heartbeats(now)
 
     def advance_time(self, now: float) -> None:
-        """Send heartbeats when they are due and give up an overdue transfer."""
-        self._transfer.give_up_if_overdue(now)
-        self._hand_over_if_disk_hangs(now)
+        """Send due heartbeats, abort an overdue transfer, and check the leader's disk."""
+        self._transfer.abort_if_overdue(now)
+        self._transfer_if_disk_stalled(now)
         if now >= self.next_heartbeat_at:
             self._advance_places(now)
             self._send_heartbeats(now)
 
     def hears_quorum(self, now: float) -> bool:
-        """Return whether a majority was heard lately; otherwise it must step down."""
+        """Return whether a majority responded recently; otherwise the leader must step down."""
         return self._replicator.hears_quorum(now)
 
     def propose(self, tokens: Sequence[int], commands: Sequence[bytes], now: float) -> None:
-        """Append commands, unless leadership is being handed over."""
+        """Append commands; reject them during a leadership transfer."""
         if self._transfer.is_under_way:
-            self._refuse(tokens)
+            self._reject_not_appended(tokens)
             return
         first_index = self._state.log.last_index + 1
         for offset, token in enumerate(tokens):
@@ -100,31 +103,31 @@
         self._append([(EntryKind.COMMAND, command) for command in commands], now)
 
     def request_read(self, token: int, now: float) -> None:
-        """Confirm the leadership for a read."""
+        """Queue a read until the leadership is confirmed."""
         self._reads.request(token)
         self._advance_reads(now)
 
     def request_change(self, change: MemberAdded | MemberRemoved, now: float) -> None:
-        """Queue a change of membership; one is under way at a time."""
+        """Queue a membership change; one change is under way at a time."""
         self._changes.append(change)
         self._advance_membership(now)
 
-    def note_offer(self, offered: ReplicaOffered, now: float) -> None:
-        """Note that a replica would vote."""
+    def record_offer(self, offered: ReplicaOffered, now: float) -> None:
+        """Record a replica's offer to become a voter."""
         if self._places is not None:
-            self._places.note_offer(offered, now)
+            self._places.record_offer(offered, now)
 
     def release(self, released: ReplicaReleased) -> None:
-        """Note that a replica is to be replaced and removed."""
+        """Record that a replica is to be replaced and removed."""
         if self._places is not None:
             self._places.release(released.replica_id)
 
     def request_transfer(self, now: float) -> None:
-        """Hand leadership to the most advanced voter."""
+        """Start a leadership transfer to the most advanced voter."""
         self._transfer.request(now)
 
     def handle_append_reply(self, reply: AppendReply, now: float) -> None:
-        """Take over a follower's acknowledgement."""
+        """Handle a follower's reply to entries or a heartbeat."""
         progress = self._replicator.followers.get(reply.sender)
         if progress is None:
             return
@@ -136,7 +139,7 @@
             self._advance_places(now)
 
     def handle_snapshot_reply(self, reply: SnapshotReply, now: float) -> None:
-        """Take over how far a follower has got with a snapshot."""
+        """Handle a follower's reply to a snapshot chunk."""
         progress = self._replicator.followers.get(reply.sender)
         if progress is None:
             return
@@ -145,7 +148,7 @@
         self.advance(now)
 
     def advance(self, now: float) -> None:
-        """Do all that newly durable entries allow."""
+        """Advance the commit index, and the reads, changes and transfer that depend on it."""
         self._replicator.advance_commit()
         self._advance_reads(now)
         self._advance_membership(now)
@@ -153,23 +156,23 @@
 
     @property
     def is_removed(self) -> bool:
-        """Whether a committed membership does not hold this replica any more."""
+        """Whether this replica is no longer a member of the committed membership."""
         state = self._state
         return not self._is_change_under_way() and member_of(state.membership, state.own_id) is None
 
     def stop(self) -> None:
-        """Answer all callers that wait, since leadership was lost."""
+        """Reject all waiting callers because leadership was lost."""
         state = self._state
         if state.tokens:
             tokens = tuple(state.tokens.values())
             state.tokens.clear()
             self._reject_unfinished(tokens)
-        self._refuse([change.token for change in self._changes])
+        self._reject_not_appended([change.token for change in self._changes])
         self._reads.reject_all()
 
-    def hand_over(self, now: float) -> None:
-        """Ask the most advanced voter to stand for election at once."""
-        self._transfer.ask_at_once(now)
+    def transfer_on_removal(self, now: float) -> None:
+        """Make the most advanced voter start an election now."""
+        self._transfer.transfer_now(now)
 
     def _send_heartbeats(self, now: float) -> None:
         self.next_heartbeat_at = now + self._state.config.heartbeat_s
@@ -185,15 +188,15 @@
         state.append_entries(entries)
         self._replicator.send_entries_to_all(self._reads.current_round, now)
 
-    def _refuse(self, tokens: Sequence[int]) -> None:
-        """Tell callers that nothing was appended for them."""
+    def _reject_not_appended(self, tokens: Sequence[int]) -> None:
+        """Reject proposals that were not appended."""
         if tokens:
             self._state.emit(
                 RejectProposals(tokens=tuple(tokens), leader=None, may_be_committed=False)
             )
 
     def _reject_unfinished(self, tokens: tuple[int, ...]) -> None:
-        """Tell callers that what was appended for them may or may not be committed."""
+        """Reject appended proposals whose outcome is unknown."""
         self._state.emit(RejectProposals(tokens=tokens, leader=None, may_be_committed=True))
 
     def _has_committed_in_own_term(self) -> bool:
@@ -209,8 +212,8 @@
             self._reads.allow_confirmed()
 
     def _may_read(self) -> bool:
-        # Before an entry of its own term is committed a new leader may not know yet all
-        # that earlier leaders committed.
+        # A new leader may not know the current commit index until it has committed an entry
+        # of its own term.
         return self._has_committed_in_own_term()
 
     def _advance_membership(self, now: float) -> None:
@@ -225,11 +228,11 @@
             self._append_membership(membership, now)
 
     def _advance_places(self, now: float) -> None:
-        """Make the next change that the bounded number of voters asks for.
+        """Append the next membership change that the target number of voters requires.
 
-        Looked at with each heartbeat, and when a learner has got further. Only while a
-        majority answers: a leader that was frozen must not take all others for lost when
-        it wakes.
+        Called with each heartbeat and each reply of a learner. A change is only made while
+        a majority responds: otherwise a leader that resumes after a process pause would
+        consider all other members lost.
         """
         if self._places is None or self._is_change_under_way():
             return
@@ -264,24 +267,24 @@
         if isinstance(change, MemberAdded):
             membership = with_learner(state.membership, change.replica_id, change.address)
         else:
-            membership = without(state.membership, change.replica_id)
+            membership = without_member(state.membership, change.replica_id)
         if not voters_of(membership):
-            self._refuse([change.token])
+            self._reject_not_appended([change.token])
             return
         state.tokens[state.log.last_index + 1] = change.token
         self._append_membership(membership, now)
 
     def _next_automatic_change(self, now: float) -> GroupMembership | None:
-        """Return the next change of membership that nobody has to ask for, if there is one."""
+        """Return the next automatic membership change, if there is one."""
         if self._places is not None:
             return None
         return self._next_promotion(now) or self._next_removal(now)
 
     def _next_promotion(self, now: float) -> GroupMembership | None:
-        """Return the membership that makes a caught-up learner a voter, if there is one.
+        """Return the membership that promotes a caught-up learner, if there is one.
 
-        A learner that took over a lost voter's address first removes that voter: the
-        lost one would only make majorities harder to reach.
+        A voter with the same address as the learner is lost and is removed first, because
+        it would still count towards the quorum size.
         """
         state = self._state
         for member in state.membership.members:
@@ -292,17 +295,17 @@
                 continue
             lost = replaced_voter(state.membership, member)
             if lost is not None and lost.replica_id != state.own_id:
-                return without(state.membership, lost.replica_id)
+                return without_member(state.membership, lost.replica_id)
             self._promoted_at = now
             return with_voter(state.membership, member.replica_id)
         return None
 
     def _next_removal(self, now: float) -> GroupMembership | None:
-        """Return the membership without a voter that a newer one has replaced, if there is one.
+        """Return the membership without a replaced voter, if there is one.
 
-        A voter that was silent already when another was promoted counts as replaced: a
-        machine that is gone for good would only make majorities harder to reach. One that
-        comes back after all asks to be taken in again.
+        A voter that has been silent since before another was promoted counts as replaced,
+        because a lost machine would still count towards the quorum size. If the voter
+        returns, it requests to join again.
         """
         if self._promoted_at is None:
             return None
@@ -311,22 +314,22 @@
             if progress is None or progress.last_heard >= self._promoted_at:
                 continue
             if now - progress.last_heard >= self._state.config.replaced_voter_silence_s:
-                return without(self._state.membership, voter)
+                return without_member(self._state.membership, voter)
         return None
 
     def _has_caught_up(self, learner: FollowerProgress) -> bool:
-        """Return whether a learner durably holds all that is committed."""
-        return learner.holds(self._state.commit_index)
+        """Return whether all committed entries are durable on a learner."""
+        return learner.is_synced_to(self._state.commit_index)
 
-    def _hand_over_if_disk_hangs(self, now: float) -> None:
-        """Let a follower lead that holds what this replica cannot make durable.
+    def _transfer_if_disk_stalled(self, now: float) -> None:
+        """Transfer leadership to a follower with more durable entries if the disk stalls.
 
-        Heartbeats need no disk, so nobody else would notice; but nothing is applied, and
-        no caller answered, until the leader's own disk goes on.
+        Heartbeats do not use the disk, so followers cannot detect the stall. Until the
+        leader's disk recovers, no entry is applied and no caller gets a reply.
         """
         log = self._state.log
-        self._disk.note(log.synced_index, log.last_index, now)
-        if not self._disk.is_hanging(now):
+        self._disk.record_progress(log.synced_index, log.last_index, now)
+        if not self._disk.is_stalled(now):
             return
         self._disk.restart(now)
         if self._replicator.is_follower_ahead(now):
--- a/src/passlane/raft/membership.py
+++ b/src/passlane/raft/membership.py
@@ -1,7 +1,7 @@
-"""Membership of a group: its history by log index, and changes one voter at a time.
+"""Membership of a group: its history by log index, and changes by one voter.
 
-Two memberships that differ by one voter always have overlapping majorities, so a change
-needs no second phase; it is in force as soon as it is appended.
+Any two majorities of memberships that differ by one voter overlap, so a change needs no
+joint consensus. A membership is effective as soon as its entry is appended.
 """
 
 from collections.abc import Collection, Sequence
@@ -22,7 +22,7 @@
 
 
 def decode_membership(data: bytes) -> GroupMembership:
-    """Return the membership that a ``MEMBERSHIP`` log entry holds."""
+    """Return the membership in the data of a ``MEMBERSHIP`` log entry."""
     return _decoder.decode(data)
 
 
@@ -32,7 +32,7 @@
 
 
 def member_of(membership: GroupMembership, replica_id: ReplicaId) -> GroupMember | None:
-    """Return a member by its identity; ``None`` if it is none."""
+    """Return the member with this identity, or ``None`` if there is none."""
     for member in membership.members:
         if member.replica_id == replica_id:
             return member
@@ -40,13 +40,13 @@
 
 
 def address_of(membership: GroupMembership, replica_id: ReplicaId) -> Address | None:
-    """Return the address of a member; ``None`` if it is none."""
+    """Return the address of a member, or ``None`` if the replica is not a member."""
     member = member_of(membership, replica_id)
     return member.address if member is not None else None
 
 
 def is_quorum(membership: GroupMembership, replicas: Collection[ReplicaId]) -> bool:
-    """Return whether ``replicas`` hold a majority of the voters."""
+    """Return whether ``replicas`` include a majority of the voters."""
     voters = voters_of(membership)
     present = sum(1 for voter in voters if voter in replicas)
     return bool(voters) and present > len(voters) // 2
@@ -57,8 +57,8 @@
 ) -> GroupMembership:
     """Return the membership with a replica added as a learner.
 
-    A known replica only gets its new address. Another learner at the same address is
-    dropped: its identity was lost with its disk.
+    If the replica is a member already, only its address and zone are updated. Another
+    learner at the same address is removed, because its identity was lost with its disk.
     """
     known = member_of(membership, replica_id)
     is_voter = known is not None and known.is_voter
@@ -72,7 +72,7 @@
 
 
 def with_voter(membership: GroupMembership, replica_id: ReplicaId) -> GroupMembership:
-    """Return the membership with a learner made a voter."""
+    """Return the membership with a learner promoted to voter."""
     members = tuple(
         msgspec.structs.replace(member, is_voter=True)
         if member.replica_id == replica_id
@@ -82,16 +82,16 @@
     return GroupMembership(members=members)
 
 
-def without(membership: GroupMembership, replica_id: ReplicaId) -> GroupMembership:
+def without_member(membership: GroupMembership, replica_id: ReplicaId) -> GroupMembership:
     """Return the membership without a replica."""
     members = tuple(m for m in membership.members if m.replica_id != replica_id)
     return GroupMembership(members=members)
 
 
 def replaced_voter(membership: GroupMembership, learner: GroupMember) -> GroupMember | None:
-    """Return the voter whose address a learner has taken over, if there is one.
+    """Return the voter that has the same address as a learner, if there is one.
 
-    Two processes cannot share an address, so that voter's disk is gone for good.
+    Two processes cannot share an address, so the disk of that voter is lost.
     """
     for member in membership.members:
         if member.is_voter and member.address == learner.address:
@@ -100,12 +100,12 @@
 
 
 class MembershipHistory:
-    """The memberships since the log's base, each with the index that brought it.
+    """The memberships since the log's base, each with the index of its entry.
 
     Parameters
     ----------
     base_index
-        Index up to which ``members`` holds.
+        Index of the log's base.
     members
         Membership as of ``base_index``.
     """
@@ -120,7 +120,7 @@
 
     @property
     def current_index(self) -> int:
-        """Index of the entry that brought the newest membership."""
+        """Index of the entry with the newest membership."""
         return self._changes[-1][0]
 
     def at(self, index: int) -> GroupMembership:
@@ -131,11 +131,11 @@
         return self._changes[0][1]
 
     def append(self, index: int, membership: GroupMembership) -> None:
-        """Note that the entry at ``index`` brought a membership."""
+        """Record the membership in the entry at ``index``."""
         self._changes.append((index, membership))
 
     def truncate_from(self, index: int) -> bool:
-        """Forget changes from ``index`` on; return whether there were any."""
+        """Discard changes from ``index`` on; return whether there were any."""
         kept = [change for change in self._changes if change[0] < index]
         if not kept:
             kept = self._changes[:1]
@@ -144,10 +144,10 @@
         return is_changed
 
     def compact(self, index: int) -> None:
-        """Forget what was in force before ``index``."""
+        """Discard the memberships that were replaced up to ``index``."""
         later = [change for change in self._changes if change[0] > index]
         self._changes = [(index, self.at(index)), *later]
 
     def reset(self, index: int, membership: GroupMembership) -> None:
-        """Start anew from a snapshot."""
+        """Replace the history by the membership of a snapshot."""
         self._changes = [(index, membership)]
--- a/src/passlane/raft/progress.py
+++ b/src/passlane/raft/progress.py
@@ -1,4 +1,4 @@
-"""How far the leader knows one follower to be, and what it may send next."""
+"""The leader's view of one follower: replication progress and flow control."""
 
 import enum
 from collections import deque
@@ -14,15 +14,15 @@
     """How entries are sent to a follower."""
 
     PROBE = "probe"
-    """Where its log ends is not known: only empty requests are sent."""
+    """The matching index is unknown: only empty requests are sent."""
     PIPELINE = "pipeline"
-    """Batches are sent ahead of their acknowledgements, within a window."""
+    """Batches are sent before earlier ones are acknowledged, up to a window."""
     SNAPSHOT = "snapshot"
-    """It is so far behind that it gets a snapshot."""
+    """The entries that the follower needs are compacted: a snapshot is sent."""
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """A snapshot of the state machine up to and with ``last_index``."""
+    """A snapshot of the state machine up to and including ``last_index``."""
 
     last_index: int
     last_term: int
@@ -31,9 +31,9 @@
 
 
 class SnapshotTransfer(msgspec.Struct):
-    """A snapshot on its way to a follower, one chunk in flight at a time.
+    """The transfer of a snapshot to a follower, with one chunk in flight at a time.
 
-    ``next_offset`` is where the chunk in flight starts; ``sent_at`` when it was sent.
+    ``next_offset`` is the offset of the chunk in flight; ``sent_at`` is when it was sent.
     """
 
     snapshot: Snapshot
@@ -42,18 +42,19 @@
 
 
 class FollowerProgress(msgspec.Struct):
-    """What the leader knows of one follower.
+    """Replication state of one follower, as tracked by the leader.
 
     Attributes
     ----------
     address
-        Where the follower is reached.
+        Address of the follower.
     next_index
-        First entry to send next.
+        Index of the next entry to send.
     last_heard
-        Local time of the last message from it, or of the leader's election.
+        Local time of the last message from the follower; initially the time when the
+        leader began to replicate to it.
     synced_index
-        Entries up to here are the leader's own and durable there.
+        Last index at which the follower's log matches the leader's and is durable.
     in_flight
         Last index of each batch sent and not yet acknowledged.
     transfer
@@ -68,17 +69,17 @@
     in_flight: deque[int] = msgspec.field(default_factory=deque)
     transfer: SnapshotTransfer | None = None
 
-    def holds(self, index: int) -> bool:
-        """Return whether it durably holds all entries up to ``index``."""
+    def is_synced_to(self, index: int) -> bool:
+        """Return whether all entries up to ``index`` are durable on the follower."""
         return self.synced_index >= index
 
-    def note_sent(self, last_index: int) -> None:
-        """Note that a batch that ends at ``last_index`` was sent."""
+    def record_sent(self, last_index: int) -> None:
+        """Record that a batch that ends at ``last_index`` was sent."""
         self.in_flight.append(last_index)
         self.next_index = last_index + 1
 
     def acknowledge(self, synced_index: int) -> bool:
-        """Note that entries are durable there; return whether that is news."""
+        """Record the follower's durable index; return whether it has advanced."""
         if self.transfer is not None and synced_index >= self.transfer.snapshot.last_index:
             self._leave_snapshot(synced_index)
         if self.mode is ReplicationMode.PROBE:
@@ -92,17 +93,16 @@
         return True
 
     def reject(self, refused_index: int, conflict_index: int) -> bool:
-        """Go back to where its log may match; return whether a new probe is due.
+        """Move ``next_index`` back after a rejection; return whether to send a probe.
 
         Parameters
         ----------
         refused_index
-            The entry that the follower lacks, or holds with another term. A report about
-            one that is known to be equal there, or about another one than is being probed,
-            is an old one that was overtaken.
+            Index at which the follower has no entry, or one of another term. A rejection at
+            an index that is known to match, or not the one being probed, is stale.
         conflict_index
-            The first entry that may differ. It may lie before what is known to be equal,
-            because only a part of a term's entries agrees.
+            First index that may differ. It may lie before the known matching index, because
+            it is the start of a term of which only some entries match.
         """
         if self.mode is ReplicationMode.SNAPSHOT or refused_index <= self.synced_index:
             return False
@@ -114,7 +114,7 @@
         return True
 
     def start_snapshot(self, snapshot: Snapshot, now: float) -> SnapshotTransfer:
-        """Begin to send a snapshot and return its transfer."""
+        """Switch to ``SNAPSHOT`` mode and return the transfer."""
         self.mode = ReplicationMode.SNAPSHOT
         self.in_flight.clear()
         self.transfer = SnapshotTransfer(snapshot=snapshot, next_offset=0, sent_at=now)
--- a/src/passlane/raft/replica.py
+++ b/src/passlane/raft/replica.py
@@ -42,13 +42,15 @@
 
 
 class Replica:
-    """One replica: takes events, returns instructions to be carried out in order.
+    """One replica: handles events and returns instructions to be carried out in order.
 
-    The shell must keep these rules. Instructions of one ``handle`` call, and of later
-    calls, are carried out in order; a ``SendMessage`` waits until every earlier
-    ``SaveHardState`` is durable (it need not wait for ``AppendEntries``).
-    ``HardStateSynced`` and ``EntriesSynced`` are only reported for what is durable, in the
-    order of the writes.
+    The shell must follow these rules:
+
+    1. Instructions of one ``handle`` call, and of later calls, are carried out in order.
+    2. A ``SendMessage`` waits until every earlier ``SaveHardState`` is durable; it does not
+       wait for ``AppendEntries``.
+    3. ``HardStateSynced`` and ``EntriesSynced`` are reported only for durable data, in the
+       order of the writes.
 
     Parameters
     ----------
@@ -61,18 +63,17 @@
     snapshot_last_index, snapshot_last_term, snapshot_data
         The newest snapshot on disk; 0, 0 and ``b""`` when there is none.
     entries
-        Durable log entries in order without gaps; those that the snapshot covers may be
-        left out.
+        Durable log entries in order without gaps; entries in the snapshot may be omitted.
     members
-        Membership as of the snapshot, or the first members of the group when there is no
-        snapshot. Empty for a replica that has not joined yet: it stays a silent
-        learner until a leader adds it.
+        Membership as of the snapshot, or the initial members of the group if there is no
+        snapshot. Empty for a replica that has not joined yet; it starts no election until
+        a leader makes it a voter.
 
     Attributes
     ----------
     elections_class, follower_class, leader_class
-        Classes of the replica's parts. A subclass may name others, as the simulation
-        does to put a deliberate fault in the place of one rule.
+        Classes of the replica's parts. A subclass may override them; the simulation does
+        so to inject defects.
     """
 
     elections_class: ClassVar[type[Elections]] = Elections
@@ -113,20 +114,20 @@
         )
 
     def handle(self, event: Event, now: float) -> list[Instruction]:
-        """Take one event at local monotonic time ``now`` (seconds); return instructions.
+        """Handle one event at local monotonic time ``now`` (seconds); return instructions.
 
         Raises
         ------
         RaftInvariantError
-            When another replica lost durable state; this one must stop.
+            When a safety invariant is violated; the replica must stop.
         """
         self._roles.start_timer(now)
         self._dispatch(event, now)
-        self._roles.settle(now)
+        self._roles.update_role(now)
         return self._state.take_instructions()
 
     def next_deadline(self) -> float:
-        """Return the local time at which ``TimeAdvanced`` is next worth sending."""
+        """Return the local time at which the next ``TimeAdvanced`` is due."""
         if self._roles.leader is not None:
             return self._roles.leader.next_heartbeat_at
         return self._roles.elections.deadline
@@ -143,31 +144,31 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica votes by the newest membership that it knows."""
+        """Whether this replica is a voter in its newest membership."""
         return self._state.is_voter
 
     @property
     def leader_address(self) -> Address | None:
-        """Address of the leader as far as known."""
+        """Address of the leader, if known."""
         return self._state.leader_address
 
     @property
     def log(self) -> LogView:
-        """The log as held in memory; to be read only."""
+        """The in-memory log; callers must not change it."""
         return self._state.log
 
     @property
     def commit_index(self) -> int:
-        """Index up to which entries are known to be committed."""
+        """Last index that is known to be committed."""
         return self._state.commit_index
 
     @property
     def membership(self) -> GroupMembership:
-        """Membership in force (appended, not yet committed)."""
+        """The newest membership, committed or not."""
         return self._state.membership
 
     def membership_at(self, index: int) -> GroupMembership:
-        """Return the membership as of ``index``; a snapshot up to it must record that."""
+        """Return the membership as of ``index``, to be stored in a snapshot up to it."""
         return self._state.memberships.at(index)
 
     def _dispatch(self, event: Event, now: float) -> None:
@@ -181,13 +182,13 @@
             case ReadRequested():
                 self._request_read(event, now)
             case EntriesSynced():
-                self._note_synced(event, now)
+                self._handle_entries_synced(event, now)
             case HardStateSynced():
-                self._roles.elections.note_own_vote(event.term)
+                self._roles.elections.record_own_vote(event.term)
             case SnapshotTaken():
-                self._state.keep_snapshot(event.last_index, event.last_term, event.data)
+                self._state.record_snapshot(event.last_index, event.last_term, event.data)
             case SnapshotInstalled():
-                self._note_installed(event)
+                self._handle_snapshot_installed(event)
             case TransferRequested():
                 if self._roles.leader is not None:
                     self._roles.leader.request_transfer(now)
@@ -195,7 +196,7 @@
                 self._request_change(event, now)
             case ReplicaOffered():
                 if self._roles.leader is not None:
-                    self._roles.leader.note_offer(event, now)
+                    self._roles.leader.record_offer(event, now)
             case ReplicaReleased():
                 if self._roles.leader is not None:
                     self._roles.leader.release(event)
@@ -230,19 +231,19 @@
         leader = self._state.leader_address
         self._state.emit(RejectProposals(tokens=tokens, leader=leader, may_be_committed=False))
 
-    def _note_synced(self, event: EntriesSynced, now: float) -> None:
+    def _handle_entries_synced(self, event: EntriesSynced, now: float) -> None:
         self._state.log.mark_synced(event.last_index, event.last_term)
         self._state.apply_committed()
         if self._roles.leader is not None:
             self._roles.leader.advance(now)
         else:
-            self._roles.follower.note_synced()
+            self._roles.follower.acknowledge_synced()
 
-    def _note_installed(self, event: SnapshotInstalled) -> None:
+    def _handle_snapshot_installed(self, event: SnapshotInstalled) -> None:
         snapshot = self._state.snapshot
         if snapshot is None or snapshot.last_index != event.last_index:
             return
         if event.data is not None:
             self._state.snapshot = msgspec.structs.replace(snapshot, data=event.data)
         self._state.log.mark_synced(snapshot.last_index, snapshot.last_term)
-        self._roles.follower.note_installed(event.last_index)
+        self._roles.follower.acknowledge_snapshot(event.last_index)
--- a/src/passlane/raft/replication.py
+++ b/src/passlane/raft/replication.py
@@ -1,4 +1,4 @@
-"""Log replication by the leader: heartbeats, batches in flight, snapshots, commit."""
+"""Log replication by the leader: heartbeats, pipelined batches, snapshots, commit."""
 
 from passlane.identifiers import ReplicaId
 from passlane.messages.raft import (
@@ -15,14 +15,14 @@
 
 
 class Replicator:
-    """Keeps every other member's log equal to the leader's.
+    """Replicates the leader's log to all other members.
 
     Parameters
     ----------
     state
         The replica's shared state.
     now
-        Local time of the election.
+        Local time at which the election was won.
     """
 
     def __init__(self, state: ReplicaState, now: float) -> None:
@@ -31,7 +31,7 @@
         self.update_members(now)
 
     def update_members(self, now: float) -> None:
-        """Follow the newest membership."""
+        """Update the tracked followers to the newest membership."""
         state = self._state
         followers: dict[ReplicaId, FollowerProgress] = {}
         for member in state.membership.members:
@@ -49,19 +49,19 @@
         self.followers = followers
 
     def send_heartbeats(self, read_round: int, now: float) -> None:
-        """Send each member a heartbeat, which also finds out what got lost."""
+        """Send each member a heartbeat; a rejected one reveals lost entries."""
         for replica_id, progress in self.followers.items():
-            self._send_empty(replica_id, progress, read_round)
+            self._send_empty_append(replica_id, progress, read_round)
             self._resend_chunk(replica_id, progress, now)
             self.send_entries(replica_id, read_round, now)
 
     def send_entries_to_all(self, read_round: int, now: float) -> None:
-        """Send new entries to each member that has room for them."""
+        """Send new entries to each member whose window is not full."""
         for replica_id in self.followers:
             self.send_entries(replica_id, read_round, now)
 
     def send_entries(self, replica_id: ReplicaId, read_round: int, now: float) -> None:
-        """Send a follower all batches that its window has room for."""
+        """Send batches to a follower until its window is full, or start a snapshot."""
         progress = self.followers[replica_id]
         if progress.mode is ReplicationMode.SNAPSHOT:
             return
@@ -69,15 +69,15 @@
             self._start_snapshot(replica_id, progress, now)
             return
         config = self._state.config
-        while self._has_room(progress):
+        while self._can_send_entries(progress):
             entries = self._state.log.batch_from(progress.next_index, config.max_batch_bytes)
             previous_index = progress.next_index - 1
             request = self._append_request(replica_id, previous_index, read_round, entries)
             self._state.send(progress.address, request)
-            progress.note_sent(entries[-1].index)
+            progress.record_sent(entries[-1].index)
 
     def handle_append_reply(self, reply: AppendReply, read_round: int, now: float) -> None:
-        """Take over what a follower acknowledges, or go back to where it agrees."""
+        """Record a follower's acknowledgement, or probe for its matching index."""
         progress = self.followers[reply.sender]
         if reply.success:
             progress.acknowledge(reply.synced_index)
@@ -86,7 +86,7 @@
         self.send_entries(reply.sender, read_round, now)
 
     def handle_snapshot_reply(self, reply: SnapshotReply, read_round: int, now: float) -> None:
-        """Send the next chunk, or go on with entries once the snapshot is durable."""
+        """Send the next chunk, or continue with entries once the snapshot is durable."""
         progress = self.followers[reply.sender]
         if reply.installed:
             progress.acknowledge(reply.last_index)
@@ -100,10 +100,11 @@
             self._send_chunk(reply.sender, progress, transfer, now)
 
     def advance_commit(self) -> bool:
-        """Commit what a majority of voters holds durably; return whether that is news.
+        """Commit entries that are durable on a majority; return whether the index advanced.
 
-        Only an entry of the leader's own term is counted; entries of older terms are
-        committed along with it. Counting those would let a later leader overwrite them.
+        Only an entry of the leader's own term is committed by counting replicas. Entries of
+        older terms are committed together with it; otherwise a later leader could still
+        overwrite them (section 5.4.2 of the Raft paper).
         """
         state = self._state
         index = self._majority_index()
@@ -113,14 +114,14 @@
         return True
 
     def hears_quorum(self, now: float) -> bool:
-        """Return whether a majority of voters was heard within an election timeout."""
+        """Return whether a majority of voters responded within an election timeout."""
         horizon = now - self._state.config.election_timeout_s
-        heard = {name for name, f in self.followers.items() if f.last_heard >= horizon}
-        heard.add(self._state.own_id)
-        return is_quorum(self._state.membership, heard)
+        active = {name for name, f in self.followers.items() if f.last_heard >= horizon}
+        active.add(self._state.own_id)
+        return is_quorum(self._state.membership, active)
 
     def most_advanced_voter(self, now: float) -> ReplicaId | None:
-        """Return the voter, other than the leader, best fit to lead next."""
+        """Return the responsive voter, other than the leader, with the highest durable index."""
         horizon = now - self._state.config.election_timeout_s
         candidates = [
             (self.followers[voter].synced_index, voter)
@@ -130,7 +131,7 @@
         return max(candidates)[1] if candidates else None
 
     def is_follower_ahead(self, now: float) -> bool:
-        """Return whether a voter that answers holds durably more than the leader does."""
+        """Return whether a responsive voter has a higher durable index than the leader."""
         voter = self.most_advanced_voter(now)
         return (
             voter is not None and self.followers[voter].synced_index > self._state.log.synced_index
@@ -147,7 +148,7 @@
             return self._state.log.synced_index
         return self.followers[voter].synced_index
 
-    def _has_room(self, progress: FollowerProgress) -> bool:
+    def _can_send_entries(self, progress: FollowerProgress) -> bool:
         return (
             progress.mode is ReplicationMode.PIPELINE
             and progress.next_index <= self._state.log.last_index
@@ -160,13 +161,13 @@
         if progress.next_index <= self._state.log.base_index:
             self._start_snapshot(replica_id, progress, now)
         else:
-            self._send_empty(replica_id, progress, read_round)
+            self._send_empty_append(replica_id, progress, read_round)
 
-    def _send_empty(
+    def _send_empty_append(
         self, replica_id: ReplicaId, progress: FollowerProgress, read_round: int
     ) -> None:
-        # During a snapshot nothing is known to match; an empty request after index 0
-        # always does, and still serves as a heartbeat.
+        # During a snapshot transfer the matching index is unknown. An empty request at
+        # previous index 0 always matches and still serves as a heartbeat.
         is_snapshot = progress.mode is ReplicationMode.SNAPSHOT
         previous_index = 0 if is_snapshot else progress.next_index - 1
         if self._state.log.term_at(previous_index) is None:
@@ -198,7 +199,7 @@
         self, replica_id: ReplicaId, progress: FollowerProgress, now: float
     ) -> None:
         snapshot = self._state.snapshot
-        assert snapshot is not None, "the log is only compacted behind a snapshot"
+        assert snapshot is not None, "the log was compacted without a snapshot"
         transfer = progress.start_snapshot(snapshot, now)
         self._send_chunk(replica_id, progress, transfer, now)
 
--- a/src/passlane/raft/roles.py
+++ b/src/passlane/raft/roles.py
@@ -1,4 +1,4 @@
-"""The roles of a replica: which one it has, and how messages of others change that."""
+"""The role of a replica: follower, candidate or leader, and the changes between them."""
 
 import math
 
@@ -20,21 +20,21 @@
 
 
 class Roles:
-    """Follower, candidate or leader: the parts of a replica, and the changes between them.
+    """Holds the parts of a replica and changes its role as messages and elections require.
 
     Parameters
     ----------
     state
         The replica's shared state.
     elections, follower
-        The parts of a replica that does not lead.
+        The parts that are active while the replica does not lead.
     leader_class
-        Class of the part that leads; one is made for each term that is won.
+        Class of the leader part; an instance is created for each term that is won.
 
     Attributes
     ----------
     leader
-        The part that leads; ``None`` while this replica does not.
+        The leader part; ``None`` while this replica does not lead.
     """
 
     def __init__(
@@ -51,25 +51,25 @@
         self.leader: Leader | None = None
 
     def start_timer(self, now: float) -> None:
-        """Set the first deadline for an election, unless there is one."""
+        """Set the first election deadline, unless one is set."""
         if self.elections.deadline == math.inf:
             self.elections.restart_timer(now)
 
-    def settle(self, now: float) -> None:
-        """Take up the lead after an election won, and give it up once removed."""
+    def update_role(self, now: float) -> None:
+        """Become the leader after a won election; step down once removed from the group."""
         if self.elections.is_won and self.leader is None:
             self._become_leader(now)
         if self.leader is not None and self.leader.is_removed:
-            self.leader.hand_over(now)
+            self.leader.transfer_on_removal(now)
             self.step_down(now)
 
     def receive(self, message: AnyRaftMessage, now: float) -> None:
-        """Take a message of another replica, which may end the present role.
+        """Handle a message from another replica, which may change the role.
 
         Raises
         ------
         RaftInvariantError
-            When another replica leads the term that this one leads.
+            When another replica claims to lead the term that this one leads.
         """
         config = self._state.config
         if message.group != config.group or message.receiver != config.replica_id:
@@ -85,9 +85,9 @@
         self._receive_in_term(message, now)
 
     def step_down(self, now: float) -> None:
-        """Stop leading or standing for election; no leader is known then."""
+        """Become a follower without a known leader."""
         self._state.set_leader(None, None)
-        self.elections.stand_down(now)
+        self.elections.cancel_election(now)
         if self.leader is not None:
             self.leader.stop()
             self.leader = None
@@ -100,7 +100,7 @@
         if request.term > self._state.term:
             if self.leader is not None and not request.is_transfer:
                 return
-            if self.elections.protects_leader(request, now):
+            if self.elections.is_leader_lease_active(request, now):
                 return
             self._adopt_term(request.term, now)
         self.elections.answer_vote(request, now)
@@ -113,7 +113,7 @@
                     self._follow(message, now)
                     self.follower.handle_append(message)
                 else:
-                    self.follower.refuse_leader(message)
+                    self.follower.reject_stale_leader(message)
             case SnapshotRequest():
                 if is_current:
                     self._follow(message, now)
@@ -133,7 +133,7 @@
     def _follow(self, message: AppendRequest | SnapshotRequest, now: float) -> None:
         if self.leader is not None:
             raise RaftInvariantError(f"{message.sender} also leads term {message.term}")
-        self.elections.note_leader(now)
+        self.elections.record_leader_contact(now)
         address = message.sender_address or self._state.leader_address
         self._state.set_leader(message.sender, address)
 
@@ -142,7 +142,7 @@
         self._state.save_hard_state(term, None)
 
     def _become_leader(self, now: float) -> None:
-        self.elections.stand_down(now)
-        self.elections.forget_leader()
+        self.elections.cancel_election(now)
+        self.elections.end_leader_lease()
         self.leader = self._leader_class(self._state, now)
         self.leader.start(now)
--- a/src/passlane/raft/state.py
+++ b/src/passlane/raft/state.py
@@ -1,4 +1,4 @@
-"""State that all roles of a replica share, and the instructions it has to give."""
+"""State shared by all roles of a replica, and the instructions of the current event."""
 
 import random as random_module
 from collections.abc import Sequence
@@ -28,7 +28,7 @@
 
 
 class MessageHeader(TypedDict):
-    """What every message of a replica says of its group, sender and receiver."""
+    """Fields for group, sender and receiver that all messages of a replica share."""
 
     group: str
     sender: ReplicaId
@@ -44,13 +44,13 @@
     term, voted_for
         Current term and the vote given in it; durable before a message depends on them.
     commit_index
-        Entries up to here are known to be committed.
+        Last index that is known to be committed.
     applied_index
-        Entries up to here were handed out to be applied.
+        Last index that was included in ``ApplyEntries``.
     leader_id, leader_address
-        The leader of the current term as far as known.
+        The leader of the current term, if known.
     tokens
-        Tokens of this leader's proposals by log index, until they are applied.
+        Tokens of the proposals of this leader by log index, until they are applied.
     """
 
     config: ReplicaConfig
@@ -78,10 +78,9 @@
         snapshot: Snapshot,
         entries: Sequence[LogEntry],
     ) -> "ReplicaState":
-        """Return the state that a replica finds on its disk.
+        """Return the state restored from disk.
 
-        ``snapshot`` ends at index 0 when there is none; it then only names the first
-        members of the group.
+        Without a snapshot, ``snapshot`` has index 0 and only the group's initial members.
         """
         base_index = snapshot.last_index
         memberships = MembershipHistory(base_index, snapshot.membership.members)
@@ -90,7 +89,7 @@
                 memberships.append(entry.index, decode_membership(entry.data))
         log = LogView(base_index, snapshot.last_term, entries)
         if log.last_term > hard_term:
-            # The entries reached the disk before the term did; no vote of it left here.
+            # The entries became durable before the term, so no vote of that term was sent.
             hard_term, voted_for = log.last_term, None
         return cls(
             config=config,
@@ -116,21 +115,21 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica votes by the newest membership that it knows."""
+        """Whether this replica is a voter in its newest membership."""
         return self.own_id in voters_of(self.membership)
 
     def emit(self, instruction: Instruction) -> None:
-        """Add an instruction to those that the current event leads to."""
+        """Add an instruction to those of the current event."""
         self._instructions.append(instruction)
 
     def take_instructions(self) -> list[Instruction]:
-        """Return the instructions gathered, and start a new list."""
+        """Return the collected instructions and start a new list."""
         instructions = self._instructions
         self._instructions = []
         return instructions
 
     def header_to(self, receiver: ReplicaId) -> MessageHeader:
-        """Return the fields that a message to ``receiver`` shares with all others."""
+        """Return the common fields of a message to ``receiver``."""
         return {
             "group": self.config.group,
             "sender": self.own_id,
@@ -143,13 +142,13 @@
         self.emit(SendMessage(address=address, message=message))
 
     def save_hard_state(self, term: int, voted_for: ReplicaId | None) -> None:
-        """Take over a term and a vote, durably."""
+        """Set term and vote and make them durable."""
         self.term = term
         self.voted_for = voted_for
         self.emit(SaveHardState(term=term, voted_for=voted_for))
 
     def set_leader(self, leader_id: ReplicaId | None, address: Address | None) -> None:
-        """Note who leads the current term, and tell when that is news."""
+        """Set the leader of the current term; emit ``LeadershipChanged`` if it changed."""
         if leader_id == self.leader_id and address == self.leader_address:
             return
         self.leader_id = leader_id
@@ -158,10 +157,12 @@
         self.emit(LeadershipChanged(term=self.term, leader=address, is_leader=is_leader))
 
     def append_entries(self, entries: Sequence[LogEntry]) -> None:
-        """Write entries to the log, cutting it off from the first one's index on."""
+        """Truncate the log from the index of the first entry on, then append the entries."""
         first_index = entries[0].index
         if first_index <= self.commit_index:
-            raise RaftInvariantError(f"entry {first_index} is committed and cannot be replaced")
+            raise RaftInvariantError(
+                f"cannot replace entry {first_index}: committed up to {self.commit_index}"
+            )
         is_membership_changed = self.memberships.truncate_from(first_index)
         self.log.append(entries)
         self.emit(AppendEntries(entries=tuple(entries)))
@@ -173,25 +174,26 @@
             self.emit(MembershipChanged(membership=self.membership))
 
     def commit(self, index: int) -> None:
-        """Take over a commit index and hand out what may be applied."""
+        """Advance the commit index and apply committed entries."""
         self.commit_index = max(self.commit_index, min(index, self.log.last_index))
         self.apply_committed()
 
     def apply_committed(self) -> None:
-        """Hand out entries that are committed and durable here.
+        """Emit ``ApplyEntries`` for entries that are committed and durable here.
 
-        Applying only what is durable here keeps a snapshot from running ahead of the log.
+        Applying only durable entries ensures that a snapshot never covers an index that the
+        durable log has not reached.
         """
         last_index = min(self.commit_index, self.log.synced_index)
         if last_index <= self.applied_index:
             return
-        entries = self.log.between(self.applied_index + 1, last_index)
+        entries = self.log.entries_between(self.applied_index + 1, last_index)
         tokens = tuple(self.tokens.pop(entry.index, None) for entry in entries)
         self.applied_index = last_index
         self.emit(ApplyEntries(entries=entries, tokens=tokens))
 
-    def keep_snapshot(self, last_index: int, last_term: int, data: SnapshotData) -> None:
-        """Keep a snapshot that was taken here, and drop what it makes needless."""
+    def record_snapshot(self, last_index: int, last_term: int, data: SnapshotData) -> None:
+        """Record a snapshot that was taken here, and compact the log."""
         if self.snapshot is not None and last_index <= self.snapshot.last_index:
             return
         if last_index > self.applied_index:
@@ -202,7 +204,7 @@
         self.memberships.compact(self.log.base_index)
 
     def install_snapshot(self, snapshot: Snapshot) -> None:
-        """Replace state and log by a snapshot from the leader."""
+        """Replace the state and the log with a snapshot from the leader."""
         self.snapshot = snapshot
         self.log.reset(snapshot.last_index, snapshot.last_term)
         self.memberships.reset(snapshot.last_index, snapshot.membership)
--- a/src/passlane/raft/transfer.py
+++ b/src/passlane/raft/transfer.py
@@ -1,4 +1,4 @@
-"""Handing leadership over to another voter."""
+"""Leadership transfer to another voter."""
 
 import msgspec
 
@@ -8,53 +8,53 @@
 from passlane.raft.state import ReplicaState
 
 
-class _TransferUnderWay(msgspec.Struct):
+class _PendingTransfer(msgspec.Struct):
     target: ReplicaId
     deadline: float
     is_asked: bool = False
 
 
 class LeadershipTransfer:
-    """A leader's attempts to hand over; one is under way at a time.
+    """Leadership transfers of one leader; one is under way at a time.
 
-    The most advanced voter is asked to stand for election as soon as it durably holds
-    all that the leader's log holds. An attempt is given up after one election timeout.
+    The target is the most advanced voter. It gets ``TimeoutNow`` as soon as all entries of
+    the leader's log are durable on it. A transfer is aborted after one election timeout.
 
     Parameters
     ----------
     state
         The replica's shared state.
     replicator
-        Knows how far each follower is.
+        Tracks the progress of each follower.
     """
 
     def __init__(self, state: ReplicaState, replicator: Replicator) -> None:
         self._state = state
         self._replicator = replicator
-        self._under_way: _TransferUnderWay | None = None
+        self._pending: _PendingTransfer | None = None
 
     @property
     def is_under_way(self) -> bool:
-        """Whether leadership is being handed over, so that no commands are taken."""
-        return self._under_way is not None
+        """Whether a transfer is under way; commands are rejected meanwhile."""
+        return self._pending is not None
 
     def request(self, now: float) -> None:
-        """Start to hand leadership to the most advanced voter, unless that is under way."""
+        """Start a transfer to the most advanced voter, unless one is under way."""
         target = self._replicator.most_advanced_voter(now)
-        if self._under_way is not None or target is None:
+        if self._pending is not None or target is None:
             return
         deadline = now + self._state.config.election_timeout_s
-        self._under_way = _TransferUnderWay(target=target, deadline=deadline)
+        self._pending = _PendingTransfer(target=target, deadline=deadline)
         self.advance()
 
-    def give_up_if_overdue(self, now: float) -> None:
-        """Lead on if the target has not taken over in time."""
-        if self._under_way is not None and now >= self._under_way.deadline:
-            self._under_way = None
+    def abort_if_overdue(self, now: float) -> None:
+        """Abort the transfer if its deadline has passed, and continue to lead."""
+        if self._pending is not None and now >= self._pending.deadline:
+            self._pending = None
 
     def advance(self) -> None:
-        """Ask the target to stand for election once it holds the whole log."""
-        transfer = self._under_way
+        """Send ``TimeoutNow`` once the whole log is durable on the target."""
+        transfer = self._pending
         if transfer is None or transfer.is_asked:
             return
         progress = self._replicator.followers.get(transfer.target)
@@ -63,8 +63,8 @@
         transfer.is_asked = True
         self._send_timeout_now(transfer.target)
 
-    def ask_at_once(self, now: float) -> None:
-        """Ask the most advanced voter to stand for election, whatever it holds."""
+    def transfer_now(self, now: float) -> None:
+        """Send ``TimeoutNow`` to the most advanced voter without waiting for its log."""
         target = self._replicator.most_advanced_voter(now)
         if target is not None:
             self._send_timeout_now(target)
--- a/src/passlane/raft/voter_places.py
+++ b/src/passlane/raft/voter_places.py
@@ -1,10 +1,9 @@
-"""Who votes in a group with a bounded number of voters: the leader's decision, without I/O.
+"""Selects the voters of a group with a target number of voters, without I/O.
 
-A group that has to bear the loss of two replicas needs five voters, however many machines
-could hold one. The others are spares: they hold nothing and offer themselves to the leader
-again and again. The leader takes one in as a learner when a place is free, and makes it a
-voter once it holds all that is committed. A voter that is lost leaves the group just before
-its successor votes, so that the number of voters stays the same.
+A group that tolerates the loss of two replicas needs five voters, regardless of the number
+of machines. The remaining replicas are standbys: they store no log and repeatedly offer to
+join. The leader adds a standby as a learner when a voter is missing, and promotes it once it
+has caught up. A lost voter is removed just before its replacement is promoted.
 """
 
 import enum
@@ -16,15 +15,15 @@
 from passlane.identifiers import ReplicaId
 from passlane.messages.raft import GroupMember, GroupMembership
 from passlane.raft.events import ReplicaOffered
-from passlane.raft.membership import member_of, with_learner, with_voter, without
+from passlane.raft.membership import member_of, with_learner, with_voter, without_member
 from passlane.raft.progress import FollowerProgress
 
-OFFER_VALID_S = 3.0
-"""An offer counts for this long; spares repeat theirs each second (``replication.joining``)."""
+OFFER_TTL_S = 3.0
+"""Lifetime of an offer; standbys repeat it every second (``replication.joining``)."""
 
 
 class PlaceReason(enum.StrEnum):
-    """Why a replica joins, votes or leaves."""
+    """Reason for adding, promoting or removing a replica."""
 
     FILES_LOST = "files_lost"
     MOVED = "moved"
@@ -36,7 +35,7 @@
 
 
 class PlaceChange(msgspec.Struct, frozen=True):
-    """A membership to change to, the replica that it is about, and why."""
+    """The membership to change to, the replica that changes, and the reason."""
 
     membership: GroupMembership
     reason: PlaceReason
@@ -44,25 +43,25 @@
 
 
 class _Offer(msgspec.Struct, frozen=True):
-    """The newest offer of a replica and when it came."""
+    """The newest offer of a replica and the time at which it was received."""
 
     replica: ReplicaOffered
     received_at: float
 
 
 class GroupView(msgspec.Struct, frozen=True):
-    """What the leader knows of its group at one moment.
+    """The leader's view of its group at one time.
 
     Attributes
     ----------
     membership
-        The membership in force.
+        The newest membership.
     own_id
         The leader's identity.
     followers
-        What is known of each other member.
+        Replication state of each other member.
     commit_index
-        Up to where entries are committed.
+        Last committed index.
     now
         Local time in seconds.
     """
@@ -75,136 +74,145 @@
 
 
 class VoterPlaces:
-    """Fills a fixed number of places, one change of membership at a time.
+    """Keeps the group at its target number of voters, one membership change at a time.
 
-    Soft state: a new leader gathers offers and releases anew.
+    The state is volatile: a new leader collects offers and releases again.
 
     Parameters
     ----------
-    places
-        How many voters the group is to have.
+    target_voters
+        Target number of voters.
     silence_s
-        A member that was silent for so long counts as lost.
+        Seconds of silence after which a member counts as lost.
     """
 
-    def __init__(self, places: int, silence_s: float) -> None:
-        self._places = places
+    def __init__(self, target_voters: int, silence_s: float) -> None:
+        self._target_voters = target_voters
         self._silence_s = silence_s
         self._offers: dict[ReplicaId, _Offer] = {}
         self._released: set[ReplicaId] = set()
-        self._wiped: set[ReplicaId] = set()
+        self._lost_identities: set[ReplicaId] = set()
         self._surplus_since: float | None = None
 
-    def note_offer(self, offered: ReplicaOffered, now: float) -> None:
-        """Note that a replica would vote, and whose files it lost."""
+    def record_offer(self, offered: ReplicaOffered, now: float) -> None:
+        """Record a replica's offer to become a voter, and the members whose files are lost."""
         self._offers[offered.replica_id] = _Offer(offered, now)
-        self._wiped.update(offered.replaces)
+        self._lost_identities.update(offered.replaces)
 
     def release(self, replica_id: ReplicaId) -> None:
-        """Note that a replica is to be replaced and to leave the group for good."""
+        """Record that a replica is to be replaced and removed permanently."""
         self._released.add(replica_id)
 
     def next_change(self, view: GroupView) -> PlaceChange | None:
         """Return the next change, if one is due.
 
-        The order matters: what only hinders comes out first, then learners that have
-        caught up vote, then voters beyond the places leave, then free places are filled.
+        The first rule that yields a change applies:
+
+        1. Remove a member whose files are lost.
+        2. Update the address of a member that moved.
+        3. Remove a learner that is silent, released or not needed.
+        4. Promote a learner that has caught up, after removing a silent voter if the
+           target is reached.
+        5. Remove a voter beyond the target.
+        6. Add a learner if a voter is missing.
         """
         return (
-            self._without_wiped(view)
-            or self._with_new_address(view)
+            self._remove_lost_identity(view)
+            or self._update_address(view)
             or self._without_useless_learner(view)
             or self._with_caught_up_learner(view)
-            or self._without_surplus_voter(view)
+            or self._remove_surplus_voter(view)
             or self._with_new_learner(view)
         )
 
-    def _without_wiped(self, view: GroupView) -> PlaceChange | None:
-        """Remove an identity whose files are gone: it can never answer again."""
+    def _remove_lost_identity(self, view: GroupView) -> PlaceChange | None:
+        """Remove an identity whose files are lost, because it cannot return."""
         for member in view.membership.members:
-            if member.replica_id in self._wiped and member.replica_id != view.own_id:
-                return _leave(view, member, PlaceReason.FILES_LOST)
-        self._wiped.clear()
+            if member.replica_id in self._lost_identities and member.replica_id != view.own_id:
+                return _removal(view, member, PlaceReason.FILES_LOST)
+        self._lost_identities.clear()
         return None
 
-    def _with_new_address(self, view: GroupView) -> PlaceChange | None:
-        """Take over the address of a member that has moved with its files."""
+    def _update_address(self, view: GroupView) -> PlaceChange | None:
+        """Update the address of a member that has moved with its files."""
         for offer in self._offers.values():
             replica = offer.replica
             member = member_of(view.membership, replica.replica_id)
             if member is not None and member.address != replica.address:
-                return _take_in(view, replica, PlaceReason.MOVED)
+                return _addition(view, replica, PlaceReason.MOVED)
         return None
 
     def _without_useless_learner(self, view: GroupView) -> PlaceChange | None:
-        """Remove a learner that is silent, released, or for which there is no place."""
-        is_full = len(self._staying_voters(view)) >= self._places
+        """Remove a learner that is silent, released or not needed to reach the target."""
+        is_target_reached = len(self._remaining_voters(view)) >= self._target_voters
         for learner in _learners(view):
-            if is_full or self._is_leaving(learner, view):
+            if is_target_reached or self._is_to_be_removed(learner, view):
                 self._offers.pop(learner.replica_id, None)
-                return _leave(view, learner, PlaceReason.LEARNER_NOT_NEEDED)
+                return _removal(view, learner, PlaceReason.LEARNER_NOT_NEEDED)
         return None
 
     def _with_caught_up_learner(self, view: GroupView) -> PlaceChange | None:
-        """Make a learner vote that holds all that is committed.
+        """Promote a learner that has caught up.
 
-        If all places are taken, a silent voter leaves first: it would only make majorities
-        harder to reach. A released voter still answers, so it leaves afterwards, and before
-        the next learner votes: there is never more than one voter beyond the places.
+        If the target is reached, a silent voter is removed first, because it would still
+        count towards the quorum size. A released voter still responds, so it is removed
+        after the promotion and before the next one. The number of voters never exceeds the
+        target by more than one.
         """
         learner = self._caught_up_learner(view)
-        if learner is None or len(_voters(view)) > self._places:
+        if learner is None or len(_voters(view)) > self._target_voters:
             return None
         silent = self._silent_voter(view)
-        if len(_voters(view)) >= self._places and silent is not None:
-            return _leave(view, silent, PlaceReason.SILENT)
+        if len(_voters(view)) >= self._target_voters and silent is not None:
+            return _removal(view, silent, PlaceReason.SILENT)
         membership = with_voter(view.membership, learner.replica_id)
         return PlaceChange(membership, PlaceReason.CAUGHT_UP, learner.replica_id)
 
-    def _without_surplus_voter(self, view: GroupView) -> PlaceChange | None:
-        """Remove a voter beyond the places: a silent one, else a released one.
+    def _remove_surplus_voter(self, view: GroupView) -> PlaceChange | None:
+        """Remove a voter beyond the target: a silent one, otherwise a released one.
 
-        A leader that was elected in the middle of a replacement has not heard which voter
-        was released. It waits to be told, and then removes the youngest voter instead.
+        A leader that was elected during a replacement does not know which voter was
+        released. It waits ``silence_s`` for another release, then removes the voter that was
+        added last.
         """
-        if len(_voters(view)) <= self._places:
+        if len(_voters(view)) <= self._target_voters:
             self._surplus_since = None
             return None
         surplus = self._silent_voter(view) or self._released_voter(view)
         if surplus is not None:
-            return _leave(view, surplus, PlaceReason.SURPLUS)
+            return _removal(view, surplus, PlaceReason.SURPLUS)
         if self._surplus_since is None:
             self._surplus_since = view.now
         if view.now - self._surplus_since < self._silence_s:
             return None
-        youngest = [voter for voter in _voters(view) if voter.replica_id != view.own_id][-1]
-        return _leave(view, youngest, PlaceReason.SURPLUS)
+        newest = [voter for voter in _voters(view) if voter.replica_id != view.own_id][-1]
+        return _removal(view, newest, PlaceReason.SURPLUS)
 
     def _with_new_learner(self, view: GroupView) -> PlaceChange | None:
-        """Take in the best offer if a place is free that no learner is to fill."""
-        if len(self._staying_voters(view)) + len(_learners(view)) >= self._places:
+        """Add the best offer as a learner if voters and learners are below the target."""
+        if len(self._remaining_voters(view)) + len(_learners(view)) >= self._target_voters:
             return None
         offer = self._best_offer(view)
         if offer is None:
             return None
-        return _take_in(view, offer, PlaceReason.PLACE_FREE)
+        return _addition(view, offer, PlaceReason.PLACE_FREE)
 
     def _best_offer(self, view: GroupView) -> ReplicaOffered | None:
-        """Return an offer from the zone with the fewest members that stay."""
-        self._forget_old_offers(view.now)
-        free = [
+        """Return an offer from the zone with the fewest remaining members."""
+        self._discard_expired_offers(view.now)
+        candidates = [
             offer.replica
             for name, offer in self._offers.items()
             if name not in self._released and member_of(view.membership, name) is None
         ]
-        in_zone = Counter(m.zone for m in (*self._staying_voters(view), *_learners(view)))
-        return min(free, key=lambda r: (in_zone[r.zone], r.replica_id), default=None)
+        members_by_zone = Counter(m.zone for m in (*self._remaining_voters(view), *_learners(view)))
+        return min(candidates, key=lambda r: (members_by_zone[r.zone], r.replica_id), default=None)
 
-    def _forget_old_offers(self, now: float) -> None:
+    def _discard_expired_offers(self, now: float) -> None:
         self._offers = {
             name: offer
             for name, offer in self._offers.items()
-            if now - offer.received_at <= OFFER_VALID_S
+            if now - offer.received_at <= OFFER_TTL_S
         }
 
     def _caught_up_learner(self, view: GroupView) -> GroupMember | None:
@@ -215,11 +223,11 @@
 
     @staticmethod
     def has_caught_up(progress: FollowerProgress | None, commit_index: int) -> bool:
-        """Return whether a learner durably holds all that is committed."""
-        return progress is not None and progress.holds(commit_index)
+        """Return whether all committed entries are durable on a learner."""
+        return progress is not None and progress.is_synced_to(commit_index)
 
-    def _staying_voters(self, view: GroupView) -> list[GroupMember]:
-        return [voter for voter in _voters(view) if not self._is_leaving(voter, view)]
+    def _remaining_voters(self, view: GroupView) -> list[GroupMember]:
+        return [voter for voter in _voters(view) if not self._is_to_be_removed(voter, view)]
 
     def _silent_voter(self, view: GroupView) -> GroupMember | None:
         silent = [voter for voter in _voters(view) if self._is_silent(voter, view)]
@@ -229,7 +237,7 @@
         released = [voter for voter in _voters(view) if voter.replica_id in self._released]
         return released[0] if released else None
 
-    def _is_leaving(self, member: GroupMember, view: GroupView) -> bool:
+    def _is_to_be_removed(self, member: GroupMember, view: GroupView) -> bool:
         return member.replica_id in self._released or self._is_silent(member, view)
 
     def _is_silent(self, member: GroupMember, view: GroupView) -> bool:
@@ -245,11 +253,11 @@
     return [member for member in view.membership.members if not member.is_voter]
 
 
-def _leave(view: GroupView, member: GroupMember, reason: PlaceReason) -> PlaceChange:
-    membership = without(view.membership, member.replica_id)
+def _removal(view: GroupView, member: GroupMember, reason: PlaceReason) -> PlaceChange:
+    membership = without_member(view.membership, member.replica_id)
     return PlaceChange(membership, reason, member.replica_id)
 
 
-def _take_in(view: GroupView, replica: ReplicaOffered, reason: PlaceReason) -> PlaceChange:
+def _addition(view: GroupView, replica: ReplicaOffered, reason: PlaceReason) -> PlaceChange:
     membership = with_learner(view.membership, replica.replica_id, replica.address, replica.zone)
     return PlaceChange(membership, reason, replica.replica_id)
--- a/tests/raft/test_voter_places.py
+++ b/tests/raft/test_voter_places.py
@@ -1,4 +1,4 @@
-"""Who votes where the number of voters is bounded."""
+"""Selection of the voters of a group with a target number of voters."""
 
 import unittest
 
@@ -7,11 +7,11 @@
 from passlane.messages.raft import GroupMember, GroupMembership
 from passlane.raft.events import ReplicaOffered
 from passlane.raft.progress import FollowerProgress
-from passlane.raft.voter_places import OFFER_VALID_S, GroupView, PlaceReason, VoterPlaces
+from passlane.raft.voter_places import OFFER_TTL_S, GroupView, PlaceReason, VoterPlaces
 
-PLACES = 3
+TARGET_VOTERS = 3
 SILENCE_S = 2.0
-COMMITTED = 10
+COMMIT_INDEX = 10
 
 
 def address(name: str) -> Address:
@@ -19,7 +19,7 @@
 
 
 class Group:
-    """A leader ``a``, its view of the others, and changes that commit at once."""
+    """A group led by ``a`` in which changes commit immediately."""
 
     def __init__(self, voters: str, zones: str = "") -> None:
         zone_of = zones or "x" * len(voters)
@@ -31,26 +31,26 @@
         )
         self.now = 100.0
         self.reasons: list[PlaceReason] = []
-        self.places = VoterPlaces(PLACES, SILENCE_S)
-        self.heard_at = {name: self.now for name in voters}
-        self.synced = dict.fromkeys(voters, COMMITTED)
+        self.selection = VoterPlaces(TARGET_VOTERS, SILENCE_S)
+        self.last_response_at = {name: self.now for name in voters}
+        self.synced = dict.fromkeys(voters, COMMIT_INDEX)
 
     def offer(self, name: str, *, zone: str = "x", replaces: str = "") -> None:
         replaced = tuple(ReplicaId(one) for one in replaces)
         offered = ReplicaOffered(ReplicaId(name), address(name), zone, replaced)
-        self.places.note_offer(offered, self.now)
+        self.selection.record_offer(offered, self.now)
 
-    def hear(self, names: str) -> None:
+    def respond(self, names: str) -> None:
         for name in names:
-            self.heard_at[name] = self.now
+            self.last_response_at[name] = self.now
 
     def step(self) -> str | None:
-        """Make the next change; return the members, learners in brackets."""
+        """Make the next change; return the members, with learners in parentheses."""
         followers = {
             member.replica_id: FollowerProgress(
                 address=member.address,
-                next_index=COMMITTED + 1,
-                last_heard=self.heard_at.setdefault(member.replica_id, self.now),
+                next_index=COMMIT_INDEX + 1,
+                last_heard=self.last_response_at.setdefault(member.replica_id, self.now),
                 synced_index=self.synced.setdefault(member.replica_id, 0),
             )
             for member in self.membership.members
@@ -60,16 +60,16 @@
             membership=self.membership,
             own_id=ReplicaId("a"),
             followers=followers,
-            commit_index=COMMITTED,
+            commit_index=COMMIT_INDEX,
             now=self.now,
         )
-        changed = self.places.next_change(view)
+        changed = self.selection.next_change(view)
         if changed is None:
             return None
         self.reasons.append(changed.reason)
         self.membership = changed.membership
         for member in self.membership.members:
-            self.heard_at.setdefault(member.replica_id, self.now)
+            self.last_response_at.setdefault(member.replica_id, self.now)
         return " ".join(
             member.replica_id if member.is_voter else f"({member.replica_id})"
             for member in self.membership.members
@@ -77,123 +77,123 @@
 
 
 class VoterPlacesTest(unittest.TestCase):
-    def test_a_spare_is_not_taken_in_while_all_places_are_taken(self) -> None:
+    def test_no_standby_is_added_while_the_target_is_reached(self) -> None:
         group = Group("abc")
         group.offer("d")
         self.assertIsNone(group.step())
 
-    def test_a_free_place_is_filled_by_a_learner_that_votes_once_it_has_caught_up(self) -> None:
+    def test_a_missing_voter_is_replaced_by_a_learner_that_is_promoted_once_caught_up(self) -> None:
         group = Group("ab")
         group.offer("c")
         group.offer("d")
         self.assertEqual(group.step(), "a b (c)")
         self.assertIsNone(group.step())
-        group.synced["c"] = COMMITTED - 1
+        group.synced["c"] = COMMIT_INDEX - 1
         self.assertIsNone(group.step())
-        group.synced["c"] = COMMITTED
+        group.synced["c"] = COMMIT_INDEX
         self.assertEqual(group.step(), "a b c")
         self.assertIsNone(group.step())
 
-    def test_a_silent_voter_leaves_only_when_its_successor_may_vote(self) -> None:
+    def test_a_silent_voter_is_removed_only_when_its_replacement_has_caught_up(self) -> None:
         group = Group("abc")
         group.now += SILENCE_S
-        group.hear("b")
+        group.respond("b")
         group.offer("d")
         self.assertEqual(group.step(), "a b c (d)")
         self.assertIsNone(group.step())
-        group.synced["d"] = COMMITTED
+        group.synced["d"] = COMMIT_INDEX
         self.assertEqual(group.step(), "a b (d)")
         self.assertEqual(group.step(), "a b d")
         reasons = [PlaceReason.PLACE_FREE, PlaceReason.SILENT, PlaceReason.CAUGHT_UP]
         self.assertEqual(group.reasons, reasons)
 
-    def test_a_voter_that_is_heard_again_keeps_its_place(self) -> None:
+    def test_a_voter_that_responds_again_stays(self) -> None:
         group = Group("abc")
         group.now += SILENCE_S
-        group.hear("b")
+        group.respond("b")
         group.offer("d")
         self.assertEqual(group.step(), "a b c (d)")
-        group.hear("c")
-        group.synced["d"] = COMMITTED
+        group.respond("c")
+        group.synced["d"] = COMMIT_INDEX
         self.assertEqual(group.step(), "a b c")
         self.assertIsNone(group.step())
 
-    def test_a_silent_voter_stays_where_there_is_no_spare(self) -> None:
+    def test_a_silent_voter_stays_if_there_is_no_standby(self) -> None:
         group = Group("abc")
         group.now += 10 * SILENCE_S
-        group.hear("b")
+        group.respond("b")
         self.assertIsNone(group.step())
 
-    def test_an_identity_whose_files_are_lost_leaves_at_once(self) -> None:
+    def test_an_identity_whose_files_are_lost_is_removed_immediately(self) -> None:
         group = Group("abc")
         group.offer("d", replaces="c")
         self.assertEqual(group.step(), "a b")
         self.assertEqual(group.step(), "a b (d)")
-        group.synced["d"] = COMMITTED
+        group.synced["d"] = COMMIT_INDEX
         self.assertEqual(group.step(), "a b d")
 
-    def test_a_released_voter_leaves_after_its_successor_votes(self) -> None:
+    def test_a_released_voter_is_removed_after_its_replacement_is_promoted(self) -> None:
         group = Group("abc")
-        group.places.release(ReplicaId("b"))
+        group.selection.release(ReplicaId("b"))
         self.assertIsNone(group.step())
         group.offer("b")
         group.offer("d")
         self.assertEqual(group.step(), "a b c (d)")
-        group.synced["d"] = COMMITTED
+        group.synced["d"] = COMMIT_INDEX
         self.assertEqual(group.step(), "a b c d")
         self.assertEqual(group.step(), "a c d")
         self.assertIsNone(group.step())
 
-    def test_a_released_leader_leaves_too(self) -> None:
+    def test_a_released_leader_is_removed(self) -> None:
         group = Group("abc")
-        group.places.release(ReplicaId("a"))
+        group.selection.release(ReplicaId("a"))
         group.offer("d")
         group.step()
-        group.synced["d"] = COMMITTED
+        group.synced["d"] = COMMIT_INDEX
         self.assertEqual(group.step(), "a b c d")
         self.assertEqual(group.step(), "b c d")
 
-    def test_a_leader_that_knows_of_no_release_removes_the_youngest_voter_after_a_while(
+    def test_without_a_known_release_the_newest_surplus_voter_is_removed_after_a_delay(
         self,
     ) -> None:
         group = Group("abcd")
         self.assertIsNone(group.step())
         group.now += SILENCE_S / 2
-        group.hear("bcd")
+        group.respond("bcd")
         self.assertIsNone(group.step())
         group.now += SILENCE_S / 2
-        group.hear("bcd")
+        group.respond("bcd")
         self.assertEqual(group.step(), "a b c")
         self.assertIsNone(group.step())
 
-    def test_a_learner_that_falls_silent_makes_room_for_another(self) -> None:
+    def test_a_silent_learner_is_replaced_by_another(self) -> None:
         group = Group("ab")
         group.offer("c")
         self.assertEqual(group.step(), "a b (c)")
         group.now += SILENCE_S
-        group.hear("b")
+        group.respond("b")
         group.offer("d")
         self.assertEqual(group.step(), "a b")
         self.assertEqual(group.step(), "a b (d)")
 
-    def test_an_old_offer_counts_no_more(self) -> None:
+    def test_an_expired_offer_is_ignored(self) -> None:
         group = Group("ab")
         group.offer("c")
-        group.now += OFFER_VALID_S + 0.1
-        group.hear("b")
+        group.now += OFFER_TTL_S + 0.1
+        group.respond("b")
         self.assertIsNone(group.step())
 
-    def test_the_zone_with_the_fewest_members_is_served_first(self) -> None:
+    def test_an_offer_from_the_zone_with_the_fewest_members_is_preferred(self) -> None:
         group = Group("ab", zones="xy")
         group.offer("c", zone="x")
         group.offer("d", zone="y")
         group.offer("e", zone="z")
         self.assertEqual(group.step(), "a b (e)")
 
-    def test_a_member_that_moved_keeps_its_vote_at_its_new_address(self) -> None:
+    def test_a_member_that_moved_stays_a_voter_at_its_new_address(self) -> None:
         group = Group("abc")
         moved = ReplicaOffered(ReplicaId("c"), Address("10.0.0.250", 1), "x")
-        group.places.note_offer(moved, group.now)
+        group.selection.record_offer(moved, group.now)
         self.assertEqual(group.step(), "a b c")
         self.assertEqual(group.membership.members[-1].address, moved.address)
 
