--- a/tests/raft/replicas.py
+++ b/tests/raft/replicas.py
@@ -1,4 +1,4 @@
-"""One replica under test, and the messages that its peers would send it."""
+"""A replica under test, and the messages that its peers send to it."""
 
 import random
 from collections.abc import Iterable, Sequence
@@ -41,7 +41,7 @@
 
 
 def entries(first_index: int, *terms: int) -> tuple[LogEntry, ...]:
-    """Return commands of the given terms, with consecutive indexes."""
+    """Return command entries of the given terms, with consecutive indexes."""
     return tuple(
         LogEntry(first_index + offset, term, EntryKind.COMMAND, b"x")
         for offset, term in enumerate(terms)
@@ -49,7 +49,7 @@
 
 
 class TestedReplica:
-    """Replica ``a`` and its clock; events go in, instructions come out."""
+    """Replica ``a`` with a simulated clock."""
 
     def __init__(
         self,
@@ -118,7 +118,7 @@
         is_pre_vote: bool = False,
         is_transfer: bool = False,
     ) -> list[Instruction]:
-        """Ask for a vote; ``last`` is the index and term of the sender's last entry."""
+        """Request a vote; ``last`` is the index and term of the sender's last entry."""
         return self.receive(
             VoteRequest(
                 group=GROUP,
@@ -136,14 +136,14 @@
     def vote(
         self, sender: ReplicaId, *, term: int | None = None, is_pre_vote: bool = False
     ) -> list[Instruction]:
-        """Give the replica a vote in the term that it asks for."""
-        asked_term = self.replica.term + 1 if is_pre_vote else self.replica.term
+        """Grant the replica a vote in the term that it requests."""
+        requested_term = self.replica.term + 1 if is_pre_vote else self.replica.term
         return self.receive(
             VoteReply(
                 group=GROUP,
                 sender=sender,
                 receiver=A,
-                term=asked_term if term is None else term,
+                term=requested_term if term is None else term,
                 granted=True,
                 is_pre_vote=is_pre_vote,
             )
@@ -180,13 +180,13 @@
         *,
         read_round: int = 0,
     ) -> list[Instruction]:
-        """Tell the leader how far a follower's log is equal and durable."""
+        """Report a follower's matching and durable index to the leader."""
         return self._append_reply(sender, True, synced_index, read_round=read_round)
 
     def refuse(
         self, sender: ReplicaId, *, refused_index: int, conflict_index: int
     ) -> list[Instruction]:
-        """Tell the leader that the entry at ``refused_index`` differs."""
+        """Report to the leader that the entry at ``refused_index`` differs."""
         return self._append_reply(
             sender, False, 0, refused_index=refused_index, conflict_index=conflict_index
         )
@@ -216,7 +216,7 @@
         )
 
     def become_leader(self, *supporters: ReplicaId) -> list[Instruction]:
-        """Win an election with the votes of the replica itself and of some others."""
+        """Win an election with the votes of the replica itself and of ``supporters``."""
         while not self.replica.is_leader:
             self.wait(2 * ELECTION_TIMEOUT_S)
             for supporter in supporters:
@@ -227,7 +227,7 @@
         return instructions
 
     def commit_all(self, *followers: ReplicaId) -> list[Instruction]:
-        """Let the leader's whole log become durable here and at some followers."""
+        """Make the leader's whole log durable on the leader and on ``followers``."""
         instructions = self.sync_log()
         for follower in followers:
             instructions += self.acknowledge(follower, self.replica.log.last_index)
@@ -239,7 +239,7 @@
 
 
 def with_chunk(instruction: Instruction) -> Instruction:
-    """Read the chunk of a snapshot that is to be sent, as the shell does."""
+    """Return the instruction with the bytes of its snapshot chunk, as the shell does."""
     return instruction.read() if isinstance(instruction, SendSnapshotChunk) else instruction
 
 
--- a/tests/raft/test_defects.py
+++ b/tests/raft/test_defects.py
@@ -1,4 +1,4 @@
-"""The simulation notices each deliberate fault within the stated number of seeds."""
+"""The simulation detects each injected defect within its stated number of seeds."""
 
 import unittest
 
@@ -15,13 +15,13 @@
 
 
 class DefectsTest(unittest.TestCase):
-    def test_each_defect_is_caught(self) -> None:
+    def test_each_defect_is_detected(self) -> None:
         for defect in DEFECTS.values():
             with self.subTest(defect=defect.name):
-                caught = first_violation(defect)
-                self.assertIsNotNone(caught)
-                assert caught is not None
-                self.assertIn(caught.violation, defect.breaks)
+                detected = first_violation(defect)
+                self.assertIsNotNone(detected)
+                assert detected is not None
+                self.assertIn(detected.violation, defect.breaks)
 
 
 if __name__ == "__main__":
--- a/tests/raft/test_follower.py
+++ b/tests/raft/test_follower.py
@@ -1,4 +1,4 @@
-"""What a follower takes from a leader, and what it acknowledges."""
+"""Followers: log matching, snapshots and acknowledgements."""
 
 import unittest
 
@@ -11,7 +11,7 @@
 
 
 class LogTest(unittest.TestCase):
-    def test_refuses_entries_when_the_one_before_differs_or_lacks(self) -> None:
+    def test_rejects_entries_if_the_previous_entry_differs_or_is_missing(self) -> None:
         tested = TestedReplica(term=3, log=entries(1, 1, 2, 2))
         for previous, conflict_index in (((3, 3), 2), ((5, 3), 4)):
             with self.subTest(previous=previous):
@@ -22,7 +22,7 @@
                 self.assertEqual(reply.conflict_index, conflict_index)
                 self.assertEqual(of_kind(AppendEntries, instructions), [])
 
-    def test_replaces_entries_that_differ_and_keeps_those_that_agree(self) -> None:
+    def test_replaces_conflicting_entries_and_keeps_matching_ones(self) -> None:
         tested = TestedReplica(term=3, log=entries(1, 1, 2, 2))
         instructions = tested.append(B, 3, previous=(1, 1), log=entries(2, 2, 3))
         self.assertEqual(only(of_kind(AppendEntries, instructions)).entries, entries(3, 3))
@@ -37,7 +37,7 @@
         with self.assertRaises(RaftInvariantError):
             tested.append(C, 2, log=entries(1, 2))
 
-    def test_acknowledges_and_applies_only_what_is_durable(self) -> None:
+    def test_acknowledges_and_applies_only_durable_entries(self) -> None:
         tested = TestedReplica(term=1)
         received = tested.append(B, 1, log=entries(1, 1, 1), commit_index=2)
         self.assertEqual(sent(AppendReply, received), [])
@@ -48,14 +48,14 @@
         self.assertEqual(only(sent(AppendReply, synced)).synced_index, 2)
         self.assertEqual(only(of_kind(ApplyEntries, synced)).entries, entries(1, 1, 1))
 
-    def test_acknowledges_nothing_of_a_former_leader_to_a_new_one(self) -> None:
+    def test_does_not_acknowledge_entries_of_a_previous_leader_to_a_new_one(self) -> None:
         tested = TestedReplica(term=1)
         tested.append(B, 1, log=entries(1, 1, 1))
         tested.append(C, 2)
         replies = sent(AppendReply, tested.sync_log())
         self.assertEqual([reply.synced_index for reply in replies], [])
 
-    def test_tells_a_leader_of_an_older_term_of_the_newer(self) -> None:
+    def test_rejects_a_leader_of_an_older_term_with_the_newer_term(self) -> None:
         reply = only(sent(AppendReply, TestedReplica(term=5).append(B, 4)))
         self.assertEqual((reply.success, reply.term), (False, 5))
 
@@ -80,7 +80,7 @@
         self.tested = TestedReplica(term=2, log=entries(1, 1))
         self.tested.append(B, 2)
 
-    def test_is_put_together_from_chunks_whatever_their_order(self) -> None:
+    def test_is_assembled_from_chunks_and_ignores_one_out_of_order(self) -> None:
         early = only(sent(SnapshotReply, self.tested.receive(self.chunk(3, b"def", is_last=True))))
         self.assertEqual(early.next_offset, 0)
         self.tested.receive(self.chunk(0, b"abc", is_last=False))
@@ -98,7 +98,7 @@
         self.assertTrue(only(sent(SnapshotReply, installed)).installed)
         self.assertEqual(self.tested.replica.log.synced_index, 10)
 
-    def test_is_read_in_any_slice_without_being_copied_together(self) -> None:
+    def test_any_slice_of_received_chunks_can_be_read(self) -> None:
         data = ReceivedSnapshotData()
         for chunk in (b"abc", b"", b"d", b"efgh"):
             data.append(chunk)
--- a/tests/raft/test_repair.py
+++ b/tests/raft/test_repair.py
@@ -1,4 +1,4 @@
-"""A replica loses its disk, is repaired, and a second machine is lost right after."""
+"""Repair of a replica that lost its disk, followed by the loss of a second machine."""
 
 import unittest
 
@@ -8,11 +8,11 @@
 from passlane.simulation.raft_host import SimulatedReplicaHost
 
 SEEDS = range(8)
-LIMIT_S = 30.0
+TIMEOUT_S = 30.0
 
 
 class RunningGroup:
-    """Three replicas with clients at work; ``wiped`` is to be repaired."""
+    """A group of three replicas with active clients; ``wiped`` is the replica to repair."""
 
     def __init__(self, seed: int) -> None:
         self.cluster = RaftCluster(seed, ClusterOptions(hosts=3))
@@ -23,10 +23,10 @@
         self.cluster.run_until(3.0)
         self.leader = self.cluster.leaders[-1]
         followers = [host for host in self.cluster.hosts if host is not self.leader]
-        self.wiped, self.other = followers
+        self.wiped, self.other_follower = followers
 
     @property
-    def done(self) -> int:
+    def completed_commands(self) -> int:
         return sum(client.commands_done for client in self.clients)
 
     def is_voter(self, host: SimulatedReplicaHost) -> bool:
@@ -36,53 +36,57 @@
         member = member_of(self.cluster.committed_membership(), host.disk.replica_id)
         return member is not None and not member.is_voter
 
-    def has_everything(self, host: SimulatedReplicaHost) -> bool:
+    def has_all_acknowledged(self, host: SimulatedReplicaHost) -> bool:
         return self.cluster.invariants.acknowledged.keys() <= host.machine.known
 
-    def begin_repair(self) -> None:
+    def start_repair(self) -> None:
         self.cluster.wipe(self.wiped)
         self.cluster.run_until(self.cluster.now + 0.5)
         self.wiped.start()
 
-    def goes_on(self, commands: int = 20) -> bool:
-        before = self.done
-        deadline = self.cluster.now + LIMIT_S
-        return self.cluster.run_until_true(lambda: self.done >= before + commands, deadline)
+    def makes_progress(self, commands: int = 20) -> bool:
+        before = self.completed_commands
+        deadline = self.cluster.now + TIMEOUT_S
+        return self.cluster.run_until_true(
+            lambda: self.completed_commands >= before + commands, deadline
+        )
 
-    def until(self, condition: object) -> None:
+    def wait_until(self, condition: object) -> None:
         assert callable(condition)
-        assert self.cluster.run_until_true(condition, self.cluster.now + LIMIT_S)
+        assert self.cluster.run_until_true(condition, self.cluster.now + TIMEOUT_S)
 
 
 class RepairTest(unittest.TestCase):
-    def test_a_second_machine_lost_as_soon_as_the_repaired_one_votes_costs_nothing(self) -> None:
+    def test_losing_a_second_machine_after_the_repair_keeps_the_group_available(self) -> None:
         for seed in SEEDS:
             for is_leader_lost in (False, True):
                 with self.subTest(seed=seed, is_leader_lost=is_leader_lost):
                     group = RunningGroup(seed)
-                    group.begin_repair()
-                    group.until(lambda group=group: group.is_voter(group.wiped))
+                    group.start_repair()
+                    group.wait_until(lambda group=group: group.is_voter(group.wiped))
 
-                    lost = group.leader if is_leader_lost else group.other
+                    lost = group.leader if is_leader_lost else group.other_follower
                     lost.crash()
 
-                    self.assertTrue(group.goes_on())
-                    group.until(lambda group=group: group.has_everything(group.wiped))
+                    self.assertTrue(group.makes_progress())
+                    group.wait_until(lambda group=group: group.has_all_acknowledged(group.wiped))
 
-    def test_a_second_machine_lost_before_that_stops_the_group_until_it_is_back(self) -> None:
+    def test_losing_a_second_machine_during_the_repair_blocks_the_group_until_it_returns(
+        self,
+    ) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 group = RunningGroup(seed)
-                group.begin_repair()
-                group.until(lambda group=group: group.is_learner(group.wiped))
-                group.other.crash()
+                group.start_repair()
+                group.wait_until(lambda group=group: group.is_learner(group.wiped))
+                group.other_follower.crash()
                 group.cluster.run_until(group.cluster.now + 1.0)
-                self.assertFalse(group.goes_on())
+                self.assertFalse(group.makes_progress())
 
-                group.other.start()
+                group.other_follower.start()
 
-                self.assertTrue(group.goes_on())
-                group.until(lambda group=group: group.is_voter(group.wiped))
+                self.assertTrue(group.makes_progress())
+                group.wait_until(lambda group=group: group.is_voter(group.wiped))
 
 
 if __name__ == "__main__":
--- a/tests/raft/test_replication.py
+++ b/tests/raft/test_replication.py
@@ -1,4 +1,4 @@
-"""How a leader finds where a follower's log agrees, and what it counts as committed."""
+"""Leaders: conflict resolution, commit, pipelining and snapshot transfer."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class ConflictTest(unittest.TestCase):
-    def test_leader_goes_back_to_the_conflict_and_sends_what_follows(self) -> None:
+    def test_leader_probes_before_the_conflict_and_sends_the_entries_after_it(self) -> None:
         tested = TestedReplica(term=3, log=entries(1, 1, 1, 3, 3))
         tested.become_leader(B, C)
 
@@ -30,8 +30,8 @@
         batch = only(requests_to(B, tested.acknowledge(B, 2)))
         self.assertEqual([entry.index for entry in batch.entries], [3, 4, 5])
 
-    def test_a_conflict_within_a_term_that_partly_agrees_is_overcome(self) -> None:
-        """The hint names the start of the term, which lies before what is known to agree."""
+    def test_a_conflict_index_before_the_matching_index_is_limited_to_it(self) -> None:
+        """The conflict index is the start of the term, before the known matching index."""
         tested = TestedReplica(term=3, log=entries(1, 1, 1, 3, 3))
         tested.become_leader(B, C)
         tested.acknowledge(B, 2)
@@ -42,7 +42,7 @@
 
 
 class CommitTest(unittest.TestCase):
-    def test_entries_of_an_older_term_are_committed_only_along_with_an_own_one(self) -> None:
+    def test_entries_of_an_older_term_are_committed_only_with_one_of_the_own_term(self) -> None:
         tested = TestedReplica(term=1, log=entries(1, 1))
         tested.become_leader(B)
         tested.acknowledge(B, 1)
@@ -66,7 +66,7 @@
 
 
 class PipelineTest(unittest.TestCase):
-    def test_batches_are_sent_ahead_of_their_acknowledgements_up_to_a_window(self) -> None:
+    def test_batches_are_pipelined_up_to_a_window(self) -> None:
         tested = TestedReplica(max_batch_bytes=1, max_in_flight_batches=3)
         tested.become_leader(B)
         self.assertEqual(
@@ -77,7 +77,7 @@
 
         self.assertEqual([entry.index for m in freed for entry in m.entries], [4, 5])
 
-    def test_a_lost_batch_is_sent_again_after_a_heartbeat(self) -> None:
+    def test_a_lost_batch_is_sent_again_after_a_rejected_heartbeat(self) -> None:
         tested = TestedReplica()
         tested.become_leader(B)
         tested.propose(1)
--- a/tests/raft/test_simulated_group.py
+++ b/tests/raft/test_simulated_group.py
@@ -1,4 +1,4 @@
-"""Seeded runs of a simulated group under faults: every promise holds, and runs repeat."""
+"""Seeded runs of a simulated group under faults: invariants hold, and runs are reproducible."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 SEEDS = {
     ORDINARY: (0, 1, 2, 3),
-    # Seed 41: a follower whose term agreed only in part never caught up.
+    # Seed 41 covers a follower whose entries of one term match only in part.
     "congested": (0, 1, 2, 3, 41),
     "lossy": (0, 1, 2, 3),
     "calm-between-faults": (0,),
@@ -18,7 +18,7 @@
 
 
 class SimulatedGroupTest(unittest.TestCase):
-    def test_every_promise_holds_under_all_conditions(self) -> None:
+    def test_invariants_hold_under_all_conditions(self) -> None:
         self.assertEqual(SEEDS.keys(), CONDITIONS.keys())
         for conditions, seeds in SEEDS.items():
             for seed in seeds:
@@ -27,7 +27,7 @@
                     self.assertIsNone(result.violation, result.details)
                     self.assertGreater(result.commands, 0)
 
-    def test_a_seed_always_gives_the_same_run(self) -> None:
+    def test_a_seed_is_reproducible(self) -> None:
         first, second = (run_raft_seed(7, CONDITIONS["lossy"]) for _ in range(2))
         self.assertEqual(first, second)
 
