--- a/src/passlane/replication/__init__.py
+++ b/src/passlane/replication/__init__.py
@@ -1,1 +1,1 @@
-"""The I/O shell that runs a Raft replica over disk and network."""
+"""Runs Raft replicas with disk and network I/O."""
--- a/src/passlane/replication/backoff.py
+++ b/src/passlane/replication/backoff.py
@@ -1,4 +1,4 @@
-"""Pauses between tries of a request, longer after each."""
+"""Exponential backoff with jitter between the attempts of a request."""
 
 import random as random_module
 
@@ -6,22 +6,22 @@
 
 
 class Backoff:
-    """Pauses that double up to a bound, with jitter so that clients do not keep step.
+    """Pauses that double up to a maximum, with jitter so that clients do not synchronize.
 
     Parameters
     ----------
     random
-        Source of the jitter: a pause lasts from half its length to all of it.
-    first_s, longest_s
-        Length of the first pause and the bound, in seconds.
+        Source of the jitter: each pause is between half the current length and all of it.
+    initial_s, max_s
+        Initial and maximum length in seconds.
     """
 
-    def __init__(self, random: random_module.Random, first_s: float, longest_s: float) -> None:
+    def __init__(self, random: random_module.Random, initial_s: float, max_s: float) -> None:
         self._random = random
-        self._next_s = first_s
-        self._longest_s = longest_s
+        self._next_s = initial_s
+        self._max_s = max_s
 
     async def pause(self) -> None:
-        """Wait before the next try."""
+        """Wait before the next attempt."""
         await anyio.sleep(self._random.uniform(self._next_s / 2, self._next_s))
-        self._next_s = min(2 * self._next_s, self._longest_s)
+        self._next_s = min(2 * self._next_s, self._max_s)
--- a/src/passlane/replication/client.py
+++ b/src/passlane/replication/client.py
@@ -1,4 +1,4 @@
-"""Sends requests to the leader of a replicated group, wherever it is."""
+"""Client of a replicated group: finds the leader and retries requests."""
 
 import random as random_module
 from collections.abc import Sequence
@@ -14,8 +14,8 @@
 
 ReplyType = TypeVar("ReplyType", bound=Message)
 
-FIRST_PAUSE_S = 0.01
-LONGEST_PAUSE_S = 0.5
+INITIAL_BACKOFF_S = 0.01
+MAX_BACKOFF_S = 0.5
 ATTEMPT_TIMEOUT_S = 2.0
 
 _RETRIED_CODES = frozenset(
@@ -30,7 +30,7 @@
 
 
 class GroupClient:
-    """Finds the leader, follows hints to it, and repeats idempotent requests.
+    """Finds the leader, follows leader hints, and retries idempotent requests.
 
     Parameters
     ----------
@@ -39,7 +39,7 @@
     addresses
         Internal addresses of the group's replicas.
     random
-        For the order of tries and the jitter of pauses.
+        Chooses the replica to try and the jitter of the backoff.
     """
 
     def __init__(
@@ -60,35 +60,36 @@
         Raises
         ------
         PasslaneError
-            As the leader answered; after ``timeout_s`` the last error, with verdict
-            ``may_have_run`` if any try may have run.
+            The error that the leader returned; after ``timeout_s`` the last error, with
+            verdict ``may_have_run`` if any attempt may have run.
         """
         deadline = anyio.current_time() + timeout_s
-        backoff = Backoff(self._random, FIRST_PAUSE_S, LONGEST_PAUSE_S)
+        backoff = Backoff(self._random, INITIAL_BACKOFF_S, MAX_BACKOFF_S)
         verdict = Verdict.NOT_RUN
         follows_hint = False
         while True:
             address = self._leader or self._random.choice(self._addresses)
             try:
-                return await self._try(address, request, reply, deadline)
+                return await self._send_attempt(address, request, reply, deadline)
             except PasslaneError as error:
                 if error.code not in _RETRIED_CODES:
                     raise
                 if error.verdict is not Verdict.NOT_RUN:
                     verdict = Verdict.MAY_HAVE_RUN
-                hint = self._note_failure(error, address)
+                hint = self._update_leader_hint(error, address)
                 last_error = error
-            # A first hint is followed at once; two replicas may point at each other.
+            # Only one hint in a row is followed without a pause, because two replicas may
+            # name each other as the leader.
             follows_hint = hint and not follows_hint
             if not follows_hint:
                 await backoff.pause()
             if anyio.current_time() >= deadline:
                 raise self._final_error(last_error, verdict) from last_error
 
-    async def _try(
+    async def _send_attempt(
         self, address: Address, request: Message, reply: type[ReplyType], deadline: float
     ) -> ReplyType:
-        """Send the request to one replica; one that answers is taken for the leader."""
+        """Send the request to one replica; a replica that replies is assumed to lead."""
         remaining_s = deadline - anyio.current_time()
         result = await self._caller.call(
             address, request, reply, timeout_s=min(remaining_s, ATTEMPT_TIMEOUT_S)
@@ -96,15 +97,15 @@
         self._leader = address
         return result
 
-    def _note_failure(self, error: PasslaneError, address: Address) -> bool:
-        """Choose where to try next; return whether the error named a leader."""
+    def _update_leader_hint(self, error: PasslaneError, address: Address) -> bool:
+        """Set the replica to try next; return whether the error named a leader."""
         leader = error.leader if isinstance(error, NotLeaderError) else None
         self._leader = None if leader == address else leader
         return self._leader is not None
 
     @staticmethod
     def _final_error(error: PasslaneError, verdict: Verdict) -> PasslaneError:
-        """Return ``error`` with the verdict over all tries."""
+        """Return ``error`` with the combined verdict of all attempts."""
         if error.verdict is verdict:
             return error
         return PasslaneError(
--- a/src/passlane/replication/interfaces.py
+++ b/src/passlane/replication/interfaces.py
@@ -1,4 +1,4 @@
-"""What a replicated group offers to the service on top of it, and what it asks of it."""
+"""Interfaces between a replicated group and the service that runs on it."""
 
 from collections.abc import Iterable, Iterator
 from typing import Protocol
@@ -9,27 +9,27 @@
 class StateMachine(Protocol):
     """A deterministic state machine whose commands are replicated.
 
-    ``apply`` must depend on nothing but the state and the command: no clock, no
-    random numbers, no iteration over unordered sets.
+    ``apply`` must depend only on the state and the command: no clock, no random numbers,
+    no iteration over unordered sets.
     """
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply one committed command and return its encoded result; never raise."""
+        """Apply one committed command and return its encoded result; must not raise."""
         ...
 
     def snapshot_parts(self) -> Iterator[bytes]:
-        """Return the whole state as of this call, encoded, in parts.
+        """Return the whole encoded state as of this call, in parts.
 
-        Commands are applied between two parts and must not show in those that follow.
-        A part should take no more than milliseconds to encode: the loop stands still.
-        An iterator that is dropped half-way ends that snapshot; there is one at a time.
+        Commands may be applied between two parts and must not appear in later parts. A part
+        should take at most a few milliseconds to encode, because it blocks the event loop.
+        Dropping the iterator ends the snapshot; only one snapshot is taken at a time.
         """
         ...
 
     def restore_parts(self, parts: Iterable[bytes]) -> Iterator[None]:
-        """Replace the state by that of a snapshot; yields whenever the loop may go on.
+        """Replace the state with that of a snapshot; yields to let the event loop run.
 
-        The old state stays in place until the last part was taken.
+        The previous state stays in use until the last part is decoded.
         """
         ...
 
@@ -44,18 +44,18 @@
 
     @property
     def leader_address(self) -> Address | None:
-        """Address of the leader as far as known."""
+        """Address of the leader, if known."""
         ...
 
     @property
     def term(self) -> int:
-        """Current term; serves as fencing token for what the leader orders."""
+        """Current term; serves as the fencing token of the leader's orders."""
         ...
 
     async def propose(self, command: bytes, *, may_be_deferred: bool = False) -> bytes:
         """Replicate a command and return its result.
 
-        One that may be deferred waits for a moment for others to be replicated with. It is
+        A command that may be deferred waits briefly for others to share a batch with. It is
         never applied after a command that was proposed later.
 
         Raises
@@ -67,7 +67,7 @@
         ...
 
     async def read_barrier(self) -> None:
-        """Return once local state holds all that was committed before the call.
+        """Return once the local state includes everything committed before the call.
 
         Raises
         ------
--- a/src/passlane/replication/message_dispatch.py
+++ b/src/passlane/replication/message_dispatch.py
@@ -1,7 +1,7 @@
-"""Hands messages of Raft groups to the right group of this process.
+"""Dispatches messages of Raft groups to the groups in this process.
 
-A router takes one handler for each class of message, but several groups may share a
-process; their messages name the group.
+A router has one handler for each class of message, but several groups may share a
+process. Each message contains the name of its group.
 """
 
 from collections.abc import Awaitable, Callable
@@ -24,7 +24,7 @@
 
 
 class GroupHandlers(msgspec.Struct, frozen=True):
-    """What one group does with its messages."""
+    """Message handlers of one group."""
 
     on_raft_message: Callable[[RaftMessage], None]
     on_status_request: Callable[[GroupStatusRequest], Awaitable[GroupStatus]]
@@ -32,7 +32,7 @@
 
 
 class MessageDispatch:
-    """The groups of one router, by name."""
+    """Dispatches the messages of one router to groups by name."""
 
     def __init__(self, router: Router) -> None:
         self._groups: dict[str, GroupHandlers] = {}
@@ -42,11 +42,11 @@
         router.add_unary(JoinRequest, self._handle_join_request)
 
     def add_group(self, group: str, handlers: GroupHandlers) -> None:
-        """Hand the messages of ``group`` to ``handlers`` from now on."""
+        """Register the handlers of ``group``; they replace earlier ones."""
         self._groups[group] = handlers
 
     async def _handle_raft_message(self, message: RaftMessage) -> None:
-        """Hand on a Raft message; one for a group that is not here is dropped."""
+        """Forward a Raft message to its group; drop it if the group is not in this process."""
         handlers = self._groups.get(message.group)
         if handlers is not None:
             handlers.on_raft_message(message)
@@ -58,7 +58,7 @@
         return await self._handlers_of(request.group).on_join_request(request)
 
     def _handlers_of(self, group: str) -> GroupHandlers:
-        """Return the handlers of ``group``; refuse a group that is not here."""
+        """Return the handlers of ``group``; raise if the group is not in this process."""
         handlers = self._groups.get(group)
         if handlers is None:
             raise PasslaneError(
@@ -73,7 +73,7 @@
 
 
 def dispatch_for(router: Router) -> MessageDispatch:
-    """Return the one dispatch of ``router``, registered with it on first use."""
+    """Return the dispatch of ``router``, creating and registering it on first use."""
     dispatch = _dispatch_of_router.get(router)
     if dispatch is None:
         dispatch = MessageDispatch(router)
--- a/src/passlane/replication/peer_sender.py
+++ b/src/passlane/replication/peer_sender.py
@@ -1,4 +1,4 @@
-"""Sends one-way messages to each peer in order, without holding up the loop."""
+"""Sends one-way messages to each peer in order, without blocking the event loop."""
 
 from collections import deque
 
@@ -9,13 +9,13 @@
 from passlane.transport.interfaces import Caller, ImmediateSender
 
 MAX_QUEUED_MESSAGES = 256
-"""Most messages that wait for one peer; beyond it the oldest are dropped."""
+"""Maximum number of queued messages per peer; beyond it the oldest is dropped."""
 
 
 class PeerSender:
-    """Sends over open connections at once, and queues for a peer that has none.
+    """Sends immediately over open connections, and queues messages for other peers.
 
-    A queue has a task while it is not empty.
+    Each non-empty queue has a task that sends its messages.
     """
 
     def __init__(self, caller: Caller, tasks: TaskGroup) -> None:
@@ -25,7 +25,7 @@
         self._queues: dict[Address, deque[Message]] = {}
 
     def send(self, address: Address, message: Message) -> None:
-        """Send a message now or soon, or lose it, as Raft allows."""
+        """Send or queue a message; delivery is not guaranteed."""
         queue = self._queues.get(address)
         if queue is not None:
             queue.append(message)
@@ -36,7 +36,7 @@
         self._tasks.start_soon(self._send_queued, address)
 
     async def _send_queued(self, address: Address) -> None:
-        """Send the messages that wait for one peer, until there is none."""
+        """Send the queued messages of one peer until the queue is empty."""
         queue = self._queues[address]
         try:
             while queue:
--- a/src/passlane/replication/pending.py
+++ b/src/passlane/replication/pending.py
@@ -1,4 +1,4 @@
-"""Callers that wait for a proposal's result or for a read to be allowed."""
+"""Callers that wait for the result of a proposal or for a read."""
 
 import anyio
 import msgspec
@@ -6,12 +6,12 @@
 from passlane.errors import ErrorCode, PasslaneError, Verdict
 from passlane.messages.common import Address, NotLeaderError
 
-SHORTEST_PAUSE_S = 0.05
-"""The table is looked through for overdue callers no more often than this."""
+MIN_CHECK_INTERVAL_S = 0.05
+"""Minimum interval between two checks for overdue callers."""
 
 
 class _Waiter(msgspec.Struct):
-    """One caller; ``done`` is set when there is a result or an error."""
+    """A waiting caller; ``done`` is set once there is a result or an error."""
 
     deadline: float
     done: anyio.Event = msgspec.field(default_factory=anyio.Event)
@@ -22,15 +22,15 @@
 class PendingRequests:
     """Waiting callers by token.
 
-    ``run`` ends the wait of those that have waited for too long: one timer for all, since
-    one for each costs 11 to 20 us of processor time (20,000 times on a busy machine).
+    ``run`` fails overdue callers. One timer serves all callers, because a timer for each
+    would cost considerable processor time.
 
     Parameters
     ----------
     timeout_error
-        Raised to a caller that has waited for too long.
+        Raised to a caller whose deadline has passed.
     timeout_s
-        How long a caller waits.
+        Seconds until a caller times out.
     """
 
     def __init__(self, timeout_error: PasslaneError, timeout_s: float) -> None:
@@ -41,14 +41,14 @@
         self._has_waiters = anyio.Event()
 
     async def run(self) -> None:
-        """End the wait of those whose time is over, until cancelled."""
+        """Fail overdue callers until cancelled."""
         while True:
             await self._has_waiters.wait()
             while self._waiters:
-                # The first one has waited longest.
+                # Callers are in the order of their deadlines.
                 first = next(iter(self._waiters.values()))
-                pause_until = max(first.deadline, anyio.current_time() + SHORTEST_PAUSE_S)
-                await anyio.sleep_until(pause_until)
+                next_check_at = max(first.deadline, anyio.current_time() + MIN_CHECK_INTERVAL_S)
+                await anyio.sleep_until(next_check_at)
                 self._fail_overdue(anyio.current_time())
             self._has_waiters = anyio.Event()
 
@@ -66,14 +66,14 @@
         )
 
     def add(self) -> int:
-        """Return the token of a new caller, whose time begins now."""
+        """Add a caller, whose timeout starts now, and return its token."""
         self._last_token += 1
         self._waiters[self._last_token] = _Waiter(anyio.current_time() + self._timeout_s)
         self._has_waiters.set()
         return self._last_token
 
     async def wait(self, token: int) -> bytes:
-        """Return the result, or raise the error, that ``token`` gets."""
+        """Return the result of ``token``, or raise its error."""
         waiter = self._waiters[token]
         try:
             await waiter.done.wait()
@@ -84,34 +84,34 @@
         return waiter.result
 
     async def wait_until_done(self, token: int, timeout_s: float) -> None:
-        """Return once ``token`` has got its result or error, or the time is over."""
+        """Return once ``token`` has a result or an error, or after ``timeout_s``."""
         waiter = self._waiters.get(token)
         if waiter is not None and not waiter.done.is_set():
             with anyio.move_on_after(timeout_s):
                 await waiter.done.wait()
 
     def complete(self, token: int, result: bytes) -> None:
-        """Give a caller its result; one that has gone away is ignored."""
+        """Set the result of a caller; a caller that no longer waits is ignored."""
         waiter = self._waiters.get(token)
         if waiter is not None and not waiter.done.is_set():
             waiter.result = result
             waiter.done.set()
 
     def fail(self, token: int, error: PasslaneError) -> None:
-        """Raise ``error`` to a caller."""
+        """Set the error of a caller; a caller that no longer waits is ignored."""
         waiter = self._waiters.get(token)
         if waiter is not None and not waiter.done.is_set():
             waiter.error = error
             waiter.done.set()
 
     def fail_all(self, code: ErrorCode, message: str, verdict: Verdict) -> None:
-        """Raise an error to all callers, as when the replica stops."""
+        """Fail all callers, for example when the replica stops."""
         for token in list(self._waiters):
             self.fail(token, PasslaneError(code, message, verdict=verdict))
 
 
 def rejection(leader: Address | None, *, may_be_committed: bool) -> PasslaneError:
-    """Return the error for a proposal that this replica does not see through."""
+    """Return the error for a proposal or read that this replica rejects."""
     if may_be_committed:
         return PasslaneError(
             ErrorCode.LEASE_LOST,
--- a/src/passlane/replication/replica_files.py
+++ b/src/passlane/replication/replica_files.py
@@ -1,4 +1,4 @@
-"""Opens the files of a replica, and builds the Raft state machine that they describe."""
+"""Opens the files of a replica, and builds the Raft replica from them."""
 
 import random as random_module
 
@@ -15,7 +15,7 @@
 
 
 class ReplicaFiles(msgspec.Struct, frozen=True):
-    """What was found in a replica's folder; ``log`` is open and must be closed."""
+    """Contents of a replica's folder; ``log`` is open and must be closed."""
 
     log: SegmentedLog
     recovered: RecoveredLog
@@ -24,16 +24,16 @@
 
     @property
     def snapshot_last(self) -> LogPosition:
-        """Position up to which the snapshot holds the state; the log's start without one."""
+        """Position of the last entry in the snapshot; the log's start without a snapshot."""
         return self.snapshot.last if self.snapshot is not None else START_OF_LOG
 
     @property
     def snapshot_bytes(self) -> int:
-        """Size of the snapshot's data; 0 without one."""
+        """Size of the snapshot's data; 0 without a snapshot."""
         return len(self.snapshot.data) if self.snapshot is not None else 0
 
     def members(self, identity: Identity) -> tuple[GroupMember, ...]:
-        """Return the membership as of the snapshot, or the group's first members."""
+        """Return the membership as of the snapshot, or the group's founders."""
         if self.snapshot is not None:
             return self.snapshot.membership.members
         return identity.founders
@@ -47,7 +47,7 @@
     Raises
     ------
     PasslaneError
-        ``STORAGE_CORRUPT`` when they are damaged, or when the log of a member is gone.
+        ``STORAGE_CORRUPT`` when they are damaged, or when the log of a member is missing.
     """
     store = SnapshotStore(disk, folder, group)
     snapshot = await store.load()
@@ -55,14 +55,14 @@
     log, recovered = await SegmentedLog.open(disk, folder, group, segment_bytes, last)
     if identity.is_member and recovered.is_new:
         log.close()
-        raise storage_corrupt(f"group {group}: the log is gone")
+        raise storage_corrupt(f"group {group}: the log in {folder} is missing")
     return ReplicaFiles(log, recovered, store, snapshot)
 
 
 def build_replica(
     config: ReplicaConfig, random: random_module.Random, identity: Identity, files: ReplicaFiles
 ) -> Replica:
-    """Return the Raft state machine as of the files."""
+    """Return the Raft replica restored from the files."""
     last = files.snapshot_last
     return Replica(
         config,
--- a/src/passlane/replication/replica_metrics.py
+++ b/src/passlane/replication/replica_metrics.py
@@ -1,11 +1,11 @@
-"""Metrics of the replicas that run in a process."""
+"""Metrics of the replicas in a process."""
 
 from passlane.observability.metrics import Metrics
 from passlane.replication.replica_host import ReplicaHost
 
 
 def expose_replica(metrics: Metrics, group: str, host: ReplicaHost) -> None:
-    """Show the state of ``host`` under ``/metrics``; a later host of the group replaces it."""
+    """Expose the state of ``host`` at ``/metrics``; a later host of the group replaces it."""
     labels = ("group",)
     metrics.gauge("replica_leads", "1 if the replica leads its group", labels).labels(
         group
--- a/tests/replication/test_peer_sender.py
+++ b/tests/replication/test_peer_sender.py
@@ -1,4 +1,4 @@
-"""Order and bounds of what is sent to peers, with and without an open connection."""
+"""Order and queue limit of messages to peers, with and without an open connection."""
 
 import functools
 import unittest
@@ -9,8 +9,8 @@
 from passlane.messages.common import Address
 from passlane.replication.peer_sender import MAX_QUEUED_MESSAGES, PeerSender
 
-NEAR = Address("10.0.0.1", 7000)
-FAR = Address("10.0.0.2", 7000)
+CONNECTED_PEER = Address("10.0.0.1", 7000)
+UNCONNECTED_PEER = Address("10.0.0.2", 7000)
 
 
 class SlowCaller:
@@ -25,11 +25,11 @@
 
 
 class OpeningCaller(SlowCaller):
-    """Has an open connection to the near peer; that to the far one opens with the first send."""
+    """Has a connection to one peer; the other connection opens with the first send."""
 
     def __init__(self):
         super().__init__()
-        self.open = {NEAR}
+        self.open = {CONNECTED_PEER}
 
     def send_now(self, address, message):
         if address not in self.open:
@@ -63,42 +63,42 @@
 
 class PeerSenderTest(unittest.TestCase):
     @with_caller(OpeningCaller)
-    async def test_over_an_open_connection_a_message_is_sent_at_once(self, sender, caller):
-        sender.send(NEAR, 1)
-        self.assertEqual(caller.sent, [(NEAR, 1)])
+    async def test_message_is_sent_immediately_over_an_open_connection(self, sender, caller):
+        sender.send(CONNECTED_PEER, 1)
+        self.assertEqual(caller.sent, [(CONNECTED_PEER, 1)])
 
     @with_caller(OpeningCaller)
-    async def test_a_peer_without_a_connection_holds_up_no_other(self, sender, caller):
-        sender.send(FAR, 1)
-        sender.send(NEAR, 2)
+    async def test_a_peer_without_a_connection_does_not_block_others(self, sender, caller):
+        sender.send(UNCONNECTED_PEER, 1)
+        sender.send(CONNECTED_PEER, 2)
         await anyio.sleep(0.1)
-        self.assertEqual(caller.sent, [(NEAR, 2), (FAR, 1)])
+        self.assertEqual(caller.sent, [(CONNECTED_PEER, 2), (UNCONNECTED_PEER, 1)])
 
     @with_caller(OpeningCaller)
     async def test_order_is_kept_while_a_connection_opens(self, sender, caller):
         for number in range(5):
-            sender.send(FAR, number)
+            sender.send(UNCONNECTED_PEER, number)
             await anyio.sleep(0.006)
         await anyio.sleep(0.1)
-        sender.send(FAR, 5)
-        self.assertEqual(caller.sent, [(FAR, number) for number in range(6)])
+        sender.send(UNCONNECTED_PEER, 5)
+        self.assertEqual(caller.sent, [(UNCONNECTED_PEER, number) for number in range(6)])
 
     @with_caller(SlowCaller)
     async def test_order_is_kept_without_open_connections(self, sender, caller):
         for number in range(5):
-            sender.send(FAR, number)
+            sender.send(UNCONNECTED_PEER, number)
             await anyio.sleep(0.006)
         await anyio.sleep(0.1)
-        self.assertEqual(caller.sent, [(FAR, number) for number in range(5)])
+        self.assertEqual(caller.sent, [(UNCONNECTED_PEER, number) for number in range(5)])
 
     @with_caller(SlowCaller)
-    async def test_the_oldest_are_dropped_beyond_the_bound(self, sender, caller):
+    async def test_the_oldest_messages_are_dropped_from_a_full_queue(self, sender, caller):
         count = MAX_QUEUED_MESSAGES + 10
         for number in range(count):
-            sender.send(FAR, number)
+            sender.send(UNCONNECTED_PEER, number)
         await anyio.sleep(10.0)
         self.assertEqual(len(caller.sent), MAX_QUEUED_MESSAGES)
-        self.assertEqual(caller.sent[-1], (FAR, count - 1))
+        self.assertEqual(caller.sent[-1], (UNCONNECTED_PEER, count - 1))
 
 
 if __name__ == "__main__":
