--- a/src/passlane/replication/driver.py
+++ b/src/passlane/replication/driver.py
@@ -1,8 +1,8 @@
-"""Carries out what a Raft replica instructs: writes, sends, applies, snapshots.
+"""Carries out the instructions of a Raft replica: writes, messages, applies, snapshots.
 
-``ReplicaDriver.step`` hands an event to the replica and carries out the instructions
-without waiting. What takes time (syncs, snapshots, sending) runs in tasks beside it,
-which report back by further events.
+``ReplicaDriver.step`` passes an event to the replica and carries out the instructions
+without waiting. Operations that take time (syncs, snapshots, sending) run in background
+tasks, which report their results as further events.
 """
 
 from collections import deque
@@ -42,8 +42,8 @@
 from passlane.replication.interfaces import StateMachine
 from passlane.replication.peer_sender import PeerSender
 from passlane.replication.pending import PendingRequests, rejection
-from passlane.replication.snapshot_keeper import SnapshotKeeper
-from passlane.replication.snapshot_rule import SnapshotRule
+from passlane.replication.snapshot_manager import SnapshotManager
+from passlane.replication.snapshot_policy import SnapshotPolicy
 from passlane.storage.formats import HardState, LogPosition, storage_corrupt
 from passlane.storage.log import SegmentedLog
 
@@ -54,24 +54,25 @@
 
 
 class ReplicaDriver:
-    """Runs one replica between its files, its peers and its state machine.
+    """Connects one replica to its files, its peers and its state machine.
 
     Parameters
     ----------
     applied
-        Position up to which ``state_machine`` stands already (its snapshot's).
+        Position of the last entry that ``state_machine`` already includes, which is that of
+        its snapshot.
     """
 
     def __init__(
         self,
         replica: Replica,
         log: SegmentedLog,
-        snapshots: SnapshotKeeper,
+        snapshots: SnapshotManager,
         state_machine: StateMachine,
         sender: PeerSender,
         proposals: PendingRequests,
         reads: PendingRequests,
-        snapshot_rule: SnapshotRule,
+        snapshot_policy: SnapshotPolicy,
         applied: LogPosition,
     ) -> None:
         self.replica = replica
@@ -84,34 +85,34 @@
         self._writes = DurableWrites(log, sender, self.step)
         self._proposals = proposals
         self._reads = reads
-        self._snapshot_rule = snapshot_rule
-        self._leads = False
+        self._snapshot_policy = snapshot_policy
+        self._is_leading = False
         self._waiting_reads: list[AllowRead] = []
         self._installing: InstallSnapshot | None = None
         self._deferred_instructions: list[Instruction] = []
         self._deferred_events: deque[Event] = deque()
-        self._sleeps_until = 0.0
+        self._wake_at = 0.0
         self._time_changed = anyio.Event()
-        self._snapshot_wanted = anyio.Event()
+        self._snapshot_requested = anyio.Event()
         self._failure: PasslaneError | RaftInvariantError | None = None
         self._failed = anyio.Event()
 
     @property
     def is_leader(self) -> bool:
         """Whether this replica leads and has applied an entry of its own term."""
-        return self._leads and self.applied.term == self.term
+        return self._is_leading and self.applied.term == self.term
 
     async def run(self) -> None:
-        """Run the tasks beside the loop until one fails or all are cancelled."""
+        """Run the background tasks until one fails or all are cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._advance_time)
-            tasks.start_soon(self._writes.sync_for_ever)
-            tasks.start_soon(self._keep_snapshots)
-            tasks.start_soon(self._watch_space)
+            tasks.start_soon(self._writes.run_syncs)
+            tasks.start_soon(self._run_snapshots)
+            tasks.start_soon(self._handle_full_disk)
             tasks.start_soon(self._raise_failure)
 
     def step(self, event: Event) -> None:
-        """Hand an event to the replica and carry out what it instructs."""
+        """Pass an event to the replica and carry out its instructions."""
         if self._failure is not None:
             return
         if self._installing is not None and not isinstance(event, SnapshotInstalled):
@@ -125,22 +126,22 @@
         except OSError as error:
             self._fail(storage_corrupt(f"the disk failed: {error}"))
             return
-        if self.replica.next_deadline() < self._sleeps_until:
+        if self.replica.next_deadline() < self._wake_at:
             self._time_changed.set()
 
     def _fail(self, error: PasslaneError | RaftInvariantError) -> None:
-        """End the replica; the caller may be a connection that has no part in the fault."""
+        """Stop the replica without raising to the caller, which may be unrelated to the fault."""
         self._failure = error
         self._failed.set()
 
     async def _raise_failure(self) -> None:
-        """End the replica once an event has shown that it must not go on."""
+        """Raise the failure that stopped the replica, once there is one."""
         await self._failed.wait()
         assert self._failure is not None
         raise self._failure
 
     def _defer(self, event: Event) -> None:
-        """Keep an event until the snapshot is installed; messages may be dropped."""
+        """Defer an event until the snapshot is installed; excess messages are dropped."""
         if isinstance(event, TimeAdvanced):
             return
         if isinstance(event, MessageReceived) and (
@@ -150,12 +151,12 @@
         self._deferred_events.append(event)
 
     def _carry_out(self, instructions: list[Instruction]) -> None:
-        """Carry out instructions in order; those after an installation wait for it."""
+        """Carry out instructions in order; those after ``InstallSnapshot`` wait for it."""
         for position, instruction in enumerate(instructions):
             if isinstance(instruction, InstallSnapshot):
                 self._installing = instruction
                 self._deferred_instructions = instructions[position + 1 :]
-                self._snapshot_wanted.set()
+                self._snapshot_requested.set()
                 return
             self._carry_out_one(instruction)
 
@@ -198,12 +199,12 @@
             case MembershipChanged():
                 logger.info("membership", members=instruction.membership.members)
 
-    async def _watch_space(self) -> None:
-        """On a full disk, hand leadership on, and wait until there is space again."""
+    async def _handle_full_disk(self) -> None:
+        """When the disk is full, transfer leadership and wait until space is available."""
         while True:
             await self._writes.wait_until_full()
-            logger.error("disk full", term=self.term, is_leader=self._leads)
-            if self._leads:
+            logger.error("disk full", term=self.term, is_leader=self._is_leading)
+            if self._is_leading:
                 self.step(TransferRequested())
             await self._writes.recover_space()
             logger.warning("disk has space again", term=self.term)
@@ -211,21 +212,21 @@
     # Applying and reading.
 
     def _apply(self, instruction: ApplyEntries) -> None:
-        """Apply committed entries and answer those who proposed them here."""
+        """Apply committed entries and complete the proposals made on this replica."""
         for entry, token in zip(instruction.entries, instruction.tokens, strict=True):
             result = b""
             if entry.kind is EntryKind.COMMAND:
                 result = self._state_machine.apply(entry.index, entry.data)
             self.applied = LogPosition(entry.index, entry.term)
-            self._snapshot_rule.note_applied(len(entry.data))
+            self._snapshot_policy.record_applied(len(entry.data))
             if token is not None:
                 self._proposals.complete(token, result)
         self._release_reads()
-        if self._snapshot_rule.is_due:
-            self._snapshot_wanted.set()
+        if self._snapshot_policy.is_due:
+            self._snapshot_requested.set()
 
     def _release_reads(self) -> None:
-        """Let reads go ahead whose index is applied."""
+        """Complete the reads whose index is applied."""
         waiting = self._waiting_reads
         self._waiting_reads = [read for read in waiting if read.index > self.applied.index]
         for read in waiting:
@@ -233,30 +234,30 @@
                 self._reads.complete(read.token, b"")
 
     def _change_leadership(self, change: LeadershipChanged) -> None:
-        """Note who leads."""
+        """Update the term and the known leader."""
         self.term = change.term
         self.leader_address = change.leader
-        self._leads = change.is_leader
+        self._is_leading = change.is_leader
         logger.info("leadership", term=change.term, leader=change.leader, own=change.is_leader)
 
     # Snapshots.
 
-    async def _keep_snapshots(self) -> None:
+    async def _run_snapshots(self) -> None:
         """Take and install snapshots, one at a time."""
         while True:
-            await self._snapshot_wanted.wait()
-            self._snapshot_wanted = anyio.Event()
+            await self._snapshot_requested.wait()
+            self._snapshot_requested = anyio.Event()
             if self._installing is not None:
                 await self._install(self._installing)
-            elif self._snapshot_rule.is_due:
+            elif self._snapshot_policy.is_due:
                 await self._take_snapshot()
 
     async def _take_snapshot(self) -> None:
-        """Save the state machine's state and drop the log before it."""
+        """Save the state of the state machine, then remove the log before it."""
         last = self.applied
         snapshot = await self._snapshots.take(last, self.replica.membership_at(last.index))
         if snapshot is None:
-            self._writes.note_full()
+            self._writes.mark_full()
             return
         if self._installing is not None:
             return
@@ -265,7 +266,7 @@
         await self.log.remove_before(last.index)
 
     async def _install(self, instruction: InstallSnapshot) -> None:
-        """Put a snapshot of the leader in place of state and log."""
+        """Replace the state and the log with a snapshot from the leader."""
         snapshot = await self._snapshots.install(instruction)
         last = snapshot.last
         self.applied = last
@@ -282,11 +283,11 @@
     # Time.
 
     async def _advance_time(self) -> None:
-        """Tell the replica of time whenever it has something to do."""
+        """Pass ``TimeAdvanced`` to the replica at each of its deadlines."""
         while True:
             self.step(TimeAdvanced())
             self._time_changed = anyio.Event()
-            earliest = anyio.current_time() + MIN_TICK_S
-            self._sleeps_until = max(self.replica.next_deadline(), earliest)
-            with anyio.CancelScope(deadline=self._sleeps_until):
+            min_wake_at = anyio.current_time() + MIN_TICK_S
+            self._wake_at = max(self.replica.next_deadline(), min_wake_at)
+            with anyio.CancelScope(deadline=self._wake_at):
                 await self._time_changed.wait()
--- a/src/passlane/replication/durable_writes.py
+++ b/src/passlane/replication/durable_writes.py
@@ -1,7 +1,7 @@
-"""Writes to a replica's log, their syncs, and what waits for a sync.
+"""Writes to a replica's log, their syncs, and messages that wait for a sync.
 
-Writing takes no time; the sync runs beside the loop and covers all that was written
-before it began. On a full disk writes wait in memory until there is space again.
+Writes do not block; a sync runs in the background and covers all writes made before it
+began. While the disk is full, writes are buffered in memory.
 """
 
 from collections import deque
@@ -24,7 +24,7 @@
     Parameters
     ----------
     step
-        Takes the events that tell of finished syncs.
+        Receives the events that report completed syncs.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._log = log
         self._sender = sender
         self._step = step
-        self._held_messages: deque[SendMessage] = deque()
+        self._waiting_messages: deque[SendMessage] = deque()
         self._unsynced_hard_state: HardState | None = None
         self._write_arrived = anyio.Event()
         self._became_full = anyio.Event()
@@ -41,46 +41,46 @@
             self._became_full.set()
 
     def append(self, entries: tuple[LogEntry, ...]) -> None:
-        """Write entries."""
+        """Append entries to the log."""
         self._log.append(entries)
-        self._note_write()
+        self._signal_write()
 
     def save_hard_state(self, hard_state: HardState) -> None:
-        """Write term and vote; messages wait until they are durable."""
+        """Write term and vote; later messages wait until they are durable."""
         self._unsynced_hard_state = hard_state
         self._log.save_hard_state(hard_state)
-        self._note_write()
+        self._signal_write()
 
     def reset_log(self, position: LogPosition) -> None:
-        """Empty the log behind a snapshot that was installed."""
+        """Reset the log to ``position`` after a snapshot was installed."""
         self._log.reset(position)
-        self._note_write()
+        self._signal_write()
 
     def send(self, instruction: SendMessage) -> None:
-        """Send a message, after those that wait for the hard state."""
+        """Send a message once the latest hard state is durable."""
         if self._unsynced_hard_state is not None:
-            self._held_messages.append(instruction)
+            self._waiting_messages.append(instruction)
         else:
             self._sender.send(instruction.address, instruction.message)
 
-    def note_full(self) -> None:
-        """Refuse new work until there is space again."""
+    def mark_full(self) -> None:
+        """Mark the disk as full, so that new work is rejected until space is available."""
         self._log.is_full = True
         self._became_full.set()
 
-    def _note_write(self) -> None:
-        """Wake the tasks that look after writes."""
+    def _signal_write(self) -> None:
+        """Wake the sync task, and the full-disk task if the disk is full."""
         self._write_arrived.set()
         if self._log.is_full:
             self._became_full.set()
 
-    async def sync_for_ever(self) -> None:
-        """Sync what was written; all writes made during one sync share the next.
+    async def run_syncs(self) -> None:
+        """Sync written data until cancelled; writes made during a sync share the next one.
 
         Raises
         ------
         PasslaneError
-            ``STORAGE_CORRUPT`` when a sync fails: nobody knows what the disk holds then.
+            ``STORAGE_CORRUPT`` when a sync fails, because the stored data is then unknown.
         """
         while True:
             await self._write_arrived.wait()
@@ -92,7 +92,7 @@
             except OSError as error:
                 raise storage_corrupt(f"a sync of the log failed: {error}") from error
             if self._log.is_full:
-                # The mark that a sync leaves in the log may be the first to find no space.
+                # The sync marker in the log may be the first write that finds the disk full.
                 self._became_full.set()
             if self._unsynced_hard_state == state.hard_state:
                 self._release_messages()
@@ -100,10 +100,10 @@
             self._step(EntriesSynced(last_index=state.last.index, last_term=state.last.term))
 
     def _release_messages(self) -> None:
-        """Send the messages that waited for the hard state."""
+        """Send the messages that wait for the hard state."""
         self._unsynced_hard_state = None
-        while self._held_messages:
-            instruction = self._held_messages.popleft()
+        while self._waiting_messages:
+            instruction = self._waiting_messages.popleft()
             self._sender.send(instruction.address, instruction.message)
 
     async def wait_until_full(self) -> None:
@@ -111,7 +111,7 @@
         await self._became_full.wait()
 
     async def recover_space(self) -> None:
-        """Try again and again until there is space for what waits and for the reserve."""
+        """Retry until there is space for the buffered writes and for the disk reserve."""
         while not await self._log.recover_space():
             self._write_arrived.set()
             await anyio.sleep(SPACE_RETRY_S)
--- a/src/passlane/replication/joining.py
+++ b/src/passlane/replication/joining.py
@@ -1,9 +1,9 @@
-"""How a replica finds out whether it founds its group, belongs to it, or must join it.
+"""Founding and joining a group.
 
-The first member that the settings name settles who the founders are, once all the
-others have told it the identities of their empty folders; the others take its word.
-Any other replica without membership (a new machine, a wiped disk, a damaged log) is
-added by the leader under a new identity, as a learner that votes once it has caught up.
+The first member in the settings determines the founders once all other members have
+reported the identities of their empty folders; the others adopt its result. Any other
+replica without membership (a new machine, a wiped disk, a damaged log) is added by the
+leader under a new identity, as a learner that is promoted once it has caught up.
 """
 
 import random as random_module
@@ -31,20 +31,20 @@
 from passlane.transport.interfaces import Caller
 
 STATUS_TIMEOUT_S = 1.0
-FIRST_PAUSE_S = 0.02
-LONGEST_PAUSE_S = 1.0
+INITIAL_BACKOFF_S = 0.02
+MAX_BACKOFF_S = 1.0
 JOIN_TIMEOUT_S = 5.0
 
 FindMembers = Callable[[], Sequence[PeerSettings]]
-"""Returns replicas of a group that a process has heard of."""
+"""Returns replicas of a group that were discovered in addition to the settings."""
 
 logger = get_logger(__name__)
 
 
-def founder_statuses(
+def founders_from(
     members: Sequence[PeerSettings], statuses: dict[str, GroupStatus]
 ) -> tuple[GroupMember, ...]:
-    """Return the founders, or none while a member is silent or may not found."""
+    """Return the founders; empty if a member has no status or may not found the group."""
     founders = []
     for member in members:
         status = statuses.get(member.name)
@@ -56,7 +56,7 @@
 
 
 def status_of(identity: Identity, zone: str) -> GroupStatus:
-    """Return what a replica's disk says about its group, and where the replica runs."""
+    """Return the status of a replica from its stored identity and its zone."""
     return GroupStatus(
         replica_id=identity.replica_id,
         is_member=identity.is_member,
@@ -66,19 +66,19 @@
     )
 
 
-class GroupEntry:
-    """Brings one replica into its group; made anew for each start.
+class GroupJoiner:
+    """Lets one replica found or join its group.
 
     Parameters
     ----------
     own_name
         This replica's name among ``members``.
     zone
-        Where this replica runs.
+        Zone of this replica.
     find_members
-        Returns further replicas of the group that this process has heard of.
+        Returns replicas of the group that were discovered in addition to ``members``.
     may_join
-        Whether this replica may ask to be taken in now.
+        Whether this replica may currently request to join.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
 
     @property
     def _peers(self) -> list[PeerSettings]:
-        """The other replicas that are known, by the settings or by hearsay."""
+        """The other known replicas, from the settings or discovered."""
         found = self._find_members() if self._find_members is not None else ()
         known = {member.internal: member for member in (*self._members, *found)}
         return [member for member in known.values() if member.name != self._own_name]
@@ -117,7 +117,7 @@
 
     @property
     def own_address(self) -> Address:
-        """Address of this replica, by the settings."""
+        """Address of this replica in the settings."""
         for member in self._members:
             if member.name == self._own_name:
                 return member.internal
@@ -126,12 +126,12 @@
             f"{self._own_name} is not among the members of group {self._group}",
         )
 
-    async def settle(self, identity: Identity) -> Identity:
-        """Return once this replica is a founder, or knows that it has a group to join."""
-        backoff = Backoff(self._random, FIRST_PAUSE_S, LONGEST_PAUSE_S)
+    async def resolve_founding(self, identity: Identity) -> Identity:
+        """Return the identity once it is a founder, or once a group to join exists."""
+        backoff = Backoff(self._random, INITIAL_BACKOFF_S, MAX_BACKOFF_S)
         while not identity.is_member:
-            statuses = await self._ask_peers()
-            founders = self._settled_founders(identity, statuses)
+            statuses = await self._request_statuses()
+            founders = self._determine_founders(identity, statuses)
             if any(member.replica_id == identity.replica_id for member in founders):
                 return await self._identity_file.mark_founder(identity, founders)
             if any(status.is_member for status in statuses.values()):
@@ -145,10 +145,10 @@
             await backoff.pause()
         return identity
 
-    def _settled_founders(
+    def _determine_founders(
         self, identity: Identity, statuses: dict[str, GroupStatus]
     ) -> tuple[GroupMember, ...]:
-        """Return the founders as the first member has settled or now settles them."""
+        """Return the founders that the first member has determined; empty if there are none yet."""
         if not identity.may_found:
             return ()
         first = self._members[0].name
@@ -157,13 +157,13 @@
         if any(status.is_member for status in statuses.values()):
             return ()
         own = status_of(identity, self._zone)
-        return founder_statuses(self._members, {**statuses, self._own_name: own})
+        return founders_from(self._members, {**statuses, self._own_name: own})
 
-    async def _ask_peers(self) -> dict[str, GroupStatus]:
-        """Return the status of each peer that answers, by name."""
+    async def _request_statuses(self) -> dict[str, GroupStatus]:
+        """Return the status of each peer that responds, by name."""
         statuses: dict[str, GroupStatus] = {}
 
-        async def ask(peer: PeerSettings) -> None:
+        async def request_status(peer: PeerSettings) -> None:
             request = GroupStatusRequest(group=self._group)
             try:
                 statuses[peer.name] = await self._caller.call(
@@ -174,27 +174,28 @@
 
         async with anyio.create_task_group() as tasks:
             for peer in self._peers:
-                tasks.start_soon(ask, peer)
+                tasks.start_soon(request_status, peer)
         return statuses
 
     async def join(self, replica_id: ReplicaId, *, is_known: bool) -> None:
-        """Ask the leader to take this replica in, until it votes and none is left of old.
+        """Request to join until this replica is a voter and its predecessors are removed.
 
-        ``is_known`` tells that the replica kept its identity and only has a new address. A
-        spare of a group with bounded voters goes on asking until it is needed.
+        ``is_known`` is true if the replica kept its identity and may only have a new
+        address. A standby in a group with bounded voters repeats the request until it is
+        needed.
         """
         request = JoinRequest(
             self._group, replica_id, self.own_address, is_known=is_known, zone=self._zone
         )
-        backoff = Backoff(self._random, FIRST_PAUSE_S, LONGEST_PAUSE_S)
+        backoff = Backoff(self._random, INITIAL_BACKOFF_S, MAX_BACKOFF_S)
         while True:
-            if self._may_join() and await self._ask_to_join(request):
+            if self._may_join() and await self._request_join(request):
                 return
             await backoff.pause()
 
-    async def _ask_to_join(self, request: JoinRequest) -> bool:
-        """Ask once; return whether this replica votes and none is left of old."""
-        # Made anew for each try: other replicas may have become known since.
+    async def _request_join(self, request: JoinRequest) -> bool:
+        """Send one request; return whether the replica is a voter without predecessors."""
+        # A new client for each attempt, because other replicas may have been discovered.
         addresses = [peer.internal for peer in self._peers]
         client = GroupClient(self._caller, addresses, self._random)
         try:
@@ -205,31 +206,33 @@
         return reply.is_voter and reply.is_replaced
 
 
-async def take_in(
+async def handle_join(
     request: JoinRequest,
     membership: GroupMembership,
     add: Callable[[ReplicaId, Address], Awaitable[None]],
     remove: Callable[[ReplicaId], Awaitable[None]],
 ) -> JoinReply:
-    """Answer a ``JoinRequest`` as the leader, one change of membership at a time.
+    """Handle a ``JoinRequest`` on the leader with at most one membership change.
 
-    The former identities of the process, and those at its address, go first: their files
-    are gone, and voters that are counted but never answer make majorities harder to
-    reach. Then the replica is added as a learner, which votes once it has caught up.
+    1. Remove the previous identities of the process and those at its address. Their files
+       are lost, and voters that never respond would still count towards the quorum size.
+    2. Add the replica as a learner, or update its address.
     """
     own = member_of(membership, request.replica_id)
-    older = replaced_by(request, membership)
-    if older:
-        await remove(older[0].replica_id)
-        older = older[1:]
+    replaced = members_replaced_by(request, membership)
+    if replaced:
+        await remove(replaced[0].replica_id)
+        replaced = replaced[1:]
     elif own is None or own.address != request.address:
         await add(request.replica_id, request.address)
     is_voter = own is not None and own.is_voter
-    return JoinReply(is_voter=is_voter, is_replaced=not older)
+    return JoinReply(is_voter=is_voter, is_replaced=not replaced)
 
 
-def replaced_by(request: JoinRequest, membership: GroupMembership) -> tuple[GroupMember, ...]:
-    """Return the members whose place a replica with a new identity takes."""
+def members_replaced_by(
+    request: JoinRequest, membership: GroupMembership
+) -> tuple[GroupMember, ...]:
+    """Return the members that a replica with a new identity replaces."""
     if request.is_known:
         return ()
     name = process_name_of(request.replica_id)
--- a/src/passlane/replication/membership_changes.py
+++ b/src/passlane/replication/membership_changes.py
@@ -1,7 +1,7 @@
 """Changes to the members of a group that the local replica leads.
 
-In a group where each replica votes, callers wait until their change is committed. With
-bounded voters (``raft.voter_places``) they only tell the leader what they want.
+In a group without bounded voters, callers wait until their change is committed. With
+bounded voters (``raft.voter_places``) a call only records the request with the leader.
 """
 
 from collections.abc import Callable
@@ -12,13 +12,13 @@
 from passlane.raft.events import MemberAdded, MemberRemoved, ReplicaOffered, ReplicaReleased
 from passlane.raft.membership import member_of
 from passlane.replication.driver import ReplicaDriver
-from passlane.replication.joining import replaced_by, take_in
+from passlane.replication.joining import handle_join, members_replaced_by
 from passlane.replication.pending import PendingRequests
 from passlane.storage.identity import process_name_of
 
 
 class MembershipChanges:
-    """Takes replicas into a group and removes those that they replace.
+    """Adds replicas to a group and removes the members that they replace.
 
     Parameters
     ----------
@@ -26,7 +26,7 @@
         Returns the driver of the local replica; raises ``NotLeaderError`` while there is
         none.
     proposals
-        Callers that wait for a proposal of the local replica.
+        Callers that wait for a proposal by the local replica.
     has_bounded_voters
         Whether the number of voters is bounded.
     """
@@ -42,8 +42,8 @@
         self._ready_driver = ready_driver
         self._proposals = proposals
 
-    async def answer_join(self, request: JoinRequest) -> JoinReply:
-        """Take in a replica, if the local one leads.
+    async def answer_join_request(self, request: JoinRequest) -> JoinReply:
+        """Add a replica if the local one leads.
 
         Raises
         ------
@@ -54,14 +54,14 @@
         """
         driver = self._leading_driver()
         if self._has_bounded_voters:
-            return self._take_offer(request, driver)
-        return await take_in(request, driver.replica.membership, self._add, self._remove)
+            return self._record_offer(request, driver)
+        return await handle_join(request, driver.replica.membership, self._add, self._remove)
 
     @staticmethod
-    def _take_offer(request: JoinRequest, driver: ReplicaDriver) -> JoinReply:
-        """Tell the replica that another one would vote; return whether it does."""
+    def _record_offer(request: JoinRequest, driver: ReplicaDriver) -> JoinReply:
+        """Record the offer of a replica; return whether it is a voter already."""
         membership = driver.replica.membership
-        replaces = tuple(member.replica_id for member in replaced_by(request, membership))
+        replaces = tuple(member.replica_id for member in members_replaced_by(request, membership))
         own = member_of(membership, request.replica_id)
         is_voter = own is not None and own.is_voter and own.address == request.address
         if replaces or not is_voter:
@@ -69,9 +69,10 @@
         return JoinReply(is_voter=is_voter, is_replaced=not replaces)
 
     async def remove(self, process_name: str) -> None:
-        """Remove the replicas of a process, if the local replica leads.
+        """Remove the replicas of a process if the local replica leads.
 
-        With bounded voters this returns at once: a voter leaves when its successor votes.
+        With bounded voters this returns immediately; a voter is removed after its
+        replacement is promoted.
 
         Raises
         ------
@@ -90,19 +91,19 @@
                 await self._remove(member.replica_id)
 
     def _leading_driver(self) -> ReplicaDriver:
-        """Return the driver of a replica that leads; refuse otherwise."""
+        """Return the driver if the local replica leads; raise otherwise."""
         driver = self._ready_driver()
         if not driver.is_leader:
             raise NotLeaderError("not the leader of the group", driver.leader_address)
         return driver
 
     async def _add(self, replica_id: ReplicaId, address: Address) -> None:
-        """Add a learner; return once that is committed."""
+        """Add a learner; return once the change is committed."""
         token = self._proposals.add()
         await self._propose(MemberAdded(token=token, replica_id=replica_id, address=address))
 
     async def _remove(self, replica_id: ReplicaId) -> None:
-        """Remove a member; return once that is committed."""
+        """Remove a member; return once the change is committed."""
         token = self._proposals.add()
         await self._propose(MemberRemoved(token=token, replica_id=replica_id))
 
--- a/src/passlane/replication/replica_host.py
+++ b/src/passlane/replication/replica_host.py
@@ -1,8 +1,8 @@
 """Runs one replica of a Raft group in this process: files, peers, state machine.
 
-After damage to its files the replica does not go on with what is left of them: it
-takes a new identity in a new folder and is repaired from the other replicas, like a
-machine that was replaced. The damaged files stay until that has succeeded.
+A replica does not continue on damaged files. It creates a new identity in a new folder and
+is repaired from the other replicas, like a replaced machine. The damaged files are retained
+until the repair has succeeded.
 """
 
 from collections.abc import Callable
@@ -27,15 +27,15 @@
 from passlane.raft.membership import member_of
 from passlane.replication.driver import ReplicaDriver
 from passlane.replication.interfaces import StateMachine
-from passlane.replication.joining import FindMembers, GroupEntry, status_of
+from passlane.replication.joining import FindMembers, GroupJoiner, status_of
 from passlane.replication.membership_changes import MembershipChanges
 from passlane.replication.message_dispatch import GroupHandlers, dispatch_for
 from passlane.replication.peer_sender import PeerSender
 from passlane.replication.pending import PendingRequests
 from passlane.replication.proposal_batch import ProposalBatch
 from passlane.replication.replica_files import ReplicaFiles, build_replica, open_files
-from passlane.replication.snapshot_keeper import SnapshotKeeper, restore_state
-from passlane.replication.snapshot_rule import SnapshotRule
+from passlane.replication.snapshot_manager import SnapshotManager, restore_state
+from passlane.replication.snapshot_policy import SnapshotPolicy
 from passlane.runtime.interfaces import Environment
 from passlane.settings.model import GroupSettings
 from passlane.storage.formats import Identity, damage_in
@@ -44,20 +44,20 @@
 
 DISK_FULL_RETRY_AFTER_S = 2.0
 NOT_READY_RETRY_AFTER_S = 0.5
-REPAIR_PAUSE_S = 1.0
-"""Longest pause between finding damage and the repair."""
-TIMEOUT_IN_ELECTION_TIMEOUTS = 10
-"""A proposal or read is given up after so many election time-outs."""
+MAX_REPAIR_PAUSE_S = 1.0
+"""Maximum pause between detecting damage and starting the repair."""
+REQUEST_TIMEOUT_IN_ELECTION_TIMEOUTS = 10
+"""Timeout of a proposal or read, in election timeouts."""
 
-EVICTION_CHECK_S = 0.5
-EVICTED_AFTER_ELECTION_TIMEOUTS = 4
-"""A member without a leader for so many election time-outs asks to be taken in again."""
+REJOIN_CHECK_INTERVAL_S = 0.5
+REJOIN_AFTER_ELECTION_TIMEOUTS = 4
+"""A member without a known leader for this many election timeouts requests to rejoin."""
 
 logger = get_logger(__name__)
 
 
 def _always() -> bool:
-    """Allow a replica to join again."""
+    """Allow the replica to join at any time."""
     return True
 
 
@@ -71,17 +71,17 @@
     own_name
         Name of this replica among ``settings.members``.
     state_machine
-        Must be empty; it is brought to the replica's state by ``run``.
+        Must be empty; ``run`` restores the replica's state into it.
     folder
-        Folder of the group below the data folder.
+        Folder of the group in the data folder.
     may_found
-        Whether this replica may be one of the group's first members.
+        Whether this replica may be one of the group's founders.
     find_members
-        Returns further replicas of the group that this process has heard of.
+        Returns replicas of the group that were discovered in addition to the settings.
     may_join
-        Whether this replica may ask to be taken in, also again after it was removed.
+        Whether this replica may request to join, including after its removal.
     zone
-        Where this replica runs; voters are spread over zones if their number is bounded.
+        Zone of this replica; voters are spread over zones if their number is bounded.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         self._environment = environment
         self._caller = caller
         self._identity_file = IdentityFile(environment.disk, folder, group, own_name)
-        self._entry = GroupEntry(
+        self._joiner = GroupJoiner(
             group,
             own_name,
             settings.members,
@@ -123,7 +123,7 @@
         )
         self._identity: Identity | None = None
         self._driver: ReplicaDriver | None = None
-        timeout_s = TIMEOUT_IN_ELECTION_TIMEOUTS * settings.election_timeout_s
+        timeout_s = REQUEST_TIMEOUT_IN_ELECTION_TIMEOUTS * settings.election_timeout_s
         self._proposals = self._new_pending(ErrorCode.TIMEOUT, Verdict.MAY_HAVE_RUN, timeout_s)
         self._reads = self._new_pending(ErrorCode.UNAVAILABLE, Verdict.NOT_RUN, timeout_s)
         self._batch = ProposalBatch(self._proposals)
@@ -132,29 +132,29 @@
             self._proposals,
             has_bounded_voters=settings.places is not None,
         )
-        self._take_messages(router)
+        self._register_handlers(router)
 
-    def _take_messages(self, router: Router) -> None:
-        """Have this replica get the messages of its group."""
+    def _register_handlers(self, router: Router) -> None:
+        """Register the handlers for messages of the group."""
         handlers = GroupHandlers(
-            on_raft_message=self._take_raft_message,
-            on_status_request=self._answer_status,
-            on_join_request=self._changes.answer_join,
+            on_raft_message=self._deliver_raft_message,
+            on_status_request=self._report_status,
+            on_join_request=self._changes.answer_join_request,
         )
         dispatch_for(router).add_group(self._group, handlers)
 
     @staticmethod
     def _new_pending(code: ErrorCode, verdict: Verdict, timeout_s: float) -> PendingRequests:
-        """Return an empty table of callers that get this error when they wait too long."""
+        """Return an empty table whose callers get this error when they time out."""
         error = PasslaneError(
             code,
-            "no majority of replicas answered in time",
+            f"no majority of replicas responded within {timeout_s:g} s",
             verdict=verdict,
             retry_after_s=NOT_READY_RETRY_AFTER_S,
         )
         return PendingRequests(error, timeout_s)
 
-    # The interface of ``ReplicatedGroup``.
+    # Interface of ``ReplicatedGroup``.
 
     @property
     def is_leader(self) -> bool:
@@ -163,12 +163,12 @@
 
     @property
     def leader_address(self) -> Address | None:
-        """Address of the leader as far as known."""
+        """Address of the leader, if known."""
         return self._driver.leader_address if self._driver is not None else None
 
     @property
     def term(self) -> int:
-        """Current term; serves as fencing token for what the leader orders."""
+        """Current term; serves as the fencing token of the leader's orders."""
         return self._driver.replica.term if self._driver is not None else 0
 
     @property
@@ -178,26 +178,26 @@
 
     @property
     def members(self) -> tuple[GroupMember, ...]:
-        """Members of the group by the membership that this replica knows."""
+        """Members of the group in this replica's newest membership."""
         return self._driver.replica.membership.members if self._driver is not None else ()
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica votes, by the membership that it knows."""
+        """Whether this replica is a voter in its newest membership."""
         return self._driver is not None and self._driver.replica.is_voter
 
     @property
     def is_ready(self) -> bool:
-        """Whether this replica votes and knows a leader.
+        """Whether this replica is a voter and knows a leader.
 
-        One that is being repaired knows the leader early, but until it votes no other
-        replica of a group of three may be taken down.
+        A replica under repair knows the leader before it is a voter. Until it is one, no
+        other replica of a group of three may be stopped.
         """
         return self.leader_address is not None and self.is_voter
 
     @property
     def is_disk_full(self) -> bool:
-        """Whether new work is refused for want of space."""
+        """Whether new work is rejected because the disk is full."""
         return self._driver is not None and self._driver.log.is_full
 
     @property
@@ -217,7 +217,7 @@
         return await self._batch.propose(command, may_be_deferred=may_be_deferred)
 
     async def read_barrier(self) -> None:
-        """Return once local state holds all that was committed before the call."""
+        """Return once the local state includes everything committed before the call."""
         driver = self._ready_driver()
         token = self._reads.add()
         driver.step(ReadRequested(token=token))
@@ -228,12 +228,12 @@
         await self._changes.remove(process_name)
 
     def transfer_leadership(self) -> None:
-        """Hand leadership to another replica, as before a planned stop."""
+        """Transfer leadership to another replica, for example before a planned stop."""
         if self._driver is not None:
             self._driver.step(TransferRequested())
 
     def _ready_driver(self) -> ReplicaDriver:
-        """Return the driver; refuse while the replica is not running."""
+        """Return the driver; raise while the replica is not running."""
         if self._driver is None:
             raise NotLeaderError(f"the replica of group {self._group} is not running", None)
         return self._driver
@@ -241,7 +241,7 @@
     # Running.
 
     async def run(self) -> None:
-        """Run the replica until cancelled; repair it from the others after damage.
+        """Run the replica until cancelled; repair it from the other replicas after damage.
 
         Raises
         ------
@@ -256,16 +256,16 @@
                 if error is None:
                     raise
                 await self._abandon_files(error)
-            # A disk that fails for good must not be asked again without a pause.
-            await anyio.sleep(self._environment.random.uniform(0.5, 1.0) * REPAIR_PAUSE_S)
+            # A permanently failing disk must not cause a busy loop.
+            await anyio.sleep(self._environment.random.uniform(0.5, 1.0) * MAX_REPAIR_PAUSE_S)
 
     async def _run_on_files(self) -> None:
-        """Open the files, join the group if need be, and run."""
+        """Open the files, found or join the group if necessary, and run the replica."""
         identity = await self._load_identity()
         files = await self._open_files(identity)
         self._identity = identity
         try:
-            identity = await self._entry.settle(identity)
+            identity = await self._joiner.resolve_founding(identity)
             self._identity = identity
             await self._run_replica(identity, files)
         finally:
@@ -273,7 +273,7 @@
             self._stop_serving()
 
     def _stop_serving(self) -> None:
-        """Answer those who wait: this replica no longer runs."""
+        """Fail all waiting callers because this replica has stopped."""
         self._driver = None
         self._batch.fail_all()
         self._reads.fail_all(ErrorCode.UNAVAILABLE, "the replica stopped", Verdict.NOT_RUN)
@@ -288,7 +288,7 @@
         return identity
 
     async def _abandon_files(self, error: PasslaneError) -> None:
-        """Take a new identity in a new folder, to be repaired from the other replicas."""
+        """Create a new identity in a new folder, to be repaired from the other replicas."""
         logger.error("storage is damaged", group=self._group, message=error.message)
         if len(self._settings.members) < 2:
             raise error
@@ -306,7 +306,7 @@
         )
 
     async def _run_replica(self, identity: Identity, files: ReplicaFiles) -> None:
-        """Run the replica and what belongs to it."""
+        """Run the driver and the tasks that serve callers."""
         async with anyio.create_task_group() as tasks:
             driver = await self._build_driver(identity, files, PeerSender(self._caller, tasks))
             self._driver = driver
@@ -319,23 +319,23 @@
     async def _build_driver(
         self, identity: Identity, files: ReplicaFiles, sender: PeerSender
     ) -> ReplicaDriver:
-        """Return the driver of a replica that stands where its files end."""
+        """Return the driver of a replica restored from its files."""
         snapshot = files.snapshot
         parts = snapshot.parts() if snapshot is not None else self._empty_state
         await restore_state(self._state_machine, parts)
-        rule = SnapshotRule(self._settings.snapshot_every_entries)
-        rule.note_size(files.snapshot_bytes)
+        policy = SnapshotPolicy(self._settings.snapshot_every_entries)
+        policy.record_snapshot_size(files.snapshot_bytes)
         return ReplicaDriver(
             replica=build_replica(
                 self._replica_config(identity), self._environment.random, identity, files
             ),
             log=files.log,
-            snapshots=SnapshotKeeper(files.store, self._state_machine, rule),
+            snapshots=SnapshotManager(files.store, self._state_machine, policy),
             state_machine=self._state_machine,
             sender=sender,
             proposals=self._proposals,
             reads=self._reads,
-            snapshot_rule=rule,
+            snapshot_policy=policy,
             applied=files.snapshot_last,
         )
 
@@ -344,7 +344,7 @@
         return ReplicaConfig(
             group=self._group,
             replica_id=identity.replica_id,
-            address=self._entry.own_address,
+            address=self._joiner.own_address,
             heartbeat_s=self._settings.heartbeat_s,
             election_timeout_s=self._settings.election_timeout_s,
             first_election_share=self._settings.first_election_share,
@@ -353,52 +353,52 @@
         )
 
     async def _finish_joining(self, identity: Identity) -> None:
-        """Be taken into the group, and only then forget damaged files."""
+        """Join the group, then remove damaged files of earlier identities."""
         if identity.is_member:
-            await self._tell_new_address(identity)
+            await self._report_new_address(identity)
             await self._identity_file.remove_older_generations(identity)
-            await self._rejoin_when_evicted(identity)
+            await self._rejoin_without_leader(identity)
         else:
-            await self._entry.join(identity.replica_id, is_known=False)
+            await self._joiner.join(identity.replica_id, is_known=False)
             identity = await self._identity_file.mark_joined(identity)
             self._identity = identity
         await self._identity_file.remove_older_generations(identity)
-        await self._rejoin_when_evicted(identity)
+        await self._rejoin_without_leader(identity)
 
-    async def _rejoin_when_evicted(self, identity: Identity) -> None:
-        """Ask to be taken in again whenever no leader was heard of for long.
+    async def _rejoin_without_leader(self, identity: Identity) -> None:
+        """Request to rejoin whenever no leader has been known for too long.
 
-        While this replica was away it may have been counted as replaced. Its files are as
-        they were, so it comes back under its own identity; a leader that still has it as a
-        member changes nothing.
+        The group may have removed this replica while it was unavailable. Its files are
+        intact, so it keeps its identity. If it is still a member, the leader makes no
+        change.
         """
-        limit_s = EVICTED_AFTER_ELECTION_TIMEOUTS * self._settings.election_timeout_s
-        last_led_at = anyio.current_time()
+        limit_s = REJOIN_AFTER_ELECTION_TIMEOUTS * self._settings.election_timeout_s
+        leader_known_at = anyio.current_time()
         while True:
-            await anyio.sleep(EVICTION_CHECK_S)
+            await anyio.sleep(REJOIN_CHECK_INTERVAL_S)
             if self.leader_address is not None or not self._may_join():
-                last_led_at = anyio.current_time()
-            elif anyio.current_time() - last_led_at > limit_s and self._entry.has_peers:
+                leader_known_at = anyio.current_time()
+            elif anyio.current_time() - leader_known_at > limit_s and self._joiner.has_peers:
                 logger.warning("no leader; asking to be taken in", group=self._group)
-                await self._entry.join(identity.replica_id, is_known=True)
-                last_led_at = anyio.current_time()
+                await self._joiner.join(identity.replica_id, is_known=True)
+                leader_known_at = anyio.current_time()
 
-    async def _tell_new_address(self, identity: Identity) -> None:
-        """Tell the leader where this replica is reached, if it moved with its files."""
+    async def _report_new_address(self, identity: Identity) -> None:
+        """Report a new address to the leader if this replica moved with its files."""
         membership = self._ready_driver().replica.membership
         own = member_of(membership, identity.replica_id)
-        if own is not None and own.address != self._entry.own_address:
-            await self._entry.join(identity.replica_id, is_known=True)
+        if own is not None and own.address != self._joiner.own_address:
+            await self._joiner.join(identity.replica_id, is_known=True)
 
-    # Messages of other replicas.
+    # Messages from other replicas.
 
-    def _take_raft_message(self, message: RaftMessage) -> None:
-        """Hand on a message if it is meant for this identity."""
+    def _deliver_raft_message(self, message: RaftMessage) -> None:
+        """Pass a message to the driver if it is addressed to this identity."""
         if self._driver is not None and message.receiver == self.replica_id:
             self._driver.step(MessageReceived(message))  # type: ignore[arg-type]
 
-    async def _answer_status(self, request: GroupStatusRequest) -> GroupStatus:
-        """Tell what this replica's disk says about the group."""
+    async def _report_status(self, request: GroupStatusRequest) -> GroupStatus:
+        """Return the status of this replica's identity in the group."""
         if self._identity is None:
             raise PasslaneError(
                 ErrorCode.UNAVAILABLE,
--- a/tests/replication/cluster.py
+++ b/tests/replication/cluster.py
@@ -1,4 +1,4 @@
-"""Three replicas in one run on the virtual clock, over an in-memory caller."""
+"""A cluster of three replicas on a virtual clock with an in-memory transport."""
 
 import random
 from contextlib import asynccontextmanager
@@ -23,7 +23,7 @@
 
 
 class ListMachine:
-    """Keeps the commands that were applied; the result is how many there are."""
+    """Stores applied commands; the result of a command is their number."""
 
     def __init__(self):
         self.commands = []
@@ -48,7 +48,7 @@
 
 
 class MemoryCaller:
-    """Hands messages to the routers of other members; a member that is down is silent."""
+    """Passes messages to the routers of other members; a stopped member does not respond."""
 
     def __init__(self, cluster, own):
         self._cluster = cluster
@@ -73,7 +73,7 @@
 
 @dataclass
 class Member:
-    """One process: its disk outlives it."""
+    """One process; its disk persists across restarts."""
 
     peer: PeerSettings
     disk: SimulatedDisk
@@ -85,7 +85,7 @@
 
 
 class Cluster:
-    """Members by name; ``start``, ``kill`` and ``client`` act on them.
+    """A cluster whose members can be started and killed by name.
 
     A subclass may run another state machine, and a service on top of each replica.
     """
@@ -155,7 +155,7 @@
                 member.scope = None
 
     def move(self, name, address):
-        """Give a member another address from its next start on, in all settings."""
+        """Change the address of a member in all settings, effective at the next start."""
         member = self.members[name]
         member.peer = PeerSettings(name=name, internal=address)
         peers = tuple(member.peer for member in self.members.values())
@@ -179,7 +179,7 @@
         return next((m for m in self.members.values() if m.scope and m.host.is_leader), None)
 
     async def until(self, condition, timeout_s=30.0, every_s=0.01):
-        """Wait for a condition; fail if it does not come about in virtual time."""
+        """Wait for a condition; fail if it is not true within ``timeout_s`` of virtual time."""
         with anyio.fail_after(timeout_s):
             while True:
                 if value := condition():
@@ -187,7 +187,7 @@
                 await anyio.sleep(every_s)
 
     async def propose(self, command, timeout_s=30.0):
-        """Propose at whoever leads until it is committed; commands may be repeated."""
+        """Propose to the leader until the command is committed; it may be applied twice."""
         with anyio.fail_after(timeout_s):
             while True:
                 leader = await self.until(self.leader, timeout_s)
@@ -197,7 +197,7 @@
                     await anyio.sleep(0.05)
 
     async def read(self, timeout_s=30.0):
-        """Read the commands at whoever leads, which may change meanwhile."""
+        """Read the commands on the leader, which may change meanwhile."""
         with anyio.fail_after(timeout_s):
             while True:
                 leader = await self.until(self.leader, timeout_s)
--- a/tests/replication/test_disk_faults.py
+++ b/tests/replication/test_disk_faults.py
@@ -1,4 +1,4 @@
-"""Replicas whose disks lose, tear, change or refuse what they are given."""
+"""Replicas with disks that lose, tear, corrupt or reject writes."""
 
 import unittest
 from functools import partial
@@ -29,22 +29,22 @@
 
 
 async def propose_steadily(cluster):
-    """Propose for ever, so that a crash finds writes under way."""
+    """Propose continuously, so that a crash interrupts writes."""
     for command in numbered(0, 10_000):
         await cluster.propose(command)
         await anyio.sleep(0.005)
 
 
 def folder_names(member):
-    """The numbered folders of a member: more than one after a repair."""
+    """Return the numbered folders of a member; there is more than one during a repair."""
     return {name.split("/")[1] for name in member.disk.file_names() if name.count("/") == 2}
 
 
 class DiskFaultTest(unittest.TestCase):
     def setUp(self):
-        # Few entries are kept behind a snapshot, so that a replica that is behind needs it.
+        # Few entries are retained before a snapshot, so that a slow replica needs the snapshot.
         config = partial(ReplicaConfig, trailing_entries=5)
-        # Small blocks: the one that was read last is not read from the disk again.
+        # Small blocks, because the block that was read last is not read from disk again.
         checksums = partial(BlockChecksums, block_bytes=64)
         for module, name, value in (
             (replica_host, "ReplicaConfig", config),
@@ -56,7 +56,7 @@
 
     @on_seeds()
     async def test_torn_writes_need_no_repair(self, cluster):
-        """Power is lost inside syncs, again and again; each replica stays what it was."""
+        """After repeated power loss during syncs, each replica keeps its identity."""
         await cluster.propose(b"first")
         ids = {name: member.host.replica_id for name, member in cluster.members.items()}
         async with anyio.create_task_group() as tasks:
@@ -90,15 +90,15 @@
         await applied_everywhere(cluster, commands)
 
     @on_seeds(snapshot_every_entries=20, segment_bytes=500)
-    async def test_leader_does_not_pass_on_a_snapshot_that_its_disk_changed(self, cluster):
-        """It notices when it reads the snapshot for a replica that needs it."""
+    async def test_leader_does_not_send_a_corrupted_snapshot(self, cluster):
+        """The damage is detected when the snapshot is read for a follower."""
         commands = numbered(0, 84)
         await cluster.propose(commands[0])
         cluster.kill("c")
         await propose_all(cluster, commands)
         leader = cluster.leader()
         old_id = leader.host.replica_id
-        # Not in the header, which is not sent, nor in the last block.
+        # Neither in the header, which is not sent, nor in the last block.
         from_end = cluster.random.randrange(80, 250)
         leader.disk.flip_bit(SNAPSHOT, len(leader.disk.read(SNAPSHOT)) - from_end)
         cluster.start("c")
@@ -107,8 +107,8 @@
         await applied_everywhere(cluster, commands)
 
     @on_seeds(snapshot_every_entries=20, segment_bytes=500)
-    async def test_files_that_cannot_be_read_are_repaired(self, cluster):
-        """A bad sector in any of them; the operating system reports it as an error."""
+    async def test_unreadable_files_are_repaired(self, cluster):
+        """The operating system reports a bad sector in any file as an error."""
         commands = numbered(0, 60)
         await propose_all(cluster, commands)
         await applied_everywhere(cluster, commands)
@@ -122,7 +122,7 @@
         await applied_everywhere(cluster, commands)
 
     @on_seeds()
-    async def test_failed_write_ends_the_replica_and_not_its_connections(self, cluster):
+    async def test_failed_write_stops_the_replica_but_not_its_connections(self, cluster):
         await cluster.propose(b"0")
         leader = cluster.leader()
         broken = next(m for m in cluster.members.values() if m is not leader)
@@ -135,7 +135,7 @@
         await applied_everywhere(cluster, numbered(0, 10))
 
     @on_seeds()
-    async def test_replica_without_others_refuses_to_start_on_a_damaged_log(self, cluster):
+    async def test_single_replica_does_not_start_on_a_damaged_log(self, cluster):
         await propose_all(cluster, numbered(0, 20))
         for name in "abc":
             cluster.kill(name, power=False)
@@ -150,12 +150,12 @@
         self.assertIs(error.code, ErrorCode.STORAGE_CORRUPT)
 
     @on_seeds(snapshot_every_entries=20, segment_bytes=500)
-    async def test_snapshot_that_finds_no_space_leaves_the_old_one(self, cluster):
+    async def test_snapshot_without_disk_space_keeps_the_previous_one(self, cluster):
         await propose_all(cluster, numbered(0, 60))
         await applied_everywhere(cluster, numbered(0, 60))
         for member in cluster.members.values():
             await cluster.until(lambda m=member: SNAPSHOT in m.disk.file_names())
-            # Room for the log, though not for another snapshot beside the old one.
+            # Enough space for the log, but not for a second snapshot.
             member.disk.capacity_bytes = member.disk.used_bytes() + 400
         with anyio.move_on_after(20):
             await propose_all(cluster, numbered(60, 200))
@@ -172,12 +172,12 @@
         self.assertEqual([folder_names(m) for m in cluster.members.values()], [{"0001"}] * 3)
 
     @on_seeds()
-    async def test_command_refused_for_want_of_space_never_shows(self, cluster):
-        """Refused as not run it is nowhere, also after there is space again."""
+    async def test_command_rejected_on_a_full_disk_is_never_applied(self, cluster):
+        """A command rejected as not run is not applied after space is available again."""
         await cluster.propose(b"0")
         for member in cluster.members.values():
             member.disk.capacity_bytes = member.disk.used_bytes() + 50
-        refused = []
+        rejected = []
         for number in range(60):
             command = b"%d" % number + bytes(300)
             leader = await cluster.until(cluster.leader)
@@ -185,15 +185,15 @@
                 await leader.host.propose(command)
             except PasslaneError as error:
                 if error.verdict is Verdict.NOT_RUN:
-                    refused.append(command)
-        self.assertGreater(len(refused), 10)
+                    rejected.append(command)
+        self.assertGreater(len(rejected), 10)
         for member in cluster.members.values():
             member.disk.capacity_bytes = None
         await cluster.until(lambda: not any(m.host.is_disk_full for m in cluster.members.values()))
         await cluster.propose(b"last")
         await cluster.until(lambda: all(b"last" in cluster.commands(n) for n in "abc"))
         for name in "abc":
-            self.assertFalse(set(refused) & set(cluster.commands(name)))
+            self.assertFalse(set(rejected) & set(cluster.commands(name)))
 
 
 if __name__ == "__main__":
--- a/tests/replication/test_replica_host.py
+++ b/tests/replication/test_replica_host.py
@@ -54,16 +54,16 @@
 
 class ReplicaHostTest(unittest.TestCase):
     @on_seeds()
-    async def test_power_lost_everywhere_keeps_acknowledged_commands(self, cluster):
+    async def test_acknowledged_commands_survive_power_loss_of_all_members(self, cluster):
         acknowledged = []
 
-        async def propose_for_ever():
+        async def propose_continuously():
             for command in numbered(0, 10_000):
                 await cluster.propose(command)
                 acknowledged.append(command)
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(propose_for_ever)
+            tasks.start_soon(propose_continuously)
             for _ in range(3):
                 await anyio.sleep(cluster.random.uniform(0.5, 1.5))
                 for name in "abc":
@@ -79,8 +79,8 @@
             self.assertEqual(commands[: len(acknowledged)], acknowledged)
 
     @on_seeds(snapshot_every_entries=20, segment_bytes=500)
-    async def test_restart_from_snapshot_and_tail(self, cluster):
-        """Hundreds of commands pass by a member that is down; then all restart."""
+    async def test_restart_from_snapshot_and_log(self, cluster):
+        """A member misses hundreds of commands while it is stopped; then all members restart."""
         commands = numbered(0, 300)
         await cluster.propose(commands[0])
         cluster.kill("c")
@@ -96,7 +96,7 @@
         self.assertNotIn("segment-0000000001", segments)
 
     @on_seeds()
-    async def test_damaged_log_is_repaired_and_a_second_machine_lost(self, cluster):
+    async def test_damaged_log_is_repaired_before_a_second_machine_is_lost(self, cluster):
         commands = numbered(0, 50)
         await propose_all(cluster, commands)
         await applied_everywhere(cluster, commands)
@@ -108,7 +108,7 @@
         await cluster.until(lambda: damaged.host.is_voter)
         await cluster.until(lambda: not damaged.disk.list_files(f"{GROUP}/0001"))
         self.assertNotEqual(damaged.host.replica_id, old_id)
-        # The repaired replica counts at once: with it, two of three are a majority.
+        # The repaired replica is a voter, so two of three replicas are a quorum.
         cluster.kill("c")
         cluster.members["c"].disk.wipe()
         await propose_all(cluster, numbered(50, 60))
@@ -121,7 +121,7 @@
         self.assertNotIn(old_id, [member.replica_id for member in members])
 
     @on_seeds()
-    async def test_wiped_replica_is_ready_only_once_it_votes(self, cluster):
+    async def test_wiped_replica_is_ready_only_once_it_is_a_voter(self, cluster):
         await propose_all(cluster, numbered(0, 30))
         cluster.kill("c")
         cluster.members["c"].disk.wipe()
@@ -133,15 +133,15 @@
         self.assertTrue(wiped.is_voter)
 
     @on_seeds()
-    async def test_machine_at_a_new_address_takes_the_place_of_the_lost_one(self, cluster):
+    async def test_machine_at_a_new_address_replaces_the_lost_one(self, cluster):
         await self.move_c(cluster, keeps_files=False)
 
     @on_seeds()
-    async def test_machine_that_moves_with_its_files_is_found_again(self, cluster):
+    async def test_machine_that_moves_with_its_files_keeps_its_identity(self, cluster):
         await self.move_c(cluster, keeps_files=True)
 
     async def move_c(self, cluster, *, keeps_files):
-        """Move a replica to another address while commands pass; it must count again."""
+        """Move a replica to another address; it must become a voter again."""
         moved = cluster.members["c"]
         await propose_all(cluster, numbered(0, 20))
         await cluster.until(lambda: moved.host.is_ready)
@@ -169,7 +169,7 @@
         await cluster.propose(b"after")
 
     @on_seeds()
-    async def test_wiped_majority_does_not_found_the_group_anew(self, cluster):
+    async def test_wiped_majority_does_not_found_the_group_again(self, cluster):
         await propose_all(cluster, numbered(0, 5))
         for name in "abc":
             cluster.kill(name)
@@ -185,12 +185,12 @@
         self.assertFalse(status.is_member)
 
     @on_seeds()
-    async def test_disk_full_refuses_work_but_not_reads(self, cluster):
+    async def test_full_disk_rejects_proposals_but_not_reads(self, cluster):
         await cluster.propose(b"0")
         for member in cluster.members.values():
             member.disk.capacity_bytes = member.disk.used_bytes() + 50
 
-        async def refused():
+        async def rejection():
             leader = await cluster.until(cluster.leader)
             try:
                 await leader.host.propose(b"x" * 1_000)
@@ -198,7 +198,7 @@
                 return error
             return None
 
-        errors = [await refused() for _ in range(12)]
+        errors = [await rejection() for _ in range(12)]
         full = [error for error in errors if error and error.code is ErrorCode.DISK_FULL]
         self.assertTrue(full)
         self.assertIs(full[0].verdict, Verdict.NOT_RUN)
@@ -211,8 +211,8 @@
         await cluster.until(lambda: all(b"1" in cluster.commands(n) for n in "abc"))
 
     @on_seeds()
-    async def test_every_amount_of_space_left_is_recovered_from(self, cluster):
-        """Whichever write meets the full disk first: an entry, a term, or the mark of a sync."""
+    async def test_recovers_from_a_full_disk_with_any_remaining_space(self, cluster):
+        """The first failing write may be an entry, a term or a sync marker."""
         await cluster.propose(b"0")
         for space_left in range(0, 160, 32):
             command = b"at %d" % space_left
@@ -225,7 +225,7 @@
             await cluster.propose(b"after " + command)
 
     @on_seeds()
-    async def test_leader_with_a_full_disk_hands_over(self, cluster):
+    async def test_leader_with_a_full_disk_transfers_leadership(self, cluster):
         await cluster.propose(b"0")
         leader = cluster.leader()
         leader.disk.capacity_bytes = leader.disk.used_bytes() + 50
@@ -235,8 +235,8 @@
         await applied_everywhere(cluster, numbered(0, 30))
 
     @on_seeds()
-    async def test_slow_sync_does_not_cost_leadership(self, cluster):
-        """A sync of several election time-outs leaves heartbeats and reads going."""
+    async def test_slow_sync_does_not_end_leadership(self, cluster):
+        """Heartbeats and reads continue during a sync of several election timeouts."""
         await cluster.propose(b"0")
         leader = cluster.leader()
         term = leader.host.term
@@ -251,7 +251,7 @@
         self.assertEqual(cluster.commands(leader.peer.name), [b"0", b"1"])
 
     @on_seeds()
-    async def test_leader_whose_disk_hangs_hands_over(self, cluster):
+    async def test_leader_with_a_stalled_disk_transfers_leadership(self, cluster):
         await cluster.propose(b"0")
         leader = cluster.leader()
         leader.disk.sync_s = (60.0, 60.0)
@@ -260,17 +260,17 @@
         self.assertTrue(leader.host.is_voter)
 
     @on_seeds()
-    async def test_cut_off_leader_neither_writes_nor_reads(self, cluster):
+    async def test_partitioned_leader_neither_commits_nor_reads(self, cluster):
         await cluster.propose(b"0")
-        old = cluster.leader()
-        cluster.cut.add(old.peer.name)
+        previous_leader = cluster.leader()
+        cluster.cut.add(previous_leader.peer.name)
         with self.assertRaises(PasslaneError) as proposal:
-            await old.host.propose(b"lost")
+            await previous_leader.host.propose(b"lost")
         self.assertIs(proposal.exception.verdict, Verdict.MAY_HAVE_RUN)
         with self.assertRaises(PasslaneError) as read:
-            await old.host.read_barrier()
+            await previous_leader.host.read_barrier()
         self.assertIs(read.exception.verdict, Verdict.NOT_RUN)
-        await cluster.until(lambda: cluster.leader() not in (None, old))
+        await cluster.until(lambda: cluster.leader() not in (None, previous_leader))
         await cluster.propose(b"1")
         cluster.cut.clear()
         await applied_everywhere(cluster, [b"0", b"1"])
