--- a/src/passlane/daemon/fleet/node_bounds.py
+++ b/src/passlane/daemon/fleet/node_bounds.py
@@ -10,9 +10,9 @@
 
 import anyio
 
-from passlane.decisions.admission.held_bytes import SHARE_OF_MEMORY, HeldBytesBounds
 from passlane.decisions.admission.loop_lag import SAMPLE_PERIOD_S, LoopLag
 from passlane.decisions.admission.node_load import NodeCapacity, NodeReading
+from passlane.decisions.admission.reader_buffers import SHARE_OF_MEMORY, HeldBytesBounds
 from passlane.messages.routes import RouteConfiguration
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
--- a/src/passlane/decisions/order/service_room.py
+++ b/src/passlane/decisions/order/service_capacity.py
@@ -3,14 +3,19 @@
 Decides when a wait is abandoned and what retry-after time a refused caller gets. Owns one node's
 view of the service: response times (``decisions.backends.answer_times``), the choice among plain
 back ends (``decisions.placement.plain_placement``) and the queue of waiting requests
-(``decisions.order.room_queue``).
+(``decisions.order.capacity_queue``).
 """
 
 import math
 
 from passlane.decisions.backends.answer_times import AnswerTimes
 from passlane.decisions.failure.retry_after import retry_after_wait_s
-from passlane.decisions.order.room_queue import CapacityQueue, PauseRange, RetryPermit, WaitingCall
+from passlane.decisions.order.capacity_queue import (
+    CapacityQueue,
+    PauseRange,
+    RetryPermit,
+    WaitingCall,
+)
 from passlane.decisions.placement.plain_placement import PlainBackends
 from passlane.decisions.placement.request_placement import NodePlace
 
--- a/src/passlane/decisions/scheduling/turn_scheduler.py
+++ b/src/passlane/decisions/scheduling/turn_scheduler.py
@@ -12,7 +12,7 @@
 order of the waiting turns                     ``turn_queue``
 engine of a turn                               ``turn_placement.choose_engine``
 whether an engine is usable                    ``engine_table.EngineTable.usable``
-whether a new program waits or is refused      ``turn_entry``, ``program_admission``
+whether a new program waits or is refused      ``turn_admission``, ``program_admission``
 expiry of a slot whose turn does not end       ``slot_assigner``
 =============================================  =====================================
 
@@ -37,7 +37,7 @@
 from passlane.decisions.order.program_progress import ProgramTable
 from passlane.decisions.scheduling.service_turns import ServiceTurns
 from passlane.decisions.scheduling.slot_assigner import SlotAssigner
-from passlane.decisions.scheduling.turn_entry import TurnEntry
+from passlane.decisions.scheduling.turn_admission import TurnEntry
 from passlane.decisions.scheduling.turn_outcomes import (
     TurnOutcomes,
     is_complete_response,
--- a/src/passlane/relay/attempt_log.py
+++ b/src/passlane/relay/attempt_log.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from passlane.decisions.backends.registry import BackendLoad, ServiceJudgement
-from passlane.decisions.order.room_queue import RetryPermit
+from passlane.decisions.order.capacity_queue import RetryPermit
 from passlane.decisions.placement.plain_placement import PlainChoice
 from passlane.decisions.placement.request_placement import PlacementChoice, PlacementKey
 from passlane.observability.logging import get_logger
--- a/src/passlane/relay/attempts.py
+++ b/src/passlane/relay/attempts.py
@@ -11,7 +11,7 @@
 
 from passlane.decisions.backends.health import stall_limit_s
 from passlane.decisions.backends.registry import BackendLoad
-from passlane.decisions.order.room_queue import RetryPermit
+from passlane.decisions.order.capacity_queue import RetryPermit
 from passlane.relay.attempt import AttemptSender, Deliver
 from passlane.relay.attempt_history import AttemptHistory
 from passlane.relay.backend_choice import ChoiceInputs, backend_selector, judge_backends
--- a/src/passlane/relay/backend_choice.py
+++ b/src/passlane/relay/backend_choice.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from passlane.decisions.backends.registry import BackendLoad, ServiceJudgement
-from passlane.decisions.order.room_queue import RetryPermit
+from passlane.decisions.order.capacity_queue import RetryPermit
 from passlane.decisions.placement.plain_placement import PlainBackends, PlainCall, PlainView
 from passlane.decisions.placement.request_placement import PlacementChoice, choose_backend
 from passlane.relay.attempt_history import AttemptHistory
--- a/src/passlane/relay/end_reasons.py
+++ b/src/passlane/relay/end_reasons.py
@@ -106,7 +106,7 @@
         "no back end took the request",
         CallerResponse.REFUSAL,
         UNAVAILABLE,
-        "decisions.order.service_room",
+        "decisions.order.service_capacity",
     )
     """The request did not run anywhere, and its remaining time is too short for an answer: see
     ``backend_refused`` for each attempt and ``room_wait_ended`` with ``has_turn`` false."""
@@ -114,7 +114,7 @@
         "no further back end took the request",
         CallerResponse.BY_VERDICT,
         None,
-        "decisions.order.service_room",
+        "decisions.order.service_capacity",
     )
     """As ``NO_BACK_END``, but after an attempt that may have run."""
     BROKE_OFF = ("{detail}", CallerResponse.BY_VERDICT, None, "decisions.failure.resending")
@@ -135,7 +135,12 @@
     """The node is stopping. Only a request that did not run receives an answer."""
     CLIENT_LEFT = ("client_left", CallerResponse.NOTHING, None, "platform.client_ingress")
     """The caller closed its connection."""
-    CONNECTION_ENDED = ("{detail}", CallerResponse.NOTHING, None, "decisions.admission.held_bytes")
+    CONNECTION_ENDED = (
+        "{detail}",
+        CallerResponse.NOTHING,
+        None,
+        "decisions.admission.reader_buffers",
+    )
     """This node closed the connection of a slow reader: see the line ``answer_ended_unread``, whose
     reason is the detail."""
 
--- a/src/passlane/relay/request_wait.py
+++ b/src/passlane/relay/request_wait.py
@@ -1,15 +1,15 @@
 """Lets one request wait for backend capacity while there is still time for an answer.
 
 Owns the request's entry among the waiting requests. Relies on ``relay.room_waits`` for the wait
-itself; ``decisions.order.room_queue`` decides which request tries next,
-``decisions.order.service_room`` and ``decisions.failure.client_timeout`` when a wait ends.
+itself; ``decisions.order.capacity_queue`` decides which request tries next,
+``decisions.order.service_capacity`` and ``decisions.failure.client_timeout`` when a wait ends.
 """
 
 import anyio
 
 from passlane.decisions.backends.registry import ServiceJudgement
 from passlane.decisions.failure.client_timeout import hopeless_at
-from passlane.decisions.order.room_queue import RetryPermit, WaitingCall
+from passlane.decisions.order.capacity_queue import RetryPermit, WaitingCall
 from passlane.errors import Verdict
 from passlane.relay.attempt_history import AttemptHistory
 from passlane.relay.context import RequestContext
--- a/src/passlane/relay/room_waits.py
+++ b/src/passlane/relay/room_waits.py
@@ -1,7 +1,7 @@
 """Suspends the requests of one node until they may try the backends of one service again.
 
 Owns one event for each waiting request, and the free slots that were offered to a request and are
-not used yet. Relies on ``decisions.order.service_room`` for all decisions: which request tries
+not used yet. Relies on ``decisions.order.service_capacity`` for all decisions: which request tries
 next, when, and when a wait is abandoned.
 """
 
@@ -9,8 +9,8 @@
 
 import anyio
 
-from passlane.decisions.order.room_queue import RetryPermit, WaitingCall
-from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.order.capacity_queue import RetryPermit, WaitingCall
+from passlane.decisions.order.service_capacity import ServiceRoom
 from passlane.observability.logging import get_logger
 
 _log = get_logger(__name__)
--- a/src/passlane/relay/service_waits.py
+++ b/src/passlane/relay/service_waits.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.order.service_capacity import ServiceRoom
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.routes import RoutedService
 from passlane.relay.room_waits import CapacityWaits
--- a/src/passlane/relay/unread_answers.py
+++ b/src/passlane/relay/unread_answers.py
@@ -1,7 +1,7 @@
 """Monitors the answer bytes that callers leave unread, and closes connections that have stalled.
 
-Owns the last sample of each connection. ``decisions.admission.held_bytes`` decides what to do. Log
-lines: ``answer_ended_unread``, ``more_answers_ended``.
+Owns the last sample of each connection. ``decisions.admission.reader_buffers`` decides what to do.
+Log lines: ``answer_ended_unread``, ``more_answers_ended``.
 """
 
 from collections import Counter
@@ -9,7 +9,12 @@
 
 import msgspec
 
-from passlane.decisions.admission.held_bytes import Ending, HeldBytes, HeldBytesBounds, Instruction
+from passlane.decisions.admission.reader_buffers import (
+    Ending,
+    HeldBytes,
+    HeldBytesBounds,
+    Instruction,
+)
 from passlane.observability.logging import get_logger
 from passlane.runtime.interfaces import WatchedConnection
 
--- a/src/passlane/settings/fleet.py
+++ b/src/passlane/settings/fleet.py
@@ -10,9 +10,13 @@
 
 import msgspec
 
-from passlane.decisions.admission.held_bytes import BYTES_FOR_ONE, LONGEST_STALL_S, SHORTEST_STALL_S
 from passlane.decisions.admission.loop_lag import LARGEST_SAMPLE_S
 from passlane.decisions.admission.node_load import LATE_LOOP_S, VERY_LATE_LOOP_S
+from passlane.decisions.admission.reader_buffers import (
+    BYTES_FOR_ONE,
+    LONGEST_STALL_S,
+    SHORTEST_STALL_S,
+)
 from passlane.messages.common import Address
 from passlane.messages.fleet import FleetRole
 from passlane.settings.checks import SettingsProblem
--- a/tests/daemon/fleet/test_node_bounds.py
+++ b/tests/daemon/fleet/test_node_bounds.py
@@ -9,8 +9,8 @@
 
 from passlane.daemon.fleet import node_bounds
 from passlane.daemon.fleet.node_bounds import MOST_PATIENCE_S, NodeBounds
-from passlane.decisions.admission.held_bytes import LONGEST_STALL_S
 from passlane.decisions.admission.node_load import Admission
+from passlane.decisions.admission.reader_buffers import LONGEST_STALL_S
 from passlane.messages.common import Address
 from passlane.messages.fleet import FleetRole
 from passlane.observability.metrics import Metrics
--- a/tests/decisions/admission/test_held_bytes.py
+++ b/tests/decisions/admission/test_reader_buffers.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from passlane.decisions.admission.held_bytes import (
+from passlane.decisions.admission.reader_buffers import (
     LONGEST_STALL_S,
     SHORTEST_STALL_S,
     EndReason,
--- a/tests/decisions/order/test_room_queue.py
+++ b/tests/decisions/order/test_capacity_queue.py
@@ -7,8 +7,13 @@
     MIN_CAPACITY_RETRY_S,
     ROOM_RETRY_SPREAD,
 )
-from passlane.decisions.order.room_queue import PAUSE_SPREAD, CapacityQueue, PauseRange, WaitingCall
-from passlane.decisions.order.service_room import (
+from passlane.decisions.order.capacity_queue import (
+    PAUSE_SPREAD,
+    CapacityQueue,
+    PauseRange,
+    WaitingCall,
+)
+from passlane.decisions.order.service_capacity import (
     ServiceRoom,
 )
 from passlane.decisions.placement.request_placement import NodePlace
--- a/tests/decisions/placement/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -12,8 +12,8 @@
 import msgspec
 
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.order.room_queue import WaitingCall
-from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.order.capacity_queue import WaitingCall
+from passlane.decisions.order.service_capacity import ServiceRoom
 from passlane.decisions.placement.plain_placement import PlainCall, PlainView
 from passlane.decisions.placement.request_placement import (
     NodePlace,
@@ -193,7 +193,7 @@
 
 
 class ServicePolicy:
-    """The policy of ``passlane.decisions.order.service_room``."""
+    """The policy of ``passlane.decisions.order.service_capacity``."""
 
     def __init__(self, simulation):
         self.simulation = simulation
--- a/tests/decisions/placement/test_plain_load.py
+++ b/tests/decisions/placement/test_plain_load.py
@@ -1,7 +1,7 @@
 """Simulated load of plain back ends that many nodes share without seeing each other's calls.
 
-The policy of ``decisions.order.service_room`` has to refuse fewer calls, cause fewer refusals by
-back ends and open fewer connections than a simple baseline policy. The default load is 650 calls
+The policy of ``decisions.order.service_capacity`` has to refuse fewer calls, cause fewer refusals
+by back ends and open fewer connections than a simple baseline policy. The default load is 650 calls
 per second from 61 nodes to 5 back ends of 6 slots, three quarters of their capacity.
 """
 
--- a/tests/decisions/scheduling/test_turn_scheduler.py
+++ b/tests/decisions/scheduling/test_turn_scheduler.py
@@ -19,7 +19,7 @@
 )
 from passlane.decisions.order.turn_queue import LONGEST_LATE_WAIT_S
 from passlane.decisions.scheduling.slot_assigner import MIN_SLOT_S
-from passlane.decisions.scheduling.turn_entry import LONGEST_LOOPING_HOLD_S
+from passlane.decisions.scheduling.turn_admission import LONGEST_LOOPING_HOLD_S
 from passlane.decisions.scheduling.turn_scheduler import LEARNING_S, TurnScheduler
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -53,9 +53,9 @@
     TurnWithdrawn,
 )
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
-from passlane.decisions.order.room_queue import PauseRange, WaitingCall
-from passlane.decisions.order.room_queue import RetryPermit as RoomTurn
-from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.order.capacity_queue import PauseRange, WaitingCall
+from passlane.decisions.order.capacity_queue import RetryPermit as RoomTurn
+from passlane.decisions.order.service_capacity import ServiceRoom
 from passlane.decisions.placement.plain_placement import PlainCall, PlainChoice, PlainView
 from passlane.decisions.placement.request_placement import (
     NodePlace,
--- a/tests/relay/test_end_reasons.py
+++ b/tests/relay/test_end_reasons.py
@@ -5,7 +5,7 @@
 from importlib.util import find_spec
 from pathlib import Path
 
-from passlane.decisions.admission import held_bytes
+from passlane.decisions.admission import reader_buffers
 from passlane.decisions.failure.answer_verdicts import NOT_RUN_STATUSES
 from passlane.relay.end_reasons import (
     BreakReason,
@@ -97,7 +97,7 @@
 
     def test_every_reason_has_a_row(self):
         texts = [RequestEnd(reason, "...").text for reason in RequestEndReason]
-        texts += [end_reason.value for end_reason in held_bytes.EndReason]
+        texts += [end_reason.value for end_reason in reader_buffers.EndReason]
         missing = [text for text in texts if text != "..." and f"`{text}`" not in self.section]
         self.assertEqual(missing, [])
 
@@ -125,7 +125,7 @@
         self.assertEqual(end_of_connection("client_left").reason, RequestEndReason.CLIENT_LEFT)
 
     def test_a_connection_closed_by_the_node_keeps_its_reason(self):
-        for end_reason in held_bytes.EndReason:
+        for end_reason in reader_buffers.EndReason:
             end = end_of_connection(end_reason.value)
             self.assertEqual(end.reason, RequestEndReason.CONNECTION_ENDED)
             self.assertEqual(end.text, end_reason.value)
--- a/tests/relay/test_room_waits.py
+++ b/tests/relay/test_room_waits.py
@@ -5,8 +5,8 @@
 import anyio
 import trio.testing
 
-from passlane.decisions.order.room_queue import WaitingCall
-from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.order.capacity_queue import WaitingCall
+from passlane.decisions.order.service_capacity import ServiceRoom
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.relay.room_waits import CapacityWaits
 
--- a/tests/relay/test_unread_answers.py
+++ b/tests/relay/test_unread_answers.py
@@ -4,7 +4,7 @@
 
 from structlog.testing import capture_logs
 
-from passlane.decisions.admission.held_bytes import LONGEST_STALL_S, HeldBytesBounds
+from passlane.decisions.admission.reader_buffers import LONGEST_STALL_S, HeldBytesBounds
 from passlane.relay.unread_answers import MAX_LOGGED_ENDINGS, UnreadAnswers
 
 PERIOD_S = 0.25
