--- a/src/passlane/daemon/fleet/node_bounds.py
+++ b/src/passlane/daemon/fleet/node_bounds.py
@@ -17,7 +17,7 @@
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
 from passlane.relay.admission import NodeAdmission
-from passlane.relay.unread_answers import UnreadAnswers
+from passlane.relay.slow_reader_monitor import UnreadAnswers
 from passlane.runtime.process_usage import open_descriptors, resident_bytes
 from passlane.settings.fleet import FleetSettings, MachineSettings, NodeBoundsSettings
 
--- a/src/passlane/relay/context.py
+++ b/src/passlane/relay/context.py
@@ -12,8 +12,8 @@
 from passlane.messages.placement import TurnDemand
 from passlane.messages.routes import Route, RoutedService
 from passlane.relay.backends import RelayBackends
+from passlane.relay.capacity_waits import CapacityWaits
 from passlane.relay.request_quota import RequestQuota
-from passlane.relay.room_waits import CapacityWaits
 from passlane.routes.tenants import Identity
 
 
--- a/src/passlane/relay/end_reasons.py
+++ b/src/passlane/relay/end_reasons.py
@@ -79,7 +79,7 @@
     STORE_DID_NOT_ANSWER = ("store_{detail}", CallerResponse.REFUSAL, UNAVAILABLE, "turns.client")
     """The store group did not reserve the turn, or did not count the request against its quota; the
     detail is an ``ErrorCode``. For a further run that could not be counted, the verdict
-    determines the status (``relay.another_run``)."""
+    determines the status (``relay.rerun_admission``)."""
     QUOTA_SPENT = (
         "quota_spent",
         CallerResponse.REFUSAL,
@@ -87,11 +87,11 @@
         "decisions.limits.quota_ledger",
     )
     """The tenant's rate limit is exhausted: see the line ``quota_refused``. For a further run, the
-    verdict determines the status (``relay.another_run``)."""
+    verdict determines the status (``relay.rerun_admission``)."""
     BUDGET_SPENT = ("budget_spent", CallerResponse.REFUSAL, PAYMENT_REQUIRED, "turns.state")
     """The remaining budget of the program is less than the turn may generate: see the line
     ``budget_refused``. For a further run, the verdict determines the status
-    (``relay.another_run``)."""
+    (``relay.rerun_admission``)."""
     TURN_UNKNOWN = ("turn_unknown", CallerResponse.REFUSAL, NOT_FOUND, "turns.state")
     """The store group has no turn with the id that the request continues."""
     NO_ROOM = (
--- a/src/passlane/relay/request.py
+++ b/src/passlane/relay/request.py
@@ -9,17 +9,17 @@
 from passlane.decisions.failure.answer_verdicts import UNAVAILABLE, status_when_given_up
 from passlane.decisions.failure.retry_after import retry_after_outage_s
 from passlane.errors import Verdict
-from passlane.relay.another_run import RerunAdmission
 from passlane.relay.answer_delivery import AnswerDelivery
 from passlane.relay.attempt_history import AttemptHistory
 from passlane.relay.attempts import RequestAttempts
 from passlane.relay.backends import AnswerWriter
 from passlane.relay.context import RequestContext
 from passlane.relay.end_reasons import RequestEnd, RequestEndReason
-from passlane.relay.own_answers import LocalResponses
+from passlane.relay.local_responses import LocalResponses
 from passlane.relay.progress import RequestProgress
 from passlane.relay.request_admission import RequestAdmission
 from passlane.relay.request_errors import Refusal, RequestFailedError, RequestRefusedError
+from passlane.relay.rerun_admission import RerunAdmission
 from passlane.relay.turn_account import TurnAccount
 
 
--- a/src/passlane/relay/request_wait.py
+++ b/src/passlane/relay/request_wait.py
@@ -1,6 +1,6 @@
 """Lets one request wait for backend capacity while there is still time for an answer.
 
-Owns the request's entry among the waiting requests. Relies on ``relay.room_waits`` for the wait
+Owns the request's entry among the waiting requests. Relies on ``relay.capacity_waits`` for the wait
 itself; ``decisions.order.capacity_queue`` decides which request tries next,
 ``decisions.order.service_capacity`` and ``decisions.failure.client_timeout`` when a wait ends.
 """
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -22,7 +22,7 @@
 from passlane.relay.backends import AnswerWriter, RelayBackends
 from passlane.relay.context import RequestContext
 from passlane.relay.end_reasons import RequestEnd, RequestEndReason, end_of_connection
-from passlane.relay.own_answers import LocalResponses
+from passlane.relay.local_responses import LocalResponses
 from passlane.relay.progress import RequestProgress
 from passlane.relay.request import RequestRelay
 from passlane.relay.request_errors import Refusal, RequestRefusedError
--- a/src/passlane/relay/service_waits.py
+++ b/src/passlane/relay/service_waits.py
@@ -10,7 +10,7 @@
 from passlane.decisions.order.service_capacity import ServiceRoom
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.routes import RoutedService
-from passlane.relay.room_waits import CapacityWaits
+from passlane.relay.capacity_waits import CapacityWaits
 
 
 class _ServiceKey(msgspec.Struct, frozen=True):
--- a/tests/relay/test_room_waits.py
+++ b/tests/relay/test_capacity_waits.py
@@ -8,7 +8,7 @@
 from passlane.decisions.order.capacity_queue import WaitingCall
 from passlane.decisions.order.service_capacity import ServiceRoom
 from passlane.decisions.placement.request_placement import NodePlace
-from passlane.relay.room_waits import CapacityWaits
+from passlane.relay.capacity_waits import CapacityWaits
 
 
 def waiting(name, arrived_at=0.0, left_s=1.0):
--- a/tests/relay/test_unread_answers.py
+++ b/tests/relay/test_slow_reader_monitor.py
@@ -5,7 +5,7 @@
 from structlog.testing import capture_logs
 
 from passlane.decisions.admission.reader_buffers import LONGEST_STALL_S, HeldBytesBounds
-from passlane.relay.unread_answers import MAX_LOGGED_ENDINGS, UnreadAnswers
+from passlane.relay.slow_reader_monitor import MAX_LOGGED_ENDINGS, UnreadAnswers
 
 PERIOD_S = 0.25
 
