--- a/src/passlane/daemon/fleet/control.py
+++ b/src/passlane/daemon/fleet/control.py
@@ -15,7 +15,7 @@
     hand_over_leadership,
     members_at_start,
 )
-from passlane.fleet.follower import FleetFollower
+from passlane.fleet.client import FleetFollower
 from passlane.fleet.operator import FleetOperator
 from passlane.fleet.service import FleetService
 from passlane.fleet.state.machine import FleetStateMachine
--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -17,7 +17,7 @@
 from passlane.daemon.shared.in_flight import InFlightRequests
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.placement.request_placement import NodePlace
-from passlane.fleet.follower import FleetFollower
+from passlane.fleet.client import FleetFollower
 from passlane.messages.common import Address
 from passlane.messages.routes import RouteConfiguration
 from passlane.observability.logging import get_logger
--- a/src/passlane/daemon/fleet/store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -15,7 +15,7 @@
 from passlane.daemon.shared.replicas import STORE_FOLDER, hand_over_leadership, members_at_start
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
-from passlane.fleet.follower import FleetFollower
+from passlane.fleet.client import FleetFollower
 from passlane.messages.common import NotLeaderError
 from passlane.messages.fleet import Announce, NamedAddress, RemoveReplica, ReplicaRemoved
 from passlane.messages.listing import BackendRecord
--- a/tests/fleet/test_follower.py
+++ b/tests/fleet/test_client.py
@@ -6,7 +6,7 @@
 import anyio
 import anyio.lowlevel
 
-from passlane.fleet.follower import FleetFollower
+from passlane.fleet.client import FleetFollower
 from passlane.fleet.state.backend_listing import BackendListing
 from passlane.messages.common import Address
 from passlane.messages.fleet import Announce, FleetAddresses, FleetRole, FleetView, NamedAddress
