--- a/src/passlane/decisions/order/capacity_queue.py
+++ b/src/passlane/decisions/order/capacity_queue.py
@@ -127,7 +127,9 @@
         if call in self._waiting:
             self._waiting.remove(call)
 
-    def take_turn(self, call: WaitingCall, pauses: PauseRange, now: float) -> RetryPermit | None:
+    def try_acquire_permit(
+        self, call: WaitingCall, pauses: PauseRange, now: float
+    ) -> RetryPermit | None:
         """Return a permit and remove the request if it may retry now; otherwise ``None``.
 
         The next request may retry once a refusal of this one would have been received.
--- a/src/passlane/decisions/order/service_capacity.py
+++ b/src/passlane/decisions/order/service_capacity.py
@@ -27,7 +27,7 @@
 """Time for which the last wait that ended is used to estimate the next one."""
 
 
-class ServiceRoom:
+class ServiceCapacity:
     """Capacity of one service as one node sees it; all times are local.
 
     Parameters
@@ -85,9 +85,9 @@
         """Remove a request that no longer waits."""
         self._queue.leave(call)
 
-    def take_turn(self, call: WaitingCall, now: float) -> RetryPermit | None:
+    def try_acquire_permit(self, call: WaitingCall, now: float) -> RetryPermit | None:
         """Return a permit and remove the request if it may retry now; otherwise ``None``."""
-        return self._queue.take_turn(call, self.pauses, now)
+        return self._queue.try_acquire_permit(call, self.pauses, now)
 
     def wakes_at(self, call: WaitingCall) -> float:
         """Return when a waiting request must check again whether it may retry."""
@@ -116,7 +116,7 @@
         self._last_wait_s = now - call.joined_at
         self._last_wait_at = now
 
-    def come_back_s(self, now: float, draw: float) -> float:
+    def retry_after_s(self, now: float, draw: float) -> float:
         """Return the retry-after time of a refused request, in seconds.
 
         The shortage is expected to last as long again as it has lasted so far: the maximum of the
--- a/src/passlane/decisions/order/turn_precedence.py
+++ b/src/passlane/decisions/order/turn_precedence.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 
 from passlane.decisions.order.turn_queue import (
-    LONGEST_LATE_WAIT_S,
+    MAX_OVERDUE_WAIT_S,
     MAX_PASSED_OVER_S,
     TurnQueue,
     WaitingTurn,
@@ -25,7 +25,7 @@
     MEMORY = "a large turn as urgent has waited for an engine's memory for long"
 
 
-def waits_for(
+def find_wait_reason(
     turn: WaitingTurn, queue: TurnQueue, has_free_slot: Callable[[], bool], now: float
 ) -> WaitReason | None:
     """Return why a turn must wait; ``None`` if it may use an engine with free capacity.
@@ -34,7 +34,7 @@
     2. A new program waits if another new program waits.
     3. A new program waits if a turn under way of at least its urgency waits.
     4. Any turn waits if a more urgent one has waited for more than ``MAX_PASSED_OVER_S``.
-    5. Any turn waits if a turn under way of its urgency has waited for ``LONGEST_LATE_WAIT_S``
+    5. Any turn waits if a turn under way of its urgency has waited for ``MAX_OVERDUE_WAIT_S``
        although a slot is free, as that turn lacks memory.
 
     Parameters
@@ -69,4 +69,4 @@
     Smaller turns that used the free slots would prevent the memory from becoming available.
     """
     waited_s = queue.max_under_way_wait_s(turn.urgency, now)
-    return waited_s >= LONGEST_LATE_WAIT_S and has_free_slot()
+    return waited_s >= MAX_OVERDUE_WAIT_S and has_free_slot()
--- a/src/passlane/decisions/order/turn_queue.py
+++ b/src/passlane/decisions/order/turn_queue.py
@@ -6,7 +6,7 @@
 2. Turns of programs under way before new programs (``TurnQueue.in_order``).
 3. Among programs under way, the earliest latest start first. Overdue turns, whose latest start
    has passed, follow those that can still be on time, the longest waiting first. Overdue turns
-   that have waited for ``LONGEST_LATE_WAIT_S`` precede both (``_UnderWayTurns.in_order``).
+   that have waited for ``MAX_OVERDUE_WAIT_S`` precede both (``_UnderWayTurns.in_order``).
 4. New programs by fair shares of service among tenants, and within a tenant by the time of the
    first request, also after a refusal (``call_queue``).
 5. Programs detected as endless loops after all others (``TurnQueue.in_order``).
@@ -28,7 +28,7 @@
 from passlane.decisions.order.call_queue import CallQueue, QueuedCall
 from passlane.identifiers import CallId, ProgramId, TenantId
 
-LONGEST_LATE_WAIT_S = 0.3
+MAX_OVERDUE_WAIT_S = 0.3
 """Maximum wait of an overdue turn behind others of its urgency. Callers accept answers until a
 program has taken twice its time, which leaves about this much for each turn.
 
@@ -118,13 +118,13 @@
     def in_order(self, now: float) -> Iterator[WaitingTurn]:
         """Yield turns in the order of service.
 
-        1. Overdue turns that have waited for ``LONGEST_LATE_WAIT_S``, the longest waiting first.
+        1. Overdue turns that have waited for ``MAX_OVERDUE_WAIT_S``, the longest waiting first.
         2. Turns that can still be on time, by latest start.
         3. Other overdue turns, the longest waiting first.
         """
         first_on_time = bisect.bisect_left(self._turns, _OrderKey(now, ""), key=_order_key)
         overdue = sorted(self._turns[:first_on_time], key=lambda turn: turn.asked_at)
-        past_wait_limit = [turn for turn in overdue if now - turn.asked_at >= LONGEST_LATE_WAIT_S]
+        past_wait_limit = [turn for turn in overdue if now - turn.asked_at >= MAX_OVERDUE_WAIT_S]
         yield from past_wait_limit
         yield from self._turns[first_on_time:]
         yield from overdue[len(past_wait_limit) :]
--- a/src/passlane/decisions/scheduling/turn_admission.py
+++ b/src/passlane/decisions/scheduling/turn_admission.py
@@ -17,7 +17,7 @@
 from passlane.decisions.backends.engine_table import EngineTable
 from passlane.decisions.inputs.turn_events import TurnAsked, TurnDecision, TurnNotPlaced
 from passlane.decisions.order.program_progress import ProgramProgress, ProgramTable
-from passlane.decisions.order.turn_precedence import waits_for
+from passlane.decisions.order.turn_precedence import find_wait_reason
 from passlane.decisions.order.turn_queue import WaitingTurn
 from passlane.decisions.placement.turn_placement import EngineChoice
 from passlane.decisions.scheduling.service_turns import ServiceTurns
@@ -94,7 +94,7 @@
         def has_free_slot() -> bool:
             return self._engines.has_free_slot(service.name, now)
 
-        if waits_for(turn, service.queue, has_free_slot, now) is not None:
+        if find_wait_reason(turn, service.queue, has_free_slot, now) is not None:
             return None
         return self._slot_assigner.choose(turn, service, now)
 
--- a/src/passlane/decisions/scheduling/turn_scheduler.py
+++ b/src/passlane/decisions/scheduling/turn_scheduler.py
@@ -8,7 +8,7 @@
 decision                                       rule
 =============================================  =====================================
 whether the node chooses the engine            ``TurnScheduler.node_chooses``
-whether a turn must wait for others            ``turn_precedence.waits_for``
+whether a turn must wait for others            ``turn_precedence.find_wait_reason``
 order of the waiting turns                     ``turn_queue``
 engine of a turn                               ``turn_placement.choose_engine``
 whether an engine is usable                    ``engine_table.EngineTable.usable``
--- a/src/passlane/relay/capacity_waits.py
+++ b/src/passlane/relay/capacity_waits.py
@@ -10,7 +10,7 @@
 import anyio
 
 from passlane.decisions.order.capacity_queue import RetryPermit, WaitingCall
-from passlane.decisions.order.service_capacity import ServiceRoom
+from passlane.decisions.order.service_capacity import ServiceCapacity
 from passlane.observability.logging import get_logger
 
 _log = get_logger(__name__)
@@ -27,7 +27,7 @@
         Returns a uniform random number from 0 to 1, for jitter.
     """
 
-    def __init__(self, queue: ServiceRoom, draw: Callable[[], float]) -> None:
+    def __init__(self, queue: ServiceCapacity, draw: Callable[[], float]) -> None:
         self.queue = queue
         self._draw = draw
         self._wake_events: dict[WaitingCall, anyio.Event] = {}
@@ -61,7 +61,7 @@
 
     def retry_after_s(self) -> float:
         """Return the seconds after which a caller that is refused now should retry."""
-        return self.queue.come_back_s(anyio.current_time(), self._draw())
+        return self.queue.retry_after_s(anyio.current_time(), self._draw())
 
     async def _acquire_permit(self, call: WaitingCall) -> RetryPermit | None:
         while True:
@@ -69,7 +69,7 @@
             offered = self._offered.pop(call, None)
             if offered is not None:
                 return RetryPermit(offered)
-            permit = self.queue.take_turn(call, now)
+            permit = self.queue.try_acquire_permit(call, now)
             if permit is not None or now >= call.give_up_at:
                 return permit
             with anyio.CancelScope(deadline=self.queue.wakes_at(call)):
--- a/src/passlane/relay/service_waits.py
+++ b/src/passlane/relay/service_waits.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from passlane.decisions.order.service_capacity import ServiceRoom
+from passlane.decisions.order.service_capacity import ServiceCapacity
 from passlane.decisions.placement.request_placement import NodePlace
 from passlane.messages.routes import RoutedService
 from passlane.relay.capacity_waits import CapacityWaits
@@ -43,7 +43,7 @@
         key = _ServiceKey.of(service)
         waits = self._by_service.get(key)
         if waits is None:
-            queue = ServiceRoom(self._node, is_for_model=key.is_for_model)
+            queue = ServiceCapacity(self._node, is_for_model=key.is_for_model)
             waits = CapacityWaits(queue, self._draw)
             self._by_service[key] = waits
         return waits
--- a/tests/decisions/order/test_capacity_queue.py
+++ b/tests/decisions/order/test_capacity_queue.py
@@ -14,7 +14,7 @@
     WaitingCall,
 )
 from passlane.decisions.order.service_capacity import (
-    ServiceRoom,
+    ServiceCapacity,
 )
 from passlane.decisions.placement.request_placement import NodePlace
 
@@ -74,16 +74,16 @@
         first, second = waiting_call("a"), waiting_call("b", arrived_at=0.1)
         queue.join(first, PAUSES, 0.0, 0.5)
         queue.join(second, PAUSES, 0.0, 0.5)
-        self.assertIsNone(queue.take_turn(second, PAUSES, 0.1))
+        self.assertIsNone(queue.try_acquire_permit(second, PAUSES, 0.1))
         self.assertEqual(queue.wakes_at(second), second.give_up_at)
-        self.assertIsNotNone(queue.take_turn(first, PAUSES, 0.1))
+        self.assertIsNotNone(queue.try_acquire_permit(first, PAUSES, 0.1))
 
     def test_the_next_request_retries_once_a_refusal_would_have_been_received(self):
         queue = CapacityQueue()
         first, second = waiting_call("a"), waiting_call("b", arrived_at=0.1)
         queue.join(first, PAUSES, 0.0, 0.5)
         queue.join(second, PAUSES, 0.0, 0.5)
-        queue.take_turn(first, PAUSES, 0.1)
+        queue.try_acquire_permit(first, PAUSES, 0.1)
         self.assertAlmostEqual(queue.wakes_at(second), 0.105)
 
     def pauses_after_refusals(self, count, draw):
@@ -93,7 +93,7 @@
             queue.join(call, PAUSES, now, draw)
             pauses.append(queue.wakes_at(call) - now)
             now = queue.wakes_at(call)
-            self.assertIsNotNone(queue.take_turn(call, PAUSES, now))
+            self.assertIsNotNone(queue.try_acquire_permit(call, PAUSES, now))
             call.refusals += 1
         return [round(pause, 4) for pause in pauses]
 
@@ -117,12 +117,12 @@
     def test_a_request_without_time_for_an_answer_gets_no_permit(self):
         queue, call = CapacityQueue(), waiting_call(give_up_at=0.2)
         queue.join(call, PAUSES, 0.0, 0.5)
-        self.assertIsNone(queue.take_turn(call, PAUSES, 0.2))
+        self.assertIsNone(queue.try_acquire_permit(call, PAUSES, 0.2))
 
 
 class ServiceRoomTest(unittest.TestCase):
     def setUp(self):
-        self.room = ServiceRoom(NodePlace("node-1", "a"), is_for_model=False)
+        self.room = ServiceCapacity(NodePlace("node-1", "a"), is_for_model=False)
 
     def test_a_wait_ends_when_less_than_the_typical_time_of_the_route_is_left(self):
         for _ in range(100):
@@ -140,21 +140,21 @@
         self.assertIsNone(self.room.note_answered("i-1", "quick", 0.01, 0.13))
 
     def test_the_slot_of_an_engine_is_not_reassigned(self):
-        room = ServiceRoom(NodePlace("node-1", "a"), is_for_model=True)
+        room = ServiceCapacity(NodePlace("node-1", "a"), is_for_model=True)
         room.join(waiting_call(), 0.0, 0.5, 6)
         self.assertIsNone(room.note_answered("i-1", "turn", 0.1, 0.1))
 
     def test_the_retry_after_time_follows_the_duration_of_the_shortage(self):
-        self.assertEqual(self.room.come_back_s(0.0, 0.0), MIN_CAPACITY_RETRY_S)
+        self.assertEqual(self.room.retry_after_s(0.0, 0.0), MIN_CAPACITY_RETRY_S)
         self.room.join(waiting_call(arrived_at=0.0, give_up_at=9.0), 0.0, 0.5, 6)
-        self.assertEqual(self.room.come_back_s(0.3, 0.0), 0.3)
-        self.assertEqual(self.room.come_back_s(5.0, 0.0), LONGEST_ROOM_RETRY_S)
+        self.assertEqual(self.room.retry_after_s(0.3, 0.0), 0.3)
+        self.assertEqual(self.room.retry_after_s(5.0, 0.0), LONGEST_ROOM_RETRY_S)
 
     def test_retry_after_times_have_jitter(self):
-        min_s, max_s = (self.room.come_back_s(0.0, draw) for draw in (0.0, 1.0))
+        min_s, max_s = (self.room.retry_after_s(0.0, draw) for draw in (0.0, 1.0))
         self.assertAlmostEqual(max_s, min_s * (1 + ROOM_RETRY_SPREAD))
 
     def test_a_recently_ended_wait_counts_for_one_second(self):
         self.room.note_wait_ended(waiting_call(arrived_at=0.0), 0.4)
-        self.assertEqual(self.room.come_back_s(0.5, 0.0), 0.4)
-        self.assertEqual(self.room.come_back_s(2.0, 0.0), MIN_CAPACITY_RETRY_S)
+        self.assertEqual(self.room.retry_after_s(0.5, 0.0), 0.4)
+        self.assertEqual(self.room.retry_after_s(2.0, 0.0), MIN_CAPACITY_RETRY_S)
--- a/tests/decisions/order/test_turn_precedence.py
+++ b/tests/decisions/order/test_turn_precedence.py
@@ -4,9 +4,9 @@
 import unittest
 
 from passlane.decisions.inputs.turn_events import TurnAsked
-from passlane.decisions.order.turn_precedence import WaitReason, waits_for
+from passlane.decisions.order.turn_precedence import WaitReason, find_wait_reason
 from passlane.decisions.order.turn_queue import (
-    LONGEST_LATE_WAIT_S,
+    MAX_OVERDUE_WAIT_S,
     MAX_PASSED_OVER_S,
     TurnQueue,
     WaitingTurn,
@@ -45,7 +45,7 @@
         queue = TurnQueue()
         if waiting is not None:
             queue.add(waiting)
-        self.assertIs(waits_for(new_turn, queue, lambda: has_free_slot, after_s), expected)
+        self.assertIs(find_wait_reason(new_turn, queue, lambda: has_free_slot, after_s), expected)
 
     def test_no_turn_waits_behind_an_empty_queue(self):
         for new_turn in (turn("a"), turn("a", is_new_program=True), turn("a", is_looping=True)):
@@ -69,11 +69,11 @@
         self.check(waiting, turn("a"), WaitReason.MORE_URGENT, after_s=MAX_PASSED_OVER_S + 0.001)
 
     def test_a_turn_that_has_waited_long_for_memory_blocks_others(self):
-        self.check(turn("w"), turn("a"), WaitReason.MEMORY, after_s=LONGEST_LATE_WAIT_S)
-        self.check(turn("w"), turn("a"), None, after_s=LONGEST_LATE_WAIT_S - 0.001)
+        self.check(turn("w"), turn("a"), WaitReason.MEMORY, after_s=MAX_OVERDUE_WAIT_S)
+        self.check(turn("w"), turn("a"), None, after_s=MAX_OVERDUE_WAIT_S - 0.001)
 
     def test_without_a_free_slot_no_turn_waits_for_memory(self):
-        self.check(turn("w"), turn("a"), None, after_s=LONGEST_LATE_WAIT_S, has_free_slot=False)
+        self.check(turn("w"), turn("a"), None, after_s=MAX_OVERDUE_WAIT_S, has_free_slot=False)
 
 
 if __name__ == "__main__":
--- a/tests/decisions/placement/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -13,7 +13,7 @@
 
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.order.capacity_queue import WaitingCall
-from passlane.decisions.order.service_capacity import ServiceRoom
+from passlane.decisions.order.service_capacity import ServiceCapacity
 from passlane.decisions.placement.plain_placement import PlainCall, PlainView
 from passlane.decisions.placement.request_placement import (
     NodePlace,
@@ -140,7 +140,7 @@
         self.registry = BackendRegistry()
         self.registry.update(records, 0.0)
         self.connections = Connections()
-        self.room = ServiceRoom(self.location, is_for_model=False)
+        self.room = ServiceCapacity(self.location, is_for_model=False)
         self.wake_at = math.inf
 
 
@@ -280,7 +280,7 @@
     def _refuse(self, call):
         room, now = call.node.room, self.simulation.now
         room.note_wait_ended(call.waiting, now)
-        call.retry_after_s = room.come_back_s(now, self.simulation.pause_random.random())
+        call.retry_after_s = room.retry_after_s(now, self.simulation.pause_random.random())
         self.simulation.end(call, is_served=False)
 
     def _schedule_wake(self, node):
@@ -297,7 +297,10 @@
             return
         node.wake_at = math.inf
         first = node.room.first
-        if first is not None and node.room.take_turn(first, self.simulation.now) is not None:
+        if (
+            first is not None
+            and node.room.try_acquire_permit(first, self.simulation.now) is not None
+        ):
             self.start(self.simulation.calls[int(first.request_id)], must_try=True)
         self._schedule_wake(node)
 
--- a/tests/decisions/scheduling/test_turn_scheduler.py
+++ b/tests/decisions/scheduling/test_turn_scheduler.py
@@ -17,7 +17,7 @@
     TurnPlaced,
     TurnWithdrawn,
 )
-from passlane.decisions.order.turn_queue import LONGEST_LATE_WAIT_S
+from passlane.decisions.order.turn_queue import MAX_OVERDUE_WAIT_S
 from passlane.decisions.scheduling.slot_assigner import MIN_SLOT_S
 from passlane.decisions.scheduling.turn_admission import LONGEST_LOOPING_HOLD_S
 from passlane.decisions.scheduling.turn_scheduler import LEARNING_S, TurnScheduler
@@ -132,8 +132,8 @@
         self.place("a1", "late", program_time_left_s=0.2)
         self.place("b1", "in-time", program_time_left_s=5.0)
         self.wait("a2", "late", now=0.3, is_first=False)
-        self.wait("b2", "in-time", now=0.3 + LONGEST_LATE_WAIT_S, is_first=False)
-        self.assertEqual(self.placed_after("full0", 0.31 + LONGEST_LATE_WAIT_S), ["a2"])
+        self.wait("b2", "in-time", now=0.3 + MAX_OVERDUE_WAIT_S, is_first=False)
+        self.assertEqual(self.placed_after("full0", 0.31 + MAX_OVERDUE_WAIT_S), ["a2"])
 
     def test_an_urgent_turn_does_not_wait_for_less_urgent_returning_ones(self):
         self.list_engines(engine("e1", 1))
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -55,7 +55,7 @@
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
 from passlane.decisions.order.capacity_queue import PauseRange, WaitingCall
 from passlane.decisions.order.capacity_queue import RetryPermit as RoomTurn
-from passlane.decisions.order.service_capacity import ServiceRoom
+from passlane.decisions.order.service_capacity import ServiceCapacity
 from passlane.decisions.placement.plain_placement import PlainCall, PlainChoice, PlainView
 from passlane.decisions.placement.request_placement import (
     NodePlace,
@@ -156,8 +156,8 @@
     "Scheduler",
     "SchedulerConfig",
     "SchedulerFigures",
+    "ServiceCapacity",
     "ServiceJudgement",
-    "ServiceRoom",
     "StartCall",
     "TenantId",
     "TenantUsage",
--- a/tests/recorded_decisions/room_load.py
+++ b/tests/recorded_decisions/room_load.py
@@ -20,7 +20,7 @@
     PlainCall,
     PlainView,
     RoomTurn,
-    ServiceRoom,
+    ServiceCapacity,
     WaitingCall,
     note_failure,
     note_success,
@@ -61,7 +61,7 @@
     def __init__(self, seed: int, *, is_for_model: bool) -> None:
         super().__init__(seed)
         self.registry = BackendRegistry()
-        self.room = ServiceRoom(HERE, is_for_model=is_for_model)
+        self.room = ServiceCapacity(HERE, is_for_model=is_for_model)
         self.calls: dict[WaitingCall, _Call] = {}
         self.later(0.0, self.list_backends)
         self.later(0.01, self.look)
@@ -218,7 +218,7 @@
     def wake(self, call: _Call) -> Step | None:
         if not call.is_waiting:
             return None
-        turn = self.room.take_turn(call.waiting, self.now)
+        turn = self.room.try_acquire_permit(call.waiting, self.now)
         if turn is not None:
             self.stop_waiting(call)
             self.later(0.0, lambda: self.request_capacity(call, turn))
@@ -235,7 +235,7 @@
         self.room.leave(call.waiting)
         self.room.leave(call.waiting)
         self.stop_waiting(call)
-        come_back_s = self.room.come_back_s(self.now, self.random.random())
+        come_back_s = self.room.retry_after_s(self.now, self.random.random())
         return self.step("given up", call.waiting, [come_back_s, len(self.room)])
 
     def stop_waiting(self, call: _Call) -> None:
