--- a/src/passlane/decisions/failure/answer_verdicts.py
+++ b/src/passlane/decisions/failure/answer_verdicts.py
@@ -56,7 +56,7 @@
     return FIRST_CLIENT_ERROR <= head.status < FIRST_SERVER_ERROR
 
 
-def truthful_status(status: int, verdict: Verdict) -> int:
+def status_for_verdict(status: int, verdict: Verdict) -> int:
     """Return ``status``, or 502 if the status states "not run" and the verdict does not.
 
     Applies to every refusal that this system generates itself.
@@ -66,7 +66,7 @@
     return status
 
 
-def status_when_given_up(verdict: Verdict, *, is_late: bool) -> int:
+def status_without_answer(verdict: Verdict, *, is_late: bool) -> int:
     """Return the final status of a request that got no answer.
 
     1. A request that certainly did not run: 503.
--- a/src/passlane/decisions/failure/client_timeout.py
+++ b/src/passlane/decisions/failure/client_timeout.py
@@ -37,7 +37,7 @@
     return min(limit_at, silent_since + client_timeout_s)
 
 
-def hopeless_at(
+def abandon_at(
     route: Route, *, whole_by: float, silent_since: float, limit_at: float, typical_s: float
 ) -> float:
     """Return when the remaining time is too short for a complete answer or for its first part.
--- a/src/passlane/decisions/failure/resending.py
+++ b/src/passlane/decisions/failure/resending.py
@@ -10,7 +10,7 @@
 from passlane.messages.routes import Route, RouteKind
 
 
-class AfterBreak(enum.Enum):
+class RetryDecision(enum.Enum):
     """What to do after an attempt failed without a complete answer."""
 
     NOT_SENT = "not_sent"
@@ -21,9 +21,9 @@
     """The request may have run and must not run again."""
 
 
-def after_break(
+def decide_after_failure(
     route: Route, runs_before: int, *, bytes_left: bool, is_answer_final: bool
-) -> AfterBreak:
+) -> RetryDecision:
     """Return what to do after an attempt failed without a complete answer.
 
     1. No byte of the request was sent: try another back end.
@@ -43,10 +43,10 @@
         Whether the caller has received output that no other answer can continue.
     """
     if not bytes_left:
-        return AfterBreak.NOT_SENT
+        return RetryDecision.NOT_SENT
     if is_answer_final or not may_run_again(route, runs_before + 1):
-        return AfterBreak.FAIL
-    return AfterBreak.SEND_AGAIN
+        return RetryDecision.FAIL
+    return RetryDecision.SEND_AGAIN
 
 
 def may_run_again(route: Route, runs: int) -> bool:
--- a/src/passlane/decisions/failure/retry_after.py
+++ b/src/passlane/decisions/failure/retry_after.py
@@ -8,7 +8,7 @@
 LONGEST_OUTAGE_RETRY_S = 1.0
 MIN_CAPACITY_RETRY_S = 0.05
 """Longer than a caller needs to connect to another node."""
-LONGEST_ROOM_RETRY_S = 0.6
+MAX_CAPACITY_RETRY_S = 0.6
 """Leaves time for an answer within a caller's time limit of one to three seconds."""
 ROOM_RETRY_SPREAD = 0.5
 """Maximum share that jitter adds to a retry-after time, also at the upper bound, so that callers
@@ -36,5 +36,5 @@
     draw
         Uniform random number from 0 to 1 for jitter.
     """
-    bounded_s = min(LONGEST_ROOM_RETRY_S, max(MIN_CAPACITY_RETRY_S, wait_s))
+    bounded_s = min(MAX_CAPACITY_RETRY_S, max(MIN_CAPACITY_RETRY_S, wait_s))
     return round(bounded_s * (1.0 + ROOM_RETRY_SPREAD * draw), 3)
--- a/src/passlane/relay/attempt.py
+++ b/src/passlane/relay/attempt.py
@@ -18,7 +18,11 @@
     is_gone,
     judge_answer,
 )
-from passlane.decisions.failure.resending import AfterBreak, after_break, leaves_silent_backend
+from passlane.decisions.failure.resending import (
+    RetryDecision,
+    decide_after_failure,
+    leaves_silent_backend,
+)
 from passlane.decisions.placement.request_placement import note_failure, note_success
 from passlane.errors import Verdict
 from passlane.relay.attempt_history import AttemptHistory
@@ -136,15 +140,15 @@
         """Record a broken attempt; raise if the request must not be sent again."""
         note_failure(load, anyio.current_time())
         self._history.record_broken(load.record.incarnation)
-        next_step = after_break(
+        next_step = decide_after_failure(
             self._context.route,
             self._history.runs,
             bytes_left=error.bytes_left,
             is_answer_final=self._history.is_answer_final,
         )
-        if next_step is AfterBreak.NOT_SENT:
+        if next_step is RetryDecision.NOT_SENT:
             self._history.verdict = verdict_before
             return
         self._history.runs += 1
-        if next_step is AfterBreak.FAIL:
+        if next_step is RetryDecision.FAIL:
             raise RequestFailedError(RequestEndReason.BROKE_OFF, str(error)) from error
--- a/src/passlane/relay/local_responses.py
+++ b/src/passlane/relay/local_responses.py
@@ -4,7 +4,7 @@
 more than the attempts of its request prove (``decisions.failure.answer_verdicts``).
 """
 
-from passlane.decisions.failure.answer_verdicts import truthful_status
+from passlane.decisions.failure.answer_verdicts import status_for_verdict
 from passlane.errors import Verdict
 from passlane.observability.logging import get_logger
 from passlane.relay.backends import AnswerWriter
@@ -42,7 +42,7 @@
         await self._writer.refuse(status, refusal.end.text, refusal.retry_after_s)
 
     def _provable_status(self, refusal: Refusal, verdict: Verdict) -> int:
-        provable = truthful_status(refusal.status, verdict)
+        provable = status_for_verdict(refusal.status, verdict)
         if provable != refusal.status:
             _log.error(
                 "refusal_withheld",
--- a/src/passlane/relay/request.py
+++ b/src/passlane/relay/request.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from passlane.decisions.failure.answer_verdicts import UNAVAILABLE, status_when_given_up
+from passlane.decisions.failure.answer_verdicts import UNAVAILABLE, status_without_answer
 from passlane.decisions.failure.retry_after import retry_after_outage_s
 from passlane.errors import Verdict
 from passlane.relay.answer_delivery import AnswerDelivery
@@ -99,7 +99,7 @@
 
     async def _answer_failure(self, end: RequestEnd, *, is_overdue: bool) -> None:
         """Send the final answer of a request that has none from a backend."""
-        status = status_when_given_up(self._history.verdict, is_late=is_overdue)
+        status = status_without_answer(self._history.verdict, is_late=is_overdue)
         retry_after_s = self._retry_after_s() if status == UNAVAILABLE else None
         refusal = Refusal(end, status, retry_after_s)
         await self._local_responses.refuse(refusal, self._history.verdict)
--- a/src/passlane/relay/request_wait.py
+++ b/src/passlane/relay/request_wait.py
@@ -8,7 +8,7 @@
 import anyio
 
 from passlane.decisions.backends.registry import ServiceJudgement
-from passlane.decisions.failure.client_timeout import hopeless_at
+from passlane.decisions.failure.client_timeout import abandon_at
 from passlane.decisions.order.capacity_queue import RetryPermit, WaitingCall
 from passlane.errors import Verdict
 from passlane.relay.attempt_history import AttemptHistory
@@ -89,7 +89,7 @@
     def _abandon_at(self, judgement: ServiceJudgement, limit_at: float, now: float) -> float:
         route = self._context.route
         has_forwarded = self._history.has_forwarded_events
-        return hopeless_at(
+        return abandon_at(
             route,
             whole_by=self._waits.queue.gives_up_at(route.name, limit_at),
             silent_since=now if has_forwarded else self._context.call.arrived_at,
--- a/tests/decisions/failure/test_answer_verdicts.py
+++ b/tests/decisions/failure/test_answer_verdicts.py
@@ -7,8 +7,8 @@
     Judgement,
     is_gone,
     judge_answer,
-    status_when_given_up,
-    truthful_status,
+    status_for_verdict,
+    status_without_answer,
 )
 from passlane.decisions.inputs.answer_head import AnswerHead, Refusal
 from passlane.errors import Verdict
@@ -42,15 +42,15 @@
 class RefusalStatusTest(unittest.TestCase):
     def test_a_not_run_status_requires_a_not_run_verdict(self):
         for status in NOT_RUN_STATUSES:
-            self.assertEqual(truthful_status(status, Verdict.NOT_RUN), status)
-            self.assertEqual(truthful_status(status, Verdict.MAY_HAVE_RUN), 502)
+            self.assertEqual(status_for_verdict(status, Verdict.NOT_RUN), status)
+            self.assertEqual(status_for_verdict(status, Verdict.MAY_HAVE_RUN), 502)
 
     def test_other_statuses_are_kept(self):
         for status in (401, 404, 502, 504):
-            self.assertEqual(truthful_status(status, Verdict.MAY_HAVE_RUN), status)
+            self.assertEqual(status_for_verdict(status, Verdict.MAY_HAVE_RUN), status)
 
     def test_only_a_request_that_did_not_run_ends_with_503(self):
         for is_late in (False, True):
-            self.assertEqual(status_when_given_up(Verdict.NOT_RUN, is_late=is_late), 503)
-        self.assertEqual(status_when_given_up(Verdict.MAY_HAVE_RUN, is_late=False), 502)
-        self.assertEqual(status_when_given_up(Verdict.MAY_HAVE_RUN, is_late=True), 504)
+            self.assertEqual(status_without_answer(Verdict.NOT_RUN, is_late=is_late), 503)
+        self.assertEqual(status_without_answer(Verdict.MAY_HAVE_RUN, is_late=False), 502)
+        self.assertEqual(status_without_answer(Verdict.MAY_HAVE_RUN, is_late=True), 504)
--- a/tests/decisions/failure/test_client_timeout.py
+++ b/tests/decisions/failure/test_client_timeout.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from passlane.decisions.failure.client_timeout import first_part_due_at, hopeless_at
+from passlane.decisions.failure.client_timeout import abandon_at, first_part_due_at
 from passlane.messages.routes import RouteKind
 from routes.test_checks import route
 
@@ -27,13 +27,13 @@
 
 
 class AbandonedWaitTest(unittest.TestCase):
-    def hopeless_at(self, whole_by):
-        return hopeless_at(
+    def abandon_at(self, whole_by):
+        return abandon_at(
             stream(1.0, 0.1), whole_by=whole_by, silent_since=10.0, limit_at=99.0, typical_s=0.5
         )
 
     def test_the_typical_time_to_the_first_part_is_reserved(self):
-        self.assertEqual(self.hopeless_at(98.0), 13.5)
+        self.assertEqual(self.abandon_at(98.0), 13.5)
 
     def test_the_complete_answer_may_need_an_earlier_start(self):
-        self.assertEqual(self.hopeless_at(12.0), 12.0)
+        self.assertEqual(self.abandon_at(12.0), 12.0)
--- a/tests/decisions/failure/test_resending.py
+++ b/tests/decisions/failure/test_resending.py
@@ -5,8 +5,8 @@
 import msgspec
 
 from passlane.decisions.failure.resending import (
-    AfterBreak,
-    after_break,
+    RetryDecision,
+    decide_after_failure,
     leaves_silent_backend,
     may_run_again,
 )
@@ -18,24 +18,26 @@
 
 
 def after(route, runs_before, *, bytes_left=True, is_answer_final=False):
-    return after_break(route, runs_before, bytes_left=bytes_left, is_answer_final=is_answer_final)
+    return decide_after_failure(
+        route, runs_before, bytes_left=bytes_left, is_answer_final=is_answer_final
+    )
 
 
 class FailedAttemptTest(unittest.TestCase):
     def test_an_attempt_without_a_byte_sent_is_not_counted(self):
         for each in (TWICE, ONCE):
-            self.assertIs(after(each, 5, bytes_left=False), AfterBreak.NOT_SENT)
+            self.assertIs(after(each, 5, bytes_left=False), RetryDecision.NOT_SENT)
 
     def test_a_repeatable_request_runs_up_to_the_attempts_of_its_route(self):
-        self.assertIs(after(TWICE, 0), AfterBreak.SEND_AGAIN)
-        self.assertIs(after(TWICE, 1), AfterBreak.FAIL)
+        self.assertIs(after(TWICE, 0), RetryDecision.SEND_AGAIN)
+        self.assertIs(after(TWICE, 1), RetryDecision.FAIL)
 
     def test_other_requests_run_once(self):
         self.assertFalse(may_run_again(ONCE, 0))
-        self.assertIs(after(ONCE, 0), AfterBreak.FAIL)
+        self.assertIs(after(ONCE, 0), RetryDecision.FAIL)
 
     def test_a_request_with_a_final_answer_is_not_sent_again(self):
-        self.assertIs(after(TWICE, 0, is_answer_final=True), AfterBreak.FAIL)
+        self.assertIs(after(TWICE, 0, is_answer_final=True), RetryDecision.FAIL)
 
 
 class SilentBackendTest(unittest.TestCase):
--- a/tests/decisions/failure/test_retry_after.py
+++ b/tests/decisions/failure/test_retry_after.py
@@ -4,7 +4,7 @@
 
 from passlane.decisions.failure.retry_after import (
     LONGEST_OUTAGE_RETRY_S,
-    LONGEST_ROOM_RETRY_S,
+    MAX_CAPACITY_RETRY_S,
     MIN_CAPACITY_RETRY_S,
     ROOM_RETRY_SPREAD,
     SHORTEST_OUTAGE_RETRY_S,
@@ -24,8 +24,8 @@
     def test_it_equals_the_wait_within_bounds(self):
         self.assertEqual(retry_after_wait_s(0.0, 0.0), MIN_CAPACITY_RETRY_S)
         self.assertEqual(retry_after_wait_s(0.3, 0.0), 0.3)
-        self.assertEqual(retry_after_wait_s(9.0, 0.0), LONGEST_ROOM_RETRY_S)
+        self.assertEqual(retry_after_wait_s(9.0, 0.0), MAX_CAPACITY_RETRY_S)
 
     def test_jitter_may_exceed_the_upper_bound(self):
-        max_retry_s = LONGEST_ROOM_RETRY_S * (1.0 + ROOM_RETRY_SPREAD)
+        max_retry_s = MAX_CAPACITY_RETRY_S * (1.0 + ROOM_RETRY_SPREAD)
         self.assertAlmostEqual(retry_after_wait_s(9.0, 1.0), max_retry_s)
--- a/tests/decisions/order/test_capacity_queue.py
+++ b/tests/decisions/order/test_capacity_queue.py
@@ -3,7 +3,7 @@
 import unittest
 
 from passlane.decisions.failure.retry_after import (
-    LONGEST_ROOM_RETRY_S,
+    MAX_CAPACITY_RETRY_S,
     MIN_CAPACITY_RETRY_S,
     ROOM_RETRY_SPREAD,
 )
@@ -148,7 +148,7 @@
         self.assertEqual(self.room.retry_after_s(0.0, 0.0), MIN_CAPACITY_RETRY_S)
         self.room.join(waiting_call(arrived_at=0.0, give_up_at=9.0), 0.0, 0.5, 6)
         self.assertEqual(self.room.retry_after_s(0.3, 0.0), 0.3)
-        self.assertEqual(self.room.retry_after_s(5.0, 0.0), LONGEST_ROOM_RETRY_S)
+        self.assertEqual(self.room.retry_after_s(5.0, 0.0), MAX_CAPACITY_RETRY_S)
 
     def test_retry_after_times_have_jitter(self):
         min_s, max_s = (self.room.retry_after_s(0.0, draw) for draw in (0.0, 1.0))
--- a/tests/decisions/placement/test_plain_load.py
+++ b/tests/decisions/placement/test_plain_load.py
@@ -14,7 +14,7 @@
     PlainServiceSimulation,
     ServicePolicy,
 )
-from passlane.decisions.failure.retry_after import LONGEST_ROOM_RETRY_S, ROOM_RETRY_SPREAD
+from passlane.decisions.failure.retry_after import MAX_CAPACITY_RETRY_S, ROOM_RETRY_SPREAD
 
 SEED = 1
 CALLS_PER_S = 650
@@ -146,7 +146,7 @@
             self.assertFalse(call.is_served)
             left_s = call.limit_at - call.ended_at
             self.assertTrue(0.0 < left_s < 0.06, left_s)
-            within = call.retry_after_s / LONGEST_ROOM_RETRY_S
+            within = call.retry_after_s / MAX_CAPACITY_RETRY_S
             self.assertTrue(1.0 <= within <= 1.0 + ROOM_RETRY_SPREAD)
         self.assertGreater(
             len({call.retry_after_s for call in simulation.calls}), 0.3 * len(simulation.calls)
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -13,7 +13,7 @@
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.failure.retry_after import (
     LONGEST_OUTAGE_RETRY_S,
-    LONGEST_ROOM_RETRY_S,
+    MAX_CAPACITY_RETRY_S,
     ROOM_RETRY_SPREAD,
     SHORTEST_OUTAGE_RETRY_S,
 )
@@ -136,7 +136,7 @@
 
     def test_a_refusal_after_a_long_wait_has_the_maximum_retry_after(self):
         self.relay([Script(AT_CAPACITY)] * 400)
-        spread = self.writer.retry_after_s / LONGEST_ROOM_RETRY_S
+        spread = self.writer.retry_after_s / MAX_CAPACITY_RETRY_S
         self.assertTrue(1.0 <= spread <= 1.0 + ROOM_RETRY_SPREAD)
 
     def test_a_slot_that_is_freed_after_many_attempts_is_used(self):
--- a/tests/soak/defective_daemon.py
+++ b/tests/soak/defective_daemon.py
@@ -45,8 +45,8 @@
     """Say "not run" of every request that got no answer."""
     from passlane.decisions.failure import answer_verdicts
 
-    answer_verdicts.status_when_given_up = lambda verdict, *, is_late: answer_verdicts.UNAVAILABLE
-    answer_verdicts.truthful_status = lambda status, verdict: status
+    answer_verdicts.status_without_answer = lambda verdict, *, is_late: answer_verdicts.UNAVAILABLE
+    answer_verdicts.status_for_verdict = lambda status, verdict: status
 
 
 def history_without_its_end():
