--- a/src/passlane/decisions/admission/program_admission.py
+++ b/src/passlane/decisions/admission/program_admission.py
@@ -18,11 +18,11 @@
 from passlane.decisions.admission.new_programs import NewProgram, NewPrograms
 from passlane.decisions.inputs.turn_events import TurnAsked
 
-LONGEST_HOLD_S = 0.5
+MAX_ADMISSION_WAIT_S = 0.5
 """Maximum wait of a new program before it is refused, below the 2 s after which callers abandon a
 silent stream."""
-LONGEST_HOLD_AFTER_RETRY_S = 1.5
-"""Maximum wait of a program that retried on schedule. Longer than ``LONGEST_HOLD_S``, because
+MAX_ADMISSION_WAIT_AFTER_RETRY_S = 1.5
+"""Maximum wait of a program that retried on schedule. Longer than ``MAX_ADMISSION_WAIT_S``, because
 callers abandon a program after repeated refusals."""
 EARLY_RETRY_TOLERANCE_S = 0.15
 """Time by which a retry may precede its retry-after time and still be on schedule; allows for
@@ -36,7 +36,7 @@
 more urgent ones use nearly all slots, but that lasts only for seconds."""
 MIN_RETRY_S = 0.15
 """Lower bound of ``retry_after_s``."""
-LONGEST_RETRY_S = 3.0
+MAX_RETRY_S = 3.0
 """Upper bound of ``retry_after_s``. It may exceed what callers are willing to wait, so that they
 can choose another service."""
 
@@ -64,18 +64,18 @@
 
 def retry_after(wait_s: float) -> float:
     """Return the retry-after time for an expected wait, in seconds."""
-    return min(LONGEST_RETRY_S, max(MIN_RETRY_S, wait_s))
+    return min(MAX_RETRY_S, max(MIN_RETRY_S, wait_s))
 
 
-def hold_s(*, came_as_told: bool) -> float:
+def hold_s(*, retried_on_schedule: bool) -> float:
     """Return the maximum wait of a new program before it is refused, in seconds.
 
     Parameters
     ----------
-    came_as_told
+    retried_on_schedule
         Whether its caller retried at the given retry-after time.
     """
-    return LONGEST_HOLD_AFTER_RETRY_S if came_as_told else LONGEST_HOLD_S
+    return MAX_ADMISSION_WAIT_AFTER_RETRY_S if retried_on_schedule else MAX_ADMISSION_WAIT_S
 
 
 class _Refusal(NamedTuple):
@@ -133,7 +133,7 @@
         refusal = self._refused.get(program_id)
         return refusal.first_asked_at if refusal is not None else now
 
-    def came_as_told(self, program_id: str, now: float) -> bool:
+    def retried_on_schedule(self, program_id: str, now: float) -> bool:
         """Return whether a program that was refused retries no earlier than it was told to.
 
         A retry may be early by ``EARLY_RETRY_TOLERANCE_S``.
--- a/src/passlane/decisions/admission/reader_buffers.py
+++ b/src/passlane/decisions/admission/reader_buffers.py
@@ -84,7 +84,7 @@
     stalled_since: float
 
 
-class HeldBytes:
+class ReaderBuffers:
     """Bytes buffered for each reader; times are local.
 
     Parameters
@@ -113,7 +113,7 @@
         """Replace the bounds."""
         self._bounds = bounds
 
-    def taken(self, reader: Hashable, size: int, now: float) -> Instruction:
+    def record_buffered(self, reader: Hashable, size: int, now: float) -> Instruction:
         """Record that another ``size`` bytes are buffered for a reader."""
         state = self._readers.get(reader)
         if state is None:
@@ -122,7 +122,7 @@
         self.total += size
         return self._instruct(state)
 
-    def passed_on(self, reader: Hashable, size: int, now: float) -> Instruction:
+    def record_forwarded(self, reader: Hashable, size: int, now: float) -> Instruction:
         """Record that ``size`` buffered bytes were forwarded to a reader."""
         state = self._readers.get(reader)
         if state is None:
--- a/src/passlane/decisions/scheduling/turn_admission.py
+++ b/src/passlane/decisions/scheduling/turn_admission.py
@@ -72,8 +72,8 @@
         if is_new:
             admission = service.admission
             asked_at = admission.first_asked_at(request.program_id, now)
-            retried_on_time = admission.came_as_told(request.program_id, now)
-            hold_until = now + hold_s(came_as_told=retried_on_time)
+            retried_on_time = admission.retried_on_schedule(request.program_id, now)
+            hold_until = now + hold_s(retried_on_schedule=retried_on_time)
         elif is_looping:
             hold_until = now + LONGEST_LOOPING_HOLD_S
         return WaitingTurn(
@@ -105,7 +105,7 @@
 
         A program that retried at the given time may always wait.
         """
-        if service.admission.came_as_told(turn.asked.program_id, now):
+        if service.admission.retried_on_schedule(turn.asked.program_id, now):
             return None
         expected = self._expected_start(turn, service, now)
         if expected.wait_s > turn.hold_until - now:
--- a/src/passlane/relay/slow_reader_monitor.py
+++ b/src/passlane/relay/slow_reader_monitor.py
@@ -11,9 +11,9 @@
 
 from passlane.decisions.admission.reader_buffers import (
     Ending,
-    HeldBytes,
     HeldBytesBounds,
     Instruction,
+    ReaderBuffers,
 )
 from passlane.observability.logging import get_logger
 from passlane.runtime.interfaces import WatchedConnection
@@ -48,7 +48,7 @@
     """
 
     def __init__(self, bounds: HeldBytesBounds) -> None:
-        self._buffered = HeldBytes(bounds)
+        self._buffered = ReaderBuffers(bounds)
         self._watched: dict[Hashable, _Watched] = {}
         self._polled_at: float | None = None
         self.ended: Counter[str] = Counter()
@@ -94,9 +94,9 @@
             return
         queued = written - watched.written
         flushed = watched.unread + queued - unread
-        instruction = self._buffered.taken(key, queued, now)
+        instruction = self._buffered.record_buffered(key, queued, now)
         if flushed > 0:
-            instruction = self._buffered.passed_on(key, flushed, now)
+            instruction = self._buffered.record_forwarded(key, flushed, now)
         watched.written = written
         watched.unread = unread
         self._apply(instruction, watched)
--- a/tests/decisions/scheduling/test_turn_scheduler.py
+++ b/tests/decisions/scheduling/test_turn_scheduler.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from passlane.decisions.admission.program_admission import (
-    LONGEST_HOLD_AFTER_RETRY_S,
-    LONGEST_HOLD_S,
-    LONGEST_RETRY_S,
+    MAX_ADMISSION_WAIT_AFTER_RETRY_S,
+    MAX_ADMISSION_WAIT_S,
+    MAX_RETRY_S,
     RETRY_GRACE_S,
 )
 from passlane.decisions.inputs.turn_events import (
@@ -369,7 +369,7 @@
         self.fill_queue()
         times = [self.refuse(f"r{number}").retry_after_s for number in range(3)]
         self.assertEqual(times, sorted(times))
-        self.assertGreater(times[0], LONGEST_HOLD_S)
+        self.assertGreater(times[0], MAX_ADMISSION_WAIT_S)
         self.assertLess(times[0], times[2])
 
     def test_a_running_program_is_never_refused(self):
@@ -383,7 +383,7 @@
     def test_a_program_at_its_maximum_wait_is_refused(self):
         self.fill()
         self.wait("a")
-        decisions = self.scheduler.advance(LONGEST_HOLD_S + 0.01)
+        decisions = self.scheduler.advance(MAX_ADMISSION_WAIT_S + 0.01)
         self.assertIsInstance(decisions[0], TurnNotPlaced)
         self.assertEqual(decisions[0].attempt_id, "a")
 
@@ -412,7 +412,7 @@
         others = [self.refuse(f"later{number}", now=0.1) for number in range(5)]
         self.assertEqual(others[-1].waiting, waiting + 6)
         self.wait("back", program="told", now=0.05 + retry_s)
-        decisions = self.scheduler.advance(0.06 + retry_s + LONGEST_HOLD_AFTER_RETRY_S)
+        decisions = self.scheduler.advance(0.06 + retry_s + MAX_ADMISSION_WAIT_AFTER_RETRY_S)
         again = next(d for d in decisions if d.attempt_id == "back")
         self.assertLessEqual(again.waiting, waiting + 1)
 
@@ -423,7 +423,7 @@
         self.assertEqual(self.scheduler.figures("llm").told_to_return, 2)
         for number in range(waiting):
             self.scheduler.end(TurnEnded(attempt_id=f"crowd{number}"), 0.1)
-        self.scheduler.advance(LONGEST_RETRY_S + RETRY_GRACE_S + 0.1)
+        self.scheduler.advance(MAX_RETRY_S + RETRY_GRACE_S + 0.1)
         self.assertEqual(self.scheduler.figures("llm").told_to_return, 0)
 
     def test_two_first_turns_of_a_program_count_once(self):
@@ -438,7 +438,7 @@
     def test_the_request_time_of_a_refused_program_is_its_arrival(self):
         self.fill()
         self.wait("held", program="held")
-        self.scheduler.advance(LONGEST_HOLD_S + 0.01)
+        self.scheduler.advance(MAX_ADMISSION_WAIT_S + 0.01)
         admission = self.scheduler._services["llm"].admission
         self.assertEqual(admission.first_asked_at("held", 9.0), 0.0)
 
--- a/tests/recorded_decisions/program_admission_load.py
+++ b/tests/recorded_decisions/program_admission_load.py
@@ -95,7 +95,7 @@
     def ask(self, asked: TurnAsked) -> Step:
         admission, now = self.admission, self.now
         asked_at = admission.first_asked_at(asked.program_id, now)
-        has_returned = admission.came_as_told(asked.program_id, now)
+        has_returned = admission.retried_on_schedule(asked.program_id, now)
         before = admission.programs_before(asked, asked_at, now)
         wait_s = admission.expected_wait_s(before, ALL_SLOTS_PER_S, now)
         if has_returned or wait_s <= MAX_WAIT_S:
