--- a/src/passlane/decisions/backends/answer_times.py
+++ b/src/passlane/decisions/backends/answer_times.py
@@ -38,7 +38,7 @@
         """Return the typical response time of a route, or of the service if it is unknown."""
         return self._routes.get(route, self.typical_s)
 
-    def note(self, route: str, seconds: float) -> float:
+    def record(self, route: str, seconds: float) -> float:
         """Record the time of a complete answer; return its ratio to the previous typical time."""
         baseline_s = self.of_route(route)
         ratio = seconds / baseline_s if baseline_s > 0 else 1.0
--- a/src/passlane/decisions/backends/cache_view.py
+++ b/src/passlane/decisions/backends/cache_view.py
@@ -42,7 +42,7 @@
         return self._total
 
     @property
-    def unsure(self) -> bool:
+    def has_missed_events(self) -> bool:
         """Whether events were missed and no snapshot has come since."""
         return self._has_missed_events
 
--- a/src/passlane/decisions/backends/engine_slots.py
+++ b/src/passlane/decisions/backends/engine_slots.py
@@ -116,12 +116,12 @@
             return True
         return self.tokens + tokens <= memory_tokens
 
-    def take(self, turn: PlacedTurn) -> None:
+    def assign(self, turn: PlacedTurn) -> None:
         """Assign a slot to a turn."""
         self.turns[turn.attempt_id] = turn
         self.tokens += turn.tokens
 
-    def give_back(self, attempt_id: str) -> PlacedTurn | None:
+    def release(self, attempt_id: str) -> PlacedTurn | None:
         """Release a turn's slot and return the turn; ``None`` if it has no slot here."""
         turn = self.turns.pop(attempt_id, None)
         if turn is not None:
@@ -132,7 +132,7 @@
         """Whether the shared prefix of a prompt is estimated to be cached."""
         return demand.shared_part in self._shared_parts
 
-    def note_part(self, demand: TurnDemand) -> None:
+    def record_shared_part(self, demand: TurnDemand) -> None:
         """Record that the shared prefix of a prompt is computed here, and drop the oldest ones."""
         if not demand.shared_part:
             return
@@ -142,14 +142,14 @@
         while len(self._shared_parts) > 1 and sum(self._shared_parts.values()) > max_tokens > 0:
             self._shared_parts.popitem(last=False)
 
-    def pause_as_full(self, now: float) -> None:
+    def back_off_as_full(self, now: float) -> None:
         """Stop placing turns here for ``FULL_BACKOFF_S``, since it refused one as full."""
         self.full_until = now + FULL_BACKOFF_S
 
     def learn(self, turn: PlacedTurn, outcome: TurnOutcome, now: float) -> None:
         """Update the engine's speed and health from a turn that it completed."""
         self.ended_at = now
-        self.health.note_success(now)
+        self.health.record_success(now)
         if turn.placed_at - self.health.last_failed_at >= PROBE_AFTER_S:
             self.health.clear_failures()
         self.speed.learn(outcome.engine_s, turn.expected_s, turn.expected_slowdown, now)
--- a/src/passlane/decisions/backends/engine_table.py
+++ b/src/passlane/decisions/backends/engine_table.py
@@ -23,7 +23,7 @@
 """Seconds for which an expired slot is retained so that a late end of its turn is still used."""
 
 
-class HeldSlot(msgspec.Struct, frozen=True):
+class AssignedSlot(msgspec.Struct, frozen=True):
     """A slot at an engine, with the turn that has or had it."""
 
     engine: EngineSlots
@@ -60,12 +60,12 @@
         self._speeds: dict[str, FleetSpeed] = {}
         self._engine_of: dict[str, EngineSlots] = {}
         self._usable: dict[str, list[EngineSlots]] = {}
-        self._expired: OrderedDict[str, HeldSlot] = OrderedDict()
+        self._expired: OrderedDict[str, AssignedSlot] = OrderedDict()
 
     def __iter__(self) -> Iterator[EngineSlots]:
         return iter(self._engines.values())
 
-    def begin_anew(self) -> None:
+    def reset(self) -> None:
         """Drop all turns and learned state; the engines stay listed."""
         records = [engine.record for engine in self]
         self._engines = {}
@@ -104,7 +104,7 @@
         return self._by_service.get(service, [])
 
     def usable(self, service: str, now: float) -> list[EngineSlots]:
-        """Return the engines of a service that accept turns, as of the last ``look_again``.
+        """Return the engines of a service that accept turns, as of the last ``reevaluate_engines``.
 
         Excludes engines that are draining, that recently refused a turn as full, or that are
         outliers by failures (``health.find_outliers``).
@@ -119,7 +119,7 @@
             self._usable[service] = usable
         return usable
 
-    def on_trial(self, service: str, now: float) -> list[EngineSlots]:
+    def probe_candidates(self, service: str, now: float) -> list[EngineSlots]:
         """Return the excluded engines that a turn may probe.
 
         Only for turns that find no slot at any other engine; one turn per engine at a time.
@@ -130,16 +130,16 @@
         excluded = (engine for engine in self.of_service(service) if engine not in usable)
         return [engine for engine in excluded if engine.may_probe(now)]
 
-    def note_served(self, engine: EngineSlots) -> None:
+    def record_served(self, engine: EngineSlots) -> None:
         """Reevaluate the engines if an excluded one has served a turn.
 
         Does nothing for usable engines, since a reevaluation after each turn is too expensive.
         """
         usable = self._usable.get(engine.record.service)
         if usable is not None and engine not in usable:
-            self.look_again()
+            self.reevaluate_engines()
 
-    def look_again(self) -> None:
+    def reevaluate_engines(self) -> None:
         """Discard the cached usable engines, so that the next lookup evaluates them again."""
         self._usable = {}
 
@@ -147,17 +147,17 @@
         """Return the engine at which a turn has a slot."""
         return self._engine_of.get(attempt_id)
 
-    def take(self, engine: EngineSlots, turn: PlacedTurn) -> None:
+    def assign(self, engine: EngineSlots, turn: PlacedTurn) -> None:
         """Assign a slot at an engine to a turn and release the slot that the turn had before."""
-        self.give_back(turn.attempt_id)
-        engine.take(turn)
+        self.release(turn.attempt_id)
+        engine.assign(turn)
         self._engine_of[turn.attempt_id] = engine
 
-    def give_back(self, attempt_id: str) -> HeldSlot | None:
+    def release(self, attempt_id: str) -> AssignedSlot | None:
         """Release a turn's slot and return it; ``None`` if it has none."""
         engine = self._engine_of.pop(attempt_id, None)
-        turn = engine.give_back(attempt_id) if engine is not None else None
-        return HeldSlot(engine, turn) if engine is not None and turn is not None else None
+        turn = engine.release(attempt_id) if engine is not None else None
+        return AssignedSlot(engine, turn) if engine is not None and turn is not None else None
 
     def expire(self, now: float) -> list[EngineSlots]:
         """Release overdue slots; return the engines that seem to hang, once for each such slot.
@@ -166,18 +166,18 @@
         Otherwise the turn is long, or its node is lost.
         """
         overdue = [
-            HeldSlot(engine, turn)
+            AssignedSlot(engine, turn)
             for engine in self._engines.values()
             for turn in engine.turns.values()
             if turn.until <= now
         ]
         for slot in overdue:
-            self.give_back(slot.turn.attempt_id)
+            self.release(slot.turn.attempt_id)
             self._expired[slot.turn.attempt_id] = slot
         self._drop_expired(now)
         return [slot.engine for slot in overdue if slot.engine.ended_at < slot.turn.placed_at]
 
-    def take_expired(self, attempt_id: str) -> HeldSlot | None:
+    def pop_expired(self, attempt_id: str) -> AssignedSlot | None:
         """Remove and return a turn's expired slot; ``None`` if there is none."""
         return self._expired.pop(attempt_id, None)
 
@@ -221,4 +221,4 @@
         """Whether a usable engine has a free slot, or an excluded one may be probed."""
         if any(len(engine.turns) < engine.slots for engine in self.usable(service, now)):
             return True
-        return bool(self.on_trial(service, now))
+        return bool(self.probe_candidates(service, now))
--- a/src/passlane/decisions/backends/engine_view.py
+++ b/src/passlane/decisions/backends/engine_view.py
@@ -92,7 +92,7 @@
         """Update the engine's speed from a successful call."""
         self._speed.learn(now - call.started_at, call.expected_s, call.expected_slowdown, now)
 
-    def see_load(self, load: EngineLoad, now: float) -> bool:
+    def apply_load_report(self, load: EngineLoad, now: float) -> bool:
         """Apply a load report; return whether the engine has restarted since the last one."""
         as_of = now - load.age_s
         restarted = self.cache.observe_incarnation(load.incarnation)
--- a/src/passlane/decisions/backends/health.py
+++ b/src/passlane/decisions/backends/health.py
@@ -60,18 +60,18 @@
     def succeeded(self, now: float) -> None:
         """Record that the answer is complete; later results are ignored."""
         if self._end():
-            self._health.note_success(now)
+            self._health.record_success(now)
 
     def failed(self, now: float) -> None:
         """Record that the answer was incomplete or an error of the back end."""
         if self._end():
-            self._health.note_failure(now, 1.0)
+            self._health.record_failure(now, 1.0)
 
     def dropped(self, now: float, stall_limit_s: float) -> None:
         """Record that the request was abandoned; counts as a failure if it had stalled."""
         is_stalled = now - self.last_progress_at > stall_limit_s
         if self._end() and is_stalled:
-            self._health.note_failure(now, STALL_WEIGHT)
+            self._health.record_failure(now, STALL_WEIGHT)
 
     def _end(self) -> bool:
         """Stop tracking; return whether the request was still tracked."""
@@ -104,12 +104,12 @@
         """Start to track a request."""
         return AttemptWatch(self, now)
 
-    def note_success(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """Count a complete answer."""
         self._decay(now)
         self._succeeded += 1.0
 
-    def note_failure(self, now: float, weight: float) -> None:
+    def record_failure(self, now: float, weight: float) -> None:
         """Count a failure with a weight."""
         self._decay(now)
         self._failed += weight
@@ -141,7 +141,7 @@
         """Whether a request there has made no progress for too long."""
         return any(now - watch.last_progress_at > stall_limit_s for watch in self.watches)
 
-    def longest_wait_s(self, now: float) -> float:
+    def max_wait_s(self, now: float) -> float:
         """Return the maximum time that a request has waited for the first part of its answer."""
         waiting = [now - watch.started_at for watch in self.watches if not watch.has_answered]
         return max(waiting, default=0.0)
@@ -173,7 +173,7 @@
 
 def congestion_level(health: BackendHealth, tolerated_s: float, now: float) -> int:
     """Return the wait there in multiples of the tolerated one, from 0 to the maximum level."""
-    return min(MAX_CONGESTION_LEVEL, int(health.longest_wait_s(now) / tolerated_s))
+    return min(MAX_CONGESTION_LEVEL, int(health.max_wait_s(now) / tolerated_s))
 
 
 def find_outliers(backends: Sequence[BackendHealth], typical_s: float, now: float) -> set[int]:
--- a/src/passlane/decisions/backends/registry.py
+++ b/src/passlane/decisions/backends/registry.py
@@ -41,7 +41,7 @@
         return self.record.state is BackendState.READY
 
 
-class ServiceJudgement(msgspec.Struct, frozen=True):
+class ServiceHealth(msgspec.Struct, frozen=True):
     """Result of evaluating the health of a service's back ends.
 
     Attributes
@@ -111,7 +111,7 @@
             if load.record.service == service and load.is_ready
         ]
 
-    def judge(self, service: str, now: float) -> ServiceJudgement:
+    def evaluate_health(self, service: str, now: float) -> ServiceHealth:
         """Evaluate the health of a service's back ends and record its outliers."""
         loads = self.of_service(service)
         health = [load.health for load in loads]
@@ -120,7 +120,7 @@
         outliers = frozenset(loads[index].record.incarnation for index in found)
         before = self._outliers.get(service, frozenset())
         self._outliers[service] = outliers
-        return ServiceJudgement(loads, typical_s, outliers, before)
+        return ServiceHealth(loads, typical_s, outliers, before)
 
     def remove(self, incarnation: IncarnationId) -> None:
         """Remove a back end that is known to be gone, until a list contains it again."""
--- a/src/passlane/decisions/order/service_capacity.py
+++ b/src/passlane/decisions/order/service_capacity.py
@@ -100,7 +100,7 @@
 
         Only slots of plain back ends are reassigned; engines have queues of their own.
         """
-        ratio = self.times.note(route, seconds)
+        ratio = self.times.record(route, seconds)
         self._queue.note_answered(now)
         if self.plain is None:
             return None
--- a/src/passlane/decisions/scheduling/call_scheduler.py
+++ b/src/passlane/decisions/scheduling/call_scheduler.py
@@ -248,14 +248,14 @@
     def _load_reported(self, event: events.LoadReported, now: float) -> None:
         engine = self._engines.get(event.load.engine_id)
         if engine is not None:
-            engine.see_load(event.load, now)
+            engine.apply_load_report(event.load, now)
 
     def _cache_events_reported(self, event: events.CacheEventsReported, now: float) -> None:
         engine = self._engines.get(event.engine_id)
         if engine is None:
             return
         engine.cache.apply_events(event.events, now)
-        if engine.cache.unsure:
+        if engine.cache.has_missed_events:
             self._output.append(instructions.RequestCacheSnapshot(event.engine_id))
 
     def _cache_snapshot_reported(self, event: events.CacheSnapshotReported, now: float) -> None:
--- a/src/passlane/decisions/scheduling/slot_assigner.py
+++ b/src/passlane/decisions/scheduling/slot_assigner.py
@@ -35,7 +35,7 @@
         choice = choose_engine(engines, turn.asked, service.durations)
         if choice is not None:
             return choice
-        on_trial = self._engines.on_trial(service.name, now)
+        on_trial = self._engines.probe_candidates(service.name, now)
         return choose_engine(on_trial, turn.asked, service.durations)
 
     def assign_free_slots(self, service: ServiceTurns, now: float) -> list[TurnPlaced]:
@@ -68,8 +68,8 @@
         request = turn.asked
         engine = choice.engine
         running = len(engine.turns)
-        self._engines.take(engine, _placed_turn(turn, choice, now))
-        engine.note_part(request.demand)
+        self._engines.assign(engine, _placed_turn(turn, choice, now))
+        engine.record_shared_part(request.demand)
         self._programs.note_placed(request.program_id, turn.arrived_at, now)
         if turn.is_new_program:
             service.admission.note_begun(request.program_id, now)
--- a/src/passlane/decisions/scheduling/turn_outcomes.py
+++ b/src/passlane/decisions/scheduling/turn_outcomes.py
@@ -9,7 +9,7 @@
 
 from collections import OrderedDict
 
-from passlane.decisions.backends.engine_table import EngineTable, HeldSlot
+from passlane.decisions.backends.engine_table import AssignedSlot, EngineTable
 from passlane.decisions.inputs.turn_events import TurnEnded
 from passlane.decisions.placement.turn_placement import TurnDurations
 from passlane.messages.placement import TurnOutcome
@@ -37,12 +37,12 @@
         for incarnation in outcome.failed_at:
             engine = self._engines.get(incarnation)
             if engine is not None:
-                engine.health.note_failure(now, FAILURE_WEIGHT)
+                engine.health.record_failure(now, FAILURE_WEIGHT)
         for incarnation in outcome.full_at:
             engine = self._engines.get(incarnation)
             if engine is not None:
-                engine.pause_as_full(now)
-        self._engines.look_again()
+                engine.back_off_as_full(now)
+        self._engines.reevaluate_engines()
 
     def _record_attempt(self, attempt_id: str) -> None:
         self._failed_attempts[attempt_id] = None
@@ -50,7 +50,7 @@
             self._failed_attempts.popitem(last=False)
 
 
-def is_complete_response(slot: HeldSlot, ended: TurnEnded) -> bool:
+def is_complete_response(slot: AssignedSlot, ended: TurnEnded) -> bool:
     """Whether the engine of a turn's slot completed the response, so that its time counts."""
     outcome = ended.outcome
     if outcome is None or outcome.engine_s <= 0:
@@ -58,7 +58,9 @@
     return ended.served_by == slot.engine.incarnation
 
 
-def learn_speed(slot: HeldSlot, outcome: TurnOutcome, durations: TurnDurations, now: float) -> None:
+def learn_speed(
+    slot: AssignedSlot, outcome: TurnOutcome, durations: TurnDurations, now: float
+) -> None:
     """Update an engine's speed and its service's durations from a complete response."""
     slot.engine.learn(slot.turn, outcome, now)
     durations.learn(outcome, slot.engine.speed.against_fleet(now))
--- a/src/passlane/decisions/scheduling/turn_scheduler.py
+++ b/src/passlane/decisions/scheduling/turn_scheduler.py
@@ -89,7 +89,7 @@
             for service in self._services.values()
             for turn in service.queue.in_order(now)
         ]
-        self._engines.begin_anew()
+        self._engines.reset()
         self._services = {}
         self._warmup_until = now + LEARNING_S
         return withdrawn
@@ -132,24 +132,24 @@
         for service in self._services.values():
             if service.dequeue(ended.attempt_id):
                 return [TurnWithdrawn(ended.attempt_id)]
-        released = self._engines.give_back(ended.attempt_id)
+        released = self._engines.release(ended.attempt_id)
         if ended.outcome is not None:
             self._outcomes.record_failures(ended.attempt_id, ended.outcome, now)
-        slot = released or self._engines.take_expired(ended.attempt_id)
+        slot = released or self._engines.pop_expired(ended.attempt_id)
         if slot is None:
             return []
         self._programs.note_end(slot.turn.program_id, ended.served_by, now)
         service_name = slot.engine.record.service
         if ended.outcome is not None and is_complete_response(slot, ended):
             learn_speed(slot, ended.outcome, self._service(service_name).durations, now)
-            self._engines.note_served(slot.engine)
+            self._engines.record_served(slot.engine)
         return self._assign_free_slots(service_name, now) if released is not None else []
 
     def advance(self, now: float) -> list[TurnDecision]:
         """Release expired slots, refuse turns at their maximum wait, and assign free slots."""
-        self._engines.look_again()
+        self._engines.reevaluate_engines()
         for engine in self._engines.expire(now):
-            engine.health.note_failure(now, STALL_WEIGHT)
+            engine.health.record_failure(now, STALL_WEIGHT)
         decisions: list[TurnDecision] = []
         for service in self._services.values():
             decisions += self._admission.refuse_expired(service, now)
--- a/src/passlane/relay/attempt_log.py
+++ b/src/passlane/relay/attempt_log.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from passlane.decisions.backends.registry import BackendLoad, ServiceJudgement
+from passlane.decisions.backends.registry import BackendLoad, ServiceHealth
 from passlane.decisions.order.capacity_queue import RetryPermit
 from passlane.decisions.placement.plain_placement import PlainChoice
 from passlane.decisions.placement.request_placement import PlacementChoice, PlacementKey
@@ -29,7 +29,7 @@
     list_age_s: float | None = None
 
 
-def log_outliers(judgement: ServiceJudgement, *, request_id: str, service: str) -> None:
+def log_outliers(judgement: ServiceHealth, *, request_id: str, service: str) -> None:
     """Log which backends are outliers; decided in ``decisions.backends.health``."""
     _log.info(
         "outliers_changed",
--- a/src/passlane/relay/attempts.py
+++ b/src/passlane/relay/attempts.py
@@ -14,7 +14,7 @@
 from passlane.decisions.order.capacity_queue import RetryPermit
 from passlane.relay.attempt import AttemptSender, Deliver
 from passlane.relay.attempt_history import AttemptHistory
-from passlane.relay.backend_choice import ChoiceInputs, backend_selector, judge_backends
+from passlane.relay.backend_choice import ChoiceInputs, backend_selector, evaluate_health
 from passlane.relay.context import RequestContext
 from passlane.relay.request_wait import RequestWait
 
@@ -75,7 +75,7 @@
         permit: RetryPermit | None = None
         while True:
             now = anyio.current_time()
-            judgement = judge_backends(self._context, now)
+            judgement = evaluate_health(self._context, now)
             load = self._choose(ChoiceInputs(judgement, permit, limit_at, now))
             if load is None:
                 permit = await self._wait.wait_for_permit(judgement, limit_at)
--- a/src/passlane/relay/backend_choice.py
+++ b/src/passlane/relay/backend_choice.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from passlane.decisions.backends.registry import BackendLoad, ServiceJudgement
+from passlane.decisions.backends.registry import BackendLoad, ServiceHealth
 from passlane.decisions.order.capacity_queue import RetryPermit
 from passlane.decisions.placement.plain_placement import PlainBackends, PlainCall, PlainView
 from passlane.decisions.placement.request_placement import PlacementChoice, choose_backend
@@ -35,7 +35,7 @@
         Deadline of the request.
     """
 
-    judgement: ServiceJudgement
+    judgement: ServiceHealth
     permit: RetryPermit | None
     limit_at: float
     now: float
@@ -162,10 +162,10 @@
         )
 
 
-def judge_backends(context: RequestContext, now: float) -> ServiceJudgement:
+def evaluate_health(context: RequestContext, now: float) -> ServiceHealth:
     """Judge the service's backends, and log the outliers if they have changed."""
     service = context.service.name
-    judgement = context.registry.judge(service, now)
+    judgement = context.registry.evaluate_health(service, now)
     if judgement.has_changed:
         log_outliers(judgement, request_id=context.call.request_id, service=service)
     return judgement
--- a/src/passlane/relay/request_wait.py
+++ b/src/passlane/relay/request_wait.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from passlane.decisions.backends.registry import ServiceJudgement
+from passlane.decisions.backends.registry import ServiceHealth
 from passlane.decisions.failure.client_timeout import abandon_at
 from passlane.decisions.order.capacity_queue import RetryPermit, WaitingCall
 from passlane.errors import Verdict
@@ -38,7 +38,7 @@
         """Whether the request has started to wait, so that each further attempt needs a permit."""
         return self._waiting is not None
 
-    async def wait_for_permit(self, judgement: ServiceJudgement, limit_at: float) -> RetryPermit:
+    async def wait_for_permit(self, judgement: ServiceHealth, limit_at: float) -> RetryPermit:
         """Wait until the request may try again.
 
         Raises
@@ -75,7 +75,7 @@
         self._waiting = None
 
     def _create_waiting_call(
-        self, judgement: ServiceJudgement, limit_at: float, now: float
+        self, judgement: ServiceHealth, limit_at: float, now: float
     ) -> WaitingCall:
         context = self._context
         return WaitingCall(
@@ -86,7 +86,7 @@
             joined_at=now,
         )
 
-    def _abandon_at(self, judgement: ServiceJudgement, limit_at: float, now: float) -> float:
+    def _abandon_at(self, judgement: ServiceHealth, limit_at: float, now: float) -> float:
         route = self._context.route
         has_forwarded = self._history.has_forwarded_events
         return abandon_at(
--- a/tests/decisions/placement/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -157,7 +157,7 @@
         simulation, node, now = self.simulation, call.node, self.simulation.now
         if call.ended_at is not None:
             return
-        judgement = node.registry.judge(SERVICE, now)
+        judgement = node.registry.evaluate_health(SERVICE, now)
         connected = {
             each.record.instance_id
             for each in judgement.loads
@@ -206,7 +206,7 @@
         if not must_try and call.waiting is None and len(node.room):
             self._wait(call)
             return
-        judgement = node.registry.judge(SERVICE, now)
+        judgement = node.registry.evaluate_health(SERVICE, now)
         left_s = node.room.gives_up_at(call.kind.route, call.limit_at) - now
         plain_call = PlainCall(call.kind.route, call.kind.runs_once, left_s)
         connected = {
--- a/tests/decisions/placement/test_plain_placement.py
+++ b/tests/decisions/placement/test_plain_placement.py
@@ -113,15 +113,15 @@
     def test_speed_is_relative_to_the_typical_time_of_the_route(self):
         times = AnswerTimes()
         for _ in range(100):
-            times.note("quick", 0.01)
-            times.note("long", 0.1)
-        self.assertAlmostEqual(times.note("long", 0.1), 1.0, places=2)
-        self.assertAlmostEqual(times.note("quick", 0.025), 2.5, places=2)
+            times.record("quick", 0.01)
+            times.record("long", 0.1)
+        self.assertAlmostEqual(times.record("long", 0.1), 1.0, places=2)
+        self.assertAlmostEqual(times.record("quick", 0.025), 2.5, places=2)
 
     def test_times_of_routes_are_bounded(self):
         times = AnswerTimes()
         for number in range(3_000):
-            times.note(f"route-{number}", 0.01)
+            times.record(f"route-{number}", 0.01)
         self.assertLessEqual(len(times._routes), 1_000)
 
 
--- a/tests/decisions/placement/test_turn_placement.py
+++ b/tests/decisions/placement/test_turn_placement.py
@@ -29,7 +29,7 @@
     record = BackendRecord(name, "llm", address, zone, SLOTS, BackendState.READY)
     slots = EngineSlots(record, FleetSpeed())
     for number in range(running):
-        slots.take(
+        slots.assign(
             PlacedTurn(
                 attempt_id=f"{name}-{number}",
                 program_id="p",
@@ -85,7 +85,7 @@
     def test_an_engine_with_the_cached_shared_prefix_is_preferred(self):
         cached = engine("e2")
         turn = asked(prompt_tokens=9_000, shared_part="part", shared_tokens=8_000)
-        cached.note_part(turn.demand)
+        cached.record_shared_part(turn.demand)
         self.assertEqual(self.choice(turn, engine("e1"), cached), "e2")
 
     def test_turns_are_queued_only_if_the_prompt_is_cached(self):
@@ -94,7 +94,7 @@
         self.assertEqual(self.choice(asked(used_last="e1"), full), "e1")
         part = asked(shared_part="part", shared_tokens=MIN_LARGE_PART_TOKENS)
         self.assertEqual(self.choice(part, full), "")
-        full.note_part(part.demand)
+        full.record_shared_part(part.demand)
         self.assertEqual(self.choice(part, full), "e1")
         small = asked(shared_part="part", shared_tokens=MIN_LARGE_PART_TOKENS - 1)
         self.assertEqual(self.choice(small, full), "")
--- a/tests/decisions/scheduling/test_turn_defects.py
+++ b/tests/decisions/scheduling/test_turn_defects.py
@@ -6,14 +6,14 @@
 
 from decisions.scheduling import test_turn_estimates, test_turn_scheduler
 from passlane.decisions.admission.program_admission import ProgramAdmission
-from passlane.decisions.backends.engine_table import EngineTable, HeldSlot
+from passlane.decisions.backends.engine_table import AssignedSlot, EngineTable
 from passlane.decisions.order.turn_queue import TurnQueue, WaitingTurn
 from passlane.decisions.placement.turn_placement import TurnDurations
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.simulation.replacement import Replacement, replaced
 
-_give_back = EngineTable.give_back
-_take_expired = EngineTable.take_expired
+_release = EngineTable.release
+_pop_expired = EngineTable.pop_expired
 _begin = TurnScheduler.begin
 _in_order = TurnQueue.in_order
 
@@ -22,17 +22,17 @@
     """Release no slot."""
 
 
-def release_twice(table: EngineTable, attempt_id: str) -> HeldSlot | None:
+def release_twice(table: EngineTable, attempt_id: str) -> AssignedSlot | None:
     """Release another slot of the engine with each end of a turn."""
-    released = _give_back(table, attempt_id)
+    released = _release(table, attempt_id)
     if released is not None and released.engine.turns:
-        _give_back(table, next(iter(released.engine.turns)))
+        _release(table, next(iter(released.engine.turns)))
     return released
 
 
-def keep_expired(table: EngineTable, attempt_id: str) -> HeldSlot | None:
+def keep_expired(table: EngineTable, attempt_id: str) -> AssignedSlot | None:
     """Let the end of a turn whose slot has expired count every time."""
-    slot = _take_expired(table, attempt_id)
+    slot = _pop_expired(table, attempt_id)
     if slot is not None:
         table._expired[attempt_id] = slot
     return slot
@@ -73,16 +73,16 @@
 
     def test_without_a_defect_nothing_is_detected(self):
         with self.assertRaises(AssertionError):
-            self.assert_detected(Replacement(EngineTable, "give_back", _give_back))
+            self.assert_detected(Replacement(EngineTable, "release", _release))
 
     def test_a_slot_that_is_never_released(self):
-        self.assert_detected(Replacement(EngineTable, "give_back", never_release))
+        self.assert_detected(Replacement(EngineTable, "release", never_release))
 
     def test_an_end_that_releases_two_slots(self):
-        self.assert_detected(Replacement(EngineTable, "give_back", release_twice))
+        self.assert_detected(Replacement(EngineTable, "release", release_twice))
 
     def test_an_end_after_expiry_that_counts_each_time(self):
-        self.assert_detected(Replacement(EngineTable, "take_expired", keep_expired))
+        self.assert_detected(Replacement(EngineTable, "pop_expired", keep_expired))
 
     def test_a_new_leader_without_warmup(self):
         self.assert_detected(Replacement(TurnScheduler, "begin", skip_warmup))
--- a/tests/recorded_decisions/engine_choice_load.py
+++ b/tests/recorded_decisions/engine_choice_load.py
@@ -19,7 +19,7 @@
     NodePlace,
     PlacementChoice,
     PlacementKey,
-    ServiceJudgement,
+    ServiceHealth,
     choose_backend,
     congestion_level,
     note_failure,
@@ -104,7 +104,7 @@
         """Record the health of all back ends of a service."""
         self.later(LOOK_PERIOD_S, self.look)
         service = self.random.choice(tuple(SERVICES))
-        judged = self.registry.judge(service, self.now)
+        judged = self.registry.evaluate_health(service, self.now)
         shown = [self.health_of(load, judged.typical_s) for load in judged.loads]
         return self.step("look", service, [judged, judged.has_changed, shown])
 
@@ -115,7 +115,7 @@
             load.failures,
             load.avoid_until,
             health.latency_s(now),
-            health.longest_wait_s(now),
+            health.max_wait_s(now),
             health.is_failing(now),
             health.is_slow(now, typical_s),
             health.is_stalled(now, stall_limit_s(typical_s)),
@@ -144,7 +144,7 @@
         )
 
     def send(self, request: _Request) -> Step | None:
-        judged = self.registry.judge(request.service, self.now)
+        judged = self.registry.evaluate_health(request.service, self.now)
         choice = self.choose(request, judged)
         if choice is not None:
             self.begin(request, choice.load)
@@ -152,7 +152,7 @@
         kind = "choose none" if choice is None else kind
         return self.step(kind, request.key, [judged, choice])
 
-    def choose(self, request: _Request, judged: ServiceJudgement) -> PlacementChoice | None:
+    def choose(self, request: _Request, judged: ServiceHealth) -> PlacementChoice | None:
         connected = [name for name in self.names_of(judged) if self.random.random() < 0.4]
         return choose_backend(
             judged.loads,
@@ -165,7 +165,7 @@
         )
 
     @staticmethod
-    def names_of(judged: ServiceJudgement) -> list[str]:
+    def names_of(judged: ServiceHealth) -> list[str]:
         return [load.record.instance_id for load in judged.loads]
 
     def begin(self, request: _Request, load: BackendLoad) -> None:
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -10,7 +10,7 @@
 from passlane.decisions.admission.program_admission import retry_after as promise_retry_after
 from passlane.decisions.backends.engine_slots import EngineSlots, PlacedTurn
 from passlane.decisions.backends.health import AttemptWatch, congestion_level, stall_limit_s
-from passlane.decisions.backends.registry import BackendLoad, BackendRegistry, ServiceJudgement
+from passlane.decisions.backends.registry import BackendLoad, BackendRegistry, ServiceHealth
 from passlane.decisions.backends.speed import FleetSpeed
 from passlane.decisions.failure.client_timeout import first_part_due_at
 from passlane.decisions.failure.retry_after import retry_after_outage_s as outage_retry_after_s
@@ -157,7 +157,7 @@
     "SchedulerConfig",
     "SchedulerFigures",
     "ServiceCapacity",
-    "ServiceJudgement",
+    "ServiceHealth",
     "StartCall",
     "TenantId",
     "TenantUsage",
@@ -202,7 +202,7 @@
     QuotaRefused: "refused",
     RoomTurn: "turn",
     SchedulerFigures: "figures",
-    ServiceJudgement: "judgement",
+    ServiceHealth: "judgement",
     TenantUsage: "usage",
     TurnNotPlaced: "not placed",
     TurnPlaced: "placed",
--- a/tests/recorded_decisions/program_admission_load.py
+++ b/tests/recorded_decisions/program_admission_load.py
@@ -147,15 +147,15 @@
             expected_slowdown=choice.slowdown,
             until=self.now + 4.0 * choice.end_s,
         )
-        choice.engine.take(turn)
-        choice.engine.note_part(asked.demand)
+        choice.engine.assign(turn)
+        choice.engine.record_shared_part(asked.demand)
         engine = choice.engine
         run_s = self.random.lognormvariate(math.log(0.9), 0.4) * (1 + int(engine.incarnation[-1:]))
         self.later(run_s, lambda: self.end(engine, turn, run_s))
         return self.step("begun", asked, choice)
 
     def end(self, engine: EngineSlots, turn: PlacedTurn, run_s: float) -> Step:
-        engine.give_back(turn.attempt_id)
+        engine.release(turn.attempt_id)
         outcome = TurnOutcome(engine_s=run_s, first_part_s=run_s / 3, events=5)
         engine.learn(turn, outcome, self.now)
         self.durations.learn(outcome, engine.speed.against_fleet(self.now))
--- a/tests/recorded_decisions/room_load.py
+++ b/tests/recorded_decisions/room_load.py
@@ -140,7 +140,7 @@
         return self.step(kind, plain_call, [turn, choice])
 
     def view(self) -> PlainView:
-        judged = self.registry.judge("service", self.now)
+        judged = self.registry.evaluate_health("service", self.now)
         names = [load.record.instance_id for load in judged.loads]
         connected = [name for name in names if self.random.random() < 0.5]
         return PlainView(judged.loads, self.now, connected, judged.outliers)
