--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -16,7 +16,7 @@
 from passlane.daemon.fleet.stop_times import StopTimes
 from passlane.daemon.shared.in_flight import InFlightRequests
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.fleet.client import FleetFollower
 from passlane.messages.common import Address
 from passlane.messages.routes import RouteConfiguration
@@ -105,7 +105,7 @@
     def _build_relay(self, tasks: TaskGroup) -> RelayService:
         context = self._context
         relay = RelayService(
-            NodePlace(context.settings.process.name, context.settings.process.zone),
+            NodeLocation(context.settings.process.name, context.settings.process.zone),
             self._registry,
             EngineClient(context.environment.http_client),
             self._store,
--- a/src/passlane/decisions/order/service_capacity.py
+++ b/src/passlane/decisions/order/service_capacity.py
@@ -17,7 +17,7 @@
     WaitingCall,
 )
 from passlane.decisions.placement.plain_placement import PlainBackends
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 
 MIN_PAUSE_S = 0.003
 """Above the round trip to another zone, within which a refusal is received."""
@@ -45,7 +45,7 @@
         State of plain back ends, used to choose among them; ``None`` for model engines.
     """
 
-    def __init__(self, node: NodePlace, *, is_for_model: bool) -> None:
+    def __init__(self, node: NodeLocation, *, is_for_model: bool) -> None:
         self.times = AnswerTimes()
         self.plain = None if is_for_model else PlainBackends(node, self.times)
         self._queue = CapacityQueue(demotes_refused=is_for_model)
@@ -104,7 +104,7 @@
         self._queue.note_answered(now)
         if self.plain is None:
             return None
-        self.plain.note_answered(instance_id, ratio, now)
+        self.plain.record_answered(instance_id, ratio, now)
         return self._queue.offer(now)
 
     def offer(self, now: float) -> WaitingCall | None:
--- a/src/passlane/decisions/placement/backend_subset.py
+++ b/src/passlane/decisions/placement/backend_subset.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Sequence
 
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.decisions.placement.zone_weights import ZoneWeights
 from passlane.messages.listing import BackendRecord
 
@@ -18,7 +18,7 @@
 """Maximum number of back ends in the preferred subset of a node."""
 
 
-def subset_order(records: Sequence[BackendRecord], node: NodePlace) -> tuple[str, ...]:
+def subset_order(records: Sequence[BackendRecord], node: NodeLocation) -> tuple[str, ...]:
     """Return the incarnations of a service's back ends in a node's order of preference."""
     weights = ZoneWeights.of(records, node.zone)
     ordered = sorted(records, key=lambda record: weights.score(node.name, record), reverse=True)
--- a/src/passlane/decisions/placement/plain_placement.py
+++ b/src/passlane/decisions/placement/plain_placement.py
@@ -16,7 +16,7 @@
 from passlane.decisions.backends.health import stall_limit_s
 from passlane.decisions.backends.registry import BackendLoad
 from passlane.decisions.placement.backend_subset import SUBSET_SIZE, subset_order
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 
 MAX_REFUSAL_CHANCE = 0.5
 """Estimated refusal probability above which a back end is likely full, so that calls wait."""
@@ -41,7 +41,7 @@
 
     Attributes
     ----------
-    is_unsound
+    is_unhealthy
         The back end is unhealthy: it recently broke off, fails or is stalled.
     is_likely_full
         It recently refused a call.
@@ -57,7 +57,7 @@
         Its position in this node's order of preference.
     """
 
-    is_unsound: bool
+    is_unhealthy: bool
     is_likely_full: bool
     is_slow: bool
     is_beyond_subset: bool
@@ -148,7 +148,9 @@
 class PlainBackends:
     """State of the plain back ends of one service, and the selection among them."""
 
-    def __init__(self, node: NodePlace, times: AnswerTimes, subset_size: int = SUBSET_SIZE) -> None:
+    def __init__(
+        self, node: NodeLocation, times: AnswerTimes, subset_size: int = SUBSET_SIZE
+    ) -> None:
         self.times = times
         self._node = node
         self._subset_size = subset_size
@@ -180,8 +182,8 @@
         self._update_order(view.loads)
         choices = [self._evaluate(load, call, view) for load in view.loads]
         untried = [each for each in choices if each.load.record.incarnation not in tried]
-        if self._requires_healthy(call) and not all(each.rank.is_unsound for each in choices):
-            untried = [each for each in untried if not each.rank.is_unsound]
+        if self._requires_healthy(call) and not all(each.rank.is_unhealthy for each in choices):
+            untried = [each for each in untried if not each.rank.is_unhealthy]
         offered_choice = _healthy_choice_at(offered, untried)
         if offered_choice is not None:
             return offered_choice
@@ -190,19 +192,19 @@
             return best
         return None
 
-    def note_refused(self, instance_id: str, now: float) -> None:
+    def record_refused(self, instance_id: str, now: float) -> None:
         """Record that a back end refused a call because it was full."""
         state = self._state(instance_id)
         state.refused_at = now
         state.refusals_in_row += 1
 
-    def note_answered(self, instance_id: str, ratio: float, now: float) -> None:
+    def record_answered(self, instance_id: str, ratio: float, now: float) -> None:
         """Record a complete answer and the ratio of its time to the typical one."""
         state = self._state(instance_id)
         state.refusals_in_row = 0
         state.speed.note(ratio, now)
 
-    def note_broken(self, instance_id: str, now: float) -> None:
+    def record_broken(self, instance_id: str, now: float) -> None:
         """Record that a back end broke off, stalled or could not be reached."""
         self._state(instance_id).broken_at = now
 
@@ -253,7 +255,7 @@
         connect_s = 0.0 if instance_id in view.connected else CONNECT_COST_S
         position = self._order.index(instance_id)
         return PlainRank(
-            is_unsound=self._is_unhealthy(load, call, view.now),
+            is_unhealthy=self._is_unhealthy(load, call, view.now),
             is_likely_full=refusal_chance > MAX_REFUSAL_CHANCE,
             is_slow=is_slow or instance_id in view.outliers,
             is_beyond_subset=position >= self._subset_size,
@@ -275,7 +277,7 @@
 def _healthy_choice_at(instance_id: str, choices: Sequence[PlainChoice]) -> PlainChoice | None:
     """Return the choice with this incarnation, unless it is unhealthy or missing."""
     for choice in choices:
-        if choice.load.record.incarnation == instance_id and not choice.rank.is_unsound:
+        if choice.load.record.incarnation == instance_id and not choice.rank.is_unhealthy:
             return choice
     return None
 
--- a/src/passlane/decisions/placement/request_placement.py
+++ b/src/passlane/decisions/placement/request_placement.py
@@ -82,7 +82,7 @@
     negative_score: float
 
 
-class NodePlace(msgspec.Struct, frozen=True):
+class NodeLocation(msgspec.Struct, frozen=True):
     """Name and zone of the node that places requests."""
 
     name: str
@@ -107,7 +107,7 @@
     """
 
     affinity: str
-    node: NodePlace
+    node: NodeLocation
     used_last: str = ""
     shared_part: str = ""
     assigned: str = ""
@@ -231,14 +231,14 @@
     return engines_of_part(key.shared_part, records)
 
 
-def note_failure(load: BackendLoad, now: float) -> None:
+def record_failure(load: BackendLoad, now: float) -> None:
     """Avoid a back end for some time, with exponential backoff on consecutive failures."""
     load.failures += 1
     pause_s = min(MAX_AVOID_S, AVOID_S * 2 ** (load.failures - 1))
     load.avoid_until = now + pause_s
 
 
-def note_success(load: BackendLoad) -> None:
+def record_success(load: BackendLoad) -> None:
     """Reset the failures of a back end, so that it is no longer avoided."""
     load.failures = 0
     load.avoid_until = 0.0
--- a/src/passlane/relay/attempt.py
+++ b/src/passlane/relay/attempt.py
@@ -23,7 +23,7 @@
     decide_after_failure,
     leaves_silent_backend,
 )
-from passlane.decisions.placement.request_placement import note_failure, note_success
+from passlane.decisions.placement.request_placement import record_failure, record_success
 from passlane.errors import Verdict
 from passlane.relay.attempt_history import AttemptHistory
 from passlane.relay.attempt_log import AttemptLabels, log_backend_refusal, log_untrusted_answer
@@ -117,7 +117,7 @@
         await deliver(answer, watch)
         if is_client_error(answer.head):
             self._history.record_rejected()
-        note_success(load)
+        record_success(load)
         return True
 
     def _record_refused(self, answer: BackendAnswer, load: BackendLoad) -> None:
@@ -138,7 +138,7 @@
         self, error: HttpConnectionError, load: BackendLoad, verdict_before: Verdict
     ) -> None:
         """Record a broken attempt; raise if the request must not be sent again."""
-        note_failure(load, anyio.current_time())
+        record_failure(load, anyio.current_time())
         self._history.record_broken(load.record.incarnation)
         next_step = decide_after_failure(
             self._context.route,
--- a/src/passlane/relay/attempt_log.py
+++ b/src/passlane/relay/attempt_log.py
@@ -86,7 +86,7 @@
         has_turn=permit is not None,
         offered=permit.offered if permit is not None else None,
         in_flight=choice.load.in_flight,
-        is_unsound=choice.rank.is_unsound,
+        is_unsound=choice.rank.is_unhealthy,
         is_beyond_subset=choice.rank.is_beyond_subset,
         expected_s=round(choice.rank.expected_s, 4),
         refusal_chance=round(choice.refusal_chance, 3),
--- a/src/passlane/relay/attempts.py
+++ b/src/passlane/relay/attempts.py
@@ -127,10 +127,10 @@
         self._wait.record_lost_attempt()
         plain = self._context.waits.queue.plain
         if plain is not None:
-            plain.note_broken(instance_id, now)
+            plain.record_broken(instance_id, now)
 
     def _record_refused(self, instance_id: str, now: float) -> None:
         self._wait.record_refused()
         plain = self._context.waits.queue.plain
         if plain is not None:
-            plain.note_refused(instance_id, now)
+            plain.record_refused(instance_id, now)
--- a/src/passlane/relay/context.py
+++ b/src/passlane/relay/context.py
@@ -7,7 +7,7 @@
 
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.inputs.relayed_call import RelayedCall
-from passlane.decisions.placement.request_placement import NodePlace, PlacementKey
+from passlane.decisions.placement.request_placement import NodeLocation, PlacementKey
 from passlane.decisions.placement.shared_parts import large_shared_part
 from passlane.messages.placement import TurnDemand
 from passlane.messages.routes import Route, RoutedService
@@ -25,7 +25,7 @@
     service: RoutedService
     identity: Identity
     quota: RequestQuota
-    node: NodePlace
+    node: NodeLocation
     registry: BackendRegistry
     backends: RelayBackends
     waits: CapacityWaits
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -14,7 +14,7 @@
 from passlane.decisions.failure.retry_after import retry_after_outage_s
 from passlane.decisions.inputs.relayed_call import RelayedCall
 from passlane.decisions.limits.allowances import Allowances
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.messages.routes import Route, RouteConfiguration, RouteKind
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
@@ -67,7 +67,7 @@
 
     def __init__(
         self,
-        node: NodePlace,
+        node: NodeLocation,
         registry: BackendRegistry,
         backends: RelayBackends,
         store: TurnStoreClient,
--- a/src/passlane/relay/service_waits.py
+++ b/src/passlane/relay/service_waits.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from passlane.decisions.order.service_capacity import ServiceCapacity
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.messages.routes import RoutedService
 from passlane.relay.capacity_waits import CapacityWaits
 
@@ -33,7 +33,7 @@
         Returns a uniform random number from 0 to 1, for jitter.
     """
 
-    def __init__(self, node: NodePlace, draw: Callable[[], float]) -> None:
+    def __init__(self, node: NodeLocation, draw: Callable[[], float]) -> None:
         self._node = node
         self._draw = draw
         self._by_service: dict[_ServiceKey, CapacityWaits] = {}
--- a/tests/decisions/backends/test_health.py
+++ b/tests/decisions/backends/test_health.py
@@ -11,7 +11,7 @@
     typical_latency_s,
 )
 from passlane.decisions.backends.registry import BackendLoad, BackendRegistry
-from passlane.decisions.placement.request_placement import NodePlace, PlacementKey
+from passlane.decisions.placement.request_placement import NodeLocation, PlacementKey
 from relay.fakes import backend, choose
 
 
@@ -19,7 +19,7 @@
     return find_outliers(backends, typical_latency_s(backends, now), now)
 
 
-HERE = NodePlace("node-1", "a")
+HERE = NodeLocation("node-1", "a")
 
 
 def answered(health, *, times=1, start=0.0, latency_s=0.05):
--- a/tests/decisions/order/test_capacity_queue.py
+++ b/tests/decisions/order/test_capacity_queue.py
@@ -16,7 +16,7 @@
 from passlane.decisions.order.service_capacity import (
     ServiceCapacity,
 )
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 
 PAUSES = PauseRange(shortest_s=0.005, longest_s=0.03)
 
@@ -122,7 +122,7 @@
 
 class ServiceRoomTest(unittest.TestCase):
     def setUp(self):
-        self.room = ServiceCapacity(NodePlace("node-1", "a"), is_for_model=False)
+        self.room = ServiceCapacity(NodeLocation("node-1", "a"), is_for_model=False)
 
     def test_a_wait_ends_when_less_than_the_typical_time_of_the_route_is_left(self):
         for _ in range(100):
@@ -140,7 +140,7 @@
         self.assertIsNone(self.room.note_answered("i-1", "quick", 0.01, 0.13))
 
     def test_the_slot_of_an_engine_is_not_reassigned(self):
-        room = ServiceCapacity(NodePlace("node-1", "a"), is_for_model=True)
+        room = ServiceCapacity(NodeLocation("node-1", "a"), is_for_model=True)
         room.join(waiting_call(), 0.0, 0.5, 6)
         self.assertIsNone(room.note_answered("i-1", "turn", 0.1, 0.1))
 
--- a/tests/decisions/placement/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -16,11 +16,11 @@
 from passlane.decisions.order.service_capacity import ServiceCapacity
 from passlane.decisions.placement.plain_placement import PlainCall, PlainView
 from passlane.decisions.placement.request_placement import (
-    NodePlace,
+    NodeLocation,
     PlacementKey,
     choose_backend,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
@@ -136,7 +136,7 @@
     """A node with its registry, its connections and the state of its policy."""
 
     def __init__(self, name, zone, records):
-        self.location = NodePlace(name, zone)
+        self.location = NodeLocation(name, zone)
         self.registry = BackendRegistry()
         self.registry.update(records, 0.0)
         self.connections = Connections()
@@ -228,7 +228,7 @@
 
     def refused(self, call, backend_load):
         node, now = call.node, self.simulation.now
-        node.room.plain.note_refused(backend_load.record.instance_id, now)
+        node.room.plain.record_refused(backend_load.record.instance_id, now)
         if call.waiting is not None:
             call.waiting.refusals += 1
             self._wait(call)
@@ -237,7 +237,7 @@
 
     def broken(self, call, backend_load):
         call.waiting = None
-        call.node.room.plain.note_broken(backend_load.record.instance_id, self.simulation.now)
+        call.node.room.plain.record_broken(backend_load.record.instance_id, self.simulation.now)
         self.start(call)
 
     def answered(self, call, backend_load, seconds):
@@ -483,14 +483,14 @@
     def _broken(self, call, load, watch):
         load.in_flight -= 1
         watch.failed(self.now)
-        note_failure(load, self.now)
+        record_failure(load, self.now)
         if call.kind.runs_once:
             call.is_lost = True
             self.end(call, is_served=False)
         self.policy.broken(call, load)
 
     def _answered(self, call, load, watch, sent_at):
-        note_success(load)
+        record_success(load)
         load.in_flight -= 1
         watch.progressed(self.now)
         watch.succeeded(self.now)
--- a/tests/decisions/placement/test_plain_placement.py
+++ b/tests/decisions/placement/test_plain_placement.py
@@ -12,10 +12,10 @@
     PlainCall,
     PlainView,
 )
-from passlane.decisions.placement.request_placement import NodePlace, note_failure
+from passlane.decisions.placement.request_placement import NodeLocation, record_failure
 from relay.fakes import backend
 
-HERE = NodePlace("node-1", "a")
+HERE = NodeLocation("node-1", "a")
 ONCE = PlainCall("charge", runs_once=True, left_s=1.5)
 AGAIN = PlainCall("look-up", runs_once=False, left_s=1.2)
 
@@ -40,36 +40,36 @@
 class RefusalTest(PlainCase):
     def test_a_back_end_that_just_refused_is_skipped_for_a_short_time(self):
         first = self.choose()
-        self.plain.note_refused(first, 0.0)
+        self.plain.record_refused(first, 0.0)
         self.assertNotEqual(self.choose(now=0.001), first)
         self.assertEqual(self.choose(now=0.1), first)
 
     def test_it_is_skipped_longer_after_several_consecutive_refusals(self):
         first = self.choose()
         for _ in range(4):
-            self.plain.note_refused(first, 0.0)
+            self.plain.record_refused(first, 0.0)
         self.assertNotEqual(self.choose(now=0.012), first)
 
     def test_an_answer_clears_the_refusals(self):
         first = self.choose()
         for _ in range(4):
-            self.plain.note_refused(first, 0.0)
-        self.plain.note_answered(first, 1.0, 0.001)
+            self.plain.record_refused(first, 0.0)
+        self.plain.record_answered(first, 1.0, 0.001)
         self.assertEqual(self.choose(now=0.002), first)
 
     def test_the_call_waits_if_all_are_likely_full_unless_it_must_try(self):
         for load in self.loads:
-            self.plain.note_refused(load.record.instance_id, 0.0)
+            self.plain.record_refused(load.record.instance_id, 0.0)
         self.assertIsNone(self.choose(now=0.001))
         self.assertIsNotNone(self.choose(now=0.001, must_try=True))
 
     def test_a_call_that_must_try_is_sent_to_the_one_with_the_oldest_refusal(self):
         for number, load in enumerate(self.loads):
-            self.plain.note_refused(load.record.instance_id, 0.001 * number)
+            self.plain.record_refused(load.record.instance_id, 0.001 * number)
         self.assertEqual(self.choose(now=0.005, must_try=True), "i-0")
 
     def test_an_offered_back_end_is_chosen_at_once(self):
-        self.plain.note_refused("i-3", 0.0)
+        self.plain.record_refused("i-3", 0.0)
         self.assertEqual(self.choose(now=0.001, offered="i-3", must_try=True), "i-3")
 
     def test_an_idle_connection_decides_among_those_with_capacity(self):
@@ -87,7 +87,7 @@
     def test_a_slow_back_end_is_avoided_until_its_slowness_has_decayed(self):
         first = self.choose()
         for _ in range(5):
-            self.plain.note_answered(first, 2.5, 0.0)
+            self.plain.record_answered(first, 2.5, 0.0)
         self.assertNotEqual(self.choose(now=0.01), first)
         self.assertEqual(self.choose(now=2.0), first)
 
@@ -100,7 +100,7 @@
 
     def test_a_single_slow_answer_changes_nothing(self):
         first = self.choose()
-        self.plain.note_answered(first, 3.0, 0.0)
+        self.plain.record_answered(first, 3.0, 0.0)
         self.assertEqual(self.choose(now=0.01), first)
 
     def test_slowness_decays_to_1(self):
@@ -128,29 +128,29 @@
 class HealthTest(PlainCase):
     def test_a_call_that_runs_once_avoids_a_back_end_that_recently_broke_off(self):
         first = self.choose(ONCE)
-        self.plain.note_broken(first, 0.0)
+        self.plain.record_broken(first, 0.0)
         self.assertNotEqual(self.choose(ONCE, now=AVOID_AFTER_BREAK_S - 0.1), first)
         self.assertEqual(self.choose(ONCE, now=AVOID_AFTER_BREAK_S + 0.1), first)
 
     def test_it_waits_for_a_healthy_back_end(self):
-        self.plain.note_broken("i-0", 0.0)
+        self.plain.record_broken("i-0", 0.0)
         for number in range(1, 5):
-            self.plain.note_refused(f"i-{number}", 0.5)
+            self.plain.record_refused(f"i-{number}", 0.5)
         self.assertIsNone(self.choose(ONCE, now=0.501))
         self.assertNotEqual(self.choose(ONCE, now=0.501, must_try=True), "i-0")
         self.assertNotEqual(self.choose(ONCE, now=0.501, must_try=True, offered="i-0"), "i-0")
 
     def test_an_urgent_call_is_sent_to_an_unhealthy_back_end(self):
-        self.plain.note_broken("i-0", 0.0)
+        self.plain.record_broken("i-0", 0.0)
         for number in range(1, 5):
-            self.plain.note_refused(f"i-{number}", 0.5)
+            self.plain.record_refused(f"i-{number}", 0.5)
         urgent = PlainCall("charge", runs_once=True, left_s=0.05)
         tried = [f"i-{number}" for number in range(1, 5)]
         self.assertEqual(self.choose(urgent, now=0.501, tried=tried), "i-0")
 
     def test_a_back_end_is_chosen_even_if_all_are_unhealthy(self):
         for load in self.loads:
-            self.plain.note_broken(load.record.instance_id, 0.0)
+            self.plain.record_broken(load.record.instance_id, 0.0)
         self.assertIsNotNone(self.choose(ONCE, now=0.1))
 
     def test_a_stalled_back_end_gets_no_call_that_runs_once(self):
@@ -162,7 +162,7 @@
     def test_all_calls_avoid_a_back_end_for_a_short_time_after_a_failure(self):
         first = self.choose()
         load = next(load for load in self.loads if load.record.instance_id == first)
-        note_failure(load, 0.0)
+        record_failure(load, 0.0)
         self.assertNotEqual(self.choose(now=0.1), first)
 
 
@@ -170,7 +170,7 @@
     def orders(self, records, nodes=61):
         zones = "abc"
         return [
-            subset_order(records, NodePlace(f"node-{n}", zones[n % len(zones)]))
+            subset_order(records, NodeLocation(f"node-{n}", zones[n % len(zones)]))
             for n in range(nodes)
         ]
 
@@ -205,6 +205,6 @@
         chosen = plain.choose(PlainView(candidates, 0.0, set(beyond)), AGAIN)
         self.assertIn(chosen.load.record.instance_id, order[:2])
         for instance_id in order[:2]:
-            plain.note_refused(instance_id, 0.0)
+            plain.record_refused(instance_id, 0.0)
         chosen = plain.choose(PlainView(candidates, 0.001), AGAIN)
         self.assertIn(chosen.load.record.instance_id, beyond)
--- a/tests/decisions/placement/test_request_placement.py
+++ b/tests/decisions/placement/test_request_placement.py
@@ -6,10 +6,10 @@
 from passlane.decisions.backends.registry import BackendLoad, BackendRegistry
 from passlane.decisions.inputs.relayed_call import PromptPart
 from passlane.decisions.placement.request_placement import (
-    NodePlace,
+    NodeLocation,
     PlacementKey,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 from passlane.decisions.placement.shared_parts import (
     MIN_LARGE_PART_TOKENS,
@@ -19,7 +19,7 @@
 from passlane.relay.list_reader import own_period_s
 from relay.fakes import backend, choose
 
-HERE = NodePlace("node-1", "a")
+HERE = NodeLocation("node-1", "a")
 
 
 def loads(count, **changes):
@@ -36,7 +36,7 @@
             self.instances_for(
                 lambda n, node=node: PlacementKey(str(n), node, shared_part="p"), candidates
             )
-            for node in (HERE, NodePlace("node-2", "b"))
+            for node in (HERE, NodeLocation("node-2", "b"))
         ]
         self.assertEqual(len(used[0]), 3)
         self.assertEqual(used[0], used[1])
@@ -108,10 +108,10 @@
         second = choose(candidates, key, (), 0.0)
         self.assertIsNot(second, first)
         first.in_flight = 0
-        note_failure(first, 0.0)
+        record_failure(first, 0.0)
         self.assertIs(choose(candidates, key, (), 0.1), second)
         self.assertIs(choose(candidates, key, (), 10.0), first)
-        note_success(first)
+        record_success(first)
         self.assertIs(choose(candidates, key, (), 0.1), first)
 
     def test_plain_requests_fill_a_third_of_the_own_zone_before_another_zone(self):
@@ -154,7 +154,7 @@
         candidates = loads(6)
         chosen = Counter(
             choose(
-                candidates, PlacementKey("", NodePlace(f"node-{n}", "a")), (), 0.0
+                candidates, PlacementKey("", NodeLocation(f"node-{n}", "a")), (), 0.0
             ).record.instance_id
             for n in range(120)
         )
--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -15,7 +15,7 @@
 from on_platform.test_deploy import FILLED, NODE_ADDRESSES
 from passlane.daemon.fleet.node_bounds import NodeBounds
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.routes import RouteKind
@@ -115,7 +115,7 @@
         bounds = NodeBounds(settings(), Metrics())
         async with anyio.create_task_group() as tasks:
             relay = RelayService(
-                NodePlace("n", "a"),
+                NodeLocation("n", "a"),
                 registry,
                 EngineClient(SingleConnectionHttpClient(TcpNetwork())),
                 ScriptedStore(),
--- a/tests/recorded_decisions/engine_choice_load.py
+++ b/tests/recorded_decisions/engine_choice_load.py
@@ -16,14 +16,14 @@
     BackendRecord,
     BackendRegistry,
     BackendState,
-    NodePlace,
+    NodeLocation,
     PlacementChoice,
     PlacementKey,
     ServiceHealth,
     choose_backend,
     congestion_level,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
     stall_limit_s,
 )
 from recorded_decisions.recording import Step
@@ -38,7 +38,7 @@
 MAX_TRIES = 3
 SERVICES = {"model": 7, "plain": 6}
 ZONES = "abb"
-HERE = NodePlace("node-1", "a")
+HERE = NodeLocation("node-1", "a")
 
 
 @dataclass
@@ -202,7 +202,7 @@
         attempt.watch.progressed(self.now)
         attempt.watch.succeeded(self.now)
         attempt.watch.failed(self.now)
-        note_success(attempt.load)
+        record_success(attempt.load)
         if self.random.random() < 0.03:
             self.registry.remove(attempt.load.record.instance_id)
         return self.ended("succeeded", attempt)
@@ -210,7 +210,7 @@
     def fail(self, attempt: _Attempt) -> Step:
         attempt.watch.failed(self.now)
         attempt.watch.dropped(self.now + 9.0, stall_limit_s(0.1))
-        note_failure(attempt.load, self.now)
+        record_failure(attempt.load, self.now)
         if len(attempt.request.tried) < MAX_TRIES:
             self.later(0.01, lambda: self.send(attempt.request))
         return self.ended("failed", attempt)
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -58,12 +58,12 @@
 from passlane.decisions.order.service_capacity import ServiceCapacity
 from passlane.decisions.placement.plain_placement import PlainCall, PlainChoice, PlainView
 from passlane.decisions.placement.request_placement import (
-    NodePlace,
+    NodeLocation,
     PlacementChoice,
     PlacementKey,
     choose_backend,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 from passlane.decisions.placement.turn_placement import EngineChoice, TurnDurations, choose_engine
 from passlane.decisions.scheduling.call_scheduler import Scheduler
@@ -124,7 +124,7 @@
     "MoveCache",
     "NodeCapacity",
     "NodeLoad",
-    "NodePlace",
+    "NodeLocation",
     "NodeReading",
     "Ordering",
     "PauseRange",
@@ -178,10 +178,10 @@
     "choose_engine",
     "congestion_level",
     "first_part_due_at",
-    "note_failure",
-    "note_success",
     "outage_retry_after_s",
     "promise_retry_after",
+    "record_failure",
+    "record_success",
     "stall_limit_s",
 ]
 
--- a/tests/recorded_decisions/room_load.py
+++ b/tests/recorded_decisions/room_load.py
@@ -16,14 +16,14 @@
     BackendRecord,
     BackendRegistry,
     BackendState,
-    NodePlace,
+    NodeLocation,
     PlainCall,
     PlainView,
     RoomTurn,
     ServiceCapacity,
     WaitingCall,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 from recorded_decisions.recording import Step
 from recorded_decisions.world import World
@@ -39,7 +39,7 @@
 """Time for which a back end is silent before its connection breaks."""
 BACKENDS = 19
 FEW_BACKENDS = 4
-HERE = NodePlace("node-1", "a")
+HERE = NodeLocation("node-1", "a")
 ROUTES = {"short": 0.02, "long": 0.08}
 
 
@@ -169,7 +169,7 @@
         seconds = self.now - watch.started_at
         watch.progressed(self.now)
         watch.succeeded(self.now)
-        note_success(load)
+        record_success(load)
         instance_id = load.record.instance_id
         first = self.room.note_answered(instance_id, call.route, seconds, self.now)
         self.reassign_slot(first, instance_id)
@@ -186,7 +186,7 @@
         watch.dropped(self.now, PHASE_S)
         call.tried.append(load.record.instance_id)
         if self.room.plain is not None:
-            self.room.plain.note_refused(load.record.instance_id, self.now)
+            self.room.plain.record_refused(load.record.instance_id, self.now)
         if len(call.tried) < 3 and self.room.plain is not None:
             self.later(0.0, lambda: self.request_capacity(call, None))
         else:
@@ -196,9 +196,9 @@
     def break_off(self, call: _Call, load: BackendLoad, watch: AttemptWatch) -> Step:
         load.in_flight -= 1
         watch.failed(self.now)
-        note_failure(load, self.now)
+        record_failure(load, self.now)
         if self.room.plain is not None:
-            self.room.plain.note_broken(load.record.instance_id, self.now)
+            self.room.plain.record_broken(load.record.instance_id, self.now)
         first = self.room.offer(self.now)
         self.reassign_slot(first, load.record.instance_id)
         return self.step("broken off", load.record, [first])
--- a/tests/relay/test_capacity_waits.py
+++ b/tests/relay/test_capacity_waits.py
@@ -7,7 +7,7 @@
 
 from passlane.decisions.order.capacity_queue import WaitingCall
 from passlane.decisions.order.service_capacity import ServiceCapacity
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.relay.capacity_waits import CapacityWaits
 
 
@@ -29,7 +29,7 @@
 
         async def run():
             waits = CapacityWaits(
-                ServiceCapacity(NodePlace("node-1", "a"), is_for_model=False), lambda: 0.5
+                ServiceCapacity(NodeLocation("node-1", "a"), is_for_model=False), lambda: 0.5
             )
             async with anyio.create_task_group() as tasks:
                 await main(waits, tasks)
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -18,7 +18,7 @@
     SHORTEST_OUTAGE_RETRY_S,
 )
 from passlane.decisions.inputs.relayed_call import PromptPart
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.messages.listing import BackendState
 from passlane.messages.placement import TurnRefused
 from passlane.messages.quotas import QuotaGranted, QuotaRefused, QuotaUse
@@ -86,7 +86,7 @@
             registry.update(made, anyio.current_time())
             async with anyio.create_task_group() as tasks:
                 service = RelayService(
-                    NodePlace("node-1", "a"),
+                    NodeLocation("node-1", "a"),
                     registry,
                     self.backends,
                     self.store,
@@ -419,7 +419,7 @@
             registry.update([backend("i-1")], anyio.current_time())
             async with anyio.create_task_group() as tasks:
                 service = RelayService(
-                    NodePlace("node-1", "a"),
+                    NodeLocation("node-1", "a"),
                     registry,
                     ScriptedBackends(Script(head(), b"ok")),
                     ScriptedStore(),
@@ -470,7 +470,7 @@
             backends = ScriptedBackends(Script(head(), b"ok", delay_s=0.2))
             async with anyio.create_task_group() as tasks:
                 service = RelayService(
-                    NodePlace("node-1", "a"),
+                    NodeLocation("node-1", "a"),
                     registry,
                     backends,
                     ScriptedStore(),
@@ -533,7 +533,7 @@
             registry.update([backend("i-1", service="tools", slots=1)], anyio.current_time())
             async with anyio.create_task_group() as tasks:
                 service = RelayService(
-                    NodePlace("node-1", "a"),
+                    NodeLocation("node-1", "a"),
                     registry,
                     self.backends,
                     ScriptedStore(),
