--- a/src/passlane/bench/turn_cost_process.py
+++ b/src/passlane/bench/turn_cost_process.py
@@ -102,7 +102,7 @@
     router = MessageRouter()
     pool = ConnectionPool(environment)
     quotas = QuotaLedger(_QUOTA_RULES)
-    machine = TurnStateMachine(quotas.note_replicated)
+    machine = TurnStateMachine(quotas.apply_replicated)
     settings = GroupSettings(
         members=setup.members,
         heartbeat_s=HEARTBEAT_S,
--- a/src/passlane/decisions/limits/allowances.py
+++ b/src/passlane/decisions/limits/allowances.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-AHEAD_VALID_S = 0.4
+ADVANCE_GRANT_TTL_S = 0.4
 """Seconds after which an advance grant expires; tool calls follow their turn within 0.1 s."""
 PRIOR_CALLS_PER_TURN = 2.0
 """Tool calls per turn that are assumed at the start."""
@@ -35,13 +35,13 @@
         self._turns = PRIOR_TURNS
         self._calls = PRIOR_TURNS * PRIOR_CALLS_PER_TURN
 
-    def hold(self, tenant: str, count: int, requested_at: float) -> None:
+    def add_grant(self, tenant: str, count: int, requested_at: float) -> None:
         """Add an advance grant; its lifetime starts at ``requested_at``, not at its receipt."""
         if count > 0:
             grants = self._granted.setdefault(tenant, deque())
-            grants.append(_Grant(count, requested_at + AHEAD_VALID_S))
+            grants.append(_Grant(count, requested_at + ADVANCE_GRANT_TTL_S))
 
-    def take(self, tenant: str, now: float) -> bool:
+    def spend(self, tenant: str, now: float) -> bool:
         """Spend one granted request; return whether one was available."""
         self._calls += 1
         grants = self._valid(tenant, now)
@@ -56,7 +56,7 @@
         """Return how many requests may be sent for a tenant without asking the leader."""
         return sum(grant.left for grant in self._valid(tenant, now))
 
-    def wanted_after_turn(self, tenant: str, now: float) -> int:
+    def prefetch_count(self, tenant: str, now: float) -> int:
         """Record the end of a turn; return how many requests to obtain for its tool calls."""
         self._turns = self._turns * DECAY_FACTOR + 1
         self._calls *= DECAY_FACTOR
--- a/src/passlane/decisions/limits/quota_ledger.py
+++ b/src/passlane/decisions/limits/quota_ledger.py
@@ -19,7 +19,7 @@
 
 import msgspec
 
-from passlane.decisions.limits.allowances import AHEAD_VALID_S
+from passlane.decisions.limits.allowances import ADVANCE_GRANT_TTL_S
 from passlane.decisions.limits.program_needs import ProgramNeeds
 from passlane.decisions.limits.tenant_accounts import TenantAccount, TenantAccounts
 from passlane.decisions.limits.unreported_grants import UnreportedGrants
@@ -126,24 +126,24 @@
         for grant in self._history.grants(now):
             self._accounts.get_or_create(grant.tenant).sent.add(grant.granted, grant.at)
 
-    def note_replicated(self, usages: Iterable[TenantUsage], group_s: float) -> None:
+    def apply_replicated(self, usages: Iterable[TenantUsage], group_s: float) -> None:
         """Apply the usage that a leader has replicated, as of a time on the group's clock."""
         self._history.record(usages, group_s)
 
-    def group_s(self, now: float) -> float:
+    def group_time_s(self, now: float) -> float:
         """Return the time on the group's clock, which the leader advances."""
         return self._term_started_group_s + now - self._term_started_at
 
-    def usages_to_tell(self, now: float) -> tuple[TenantUsage, ...]:
+    def take_unreported(self, now: float) -> tuple[TenantUsage, ...]:
         """Return the usage since the last call, to be replicated.
 
-        It stays unreported until ``note_told``.
+        It stays unreported until ``record_report``.
         """
         return self._unreported.take(now)
 
-    def note_told(self, usages: Iterable[TenantUsage], *, is_told: bool) -> None:
+    def record_report(self, usages: Iterable[TenantUsage], *, is_reported: bool) -> None:
         """Record whether a majority has recorded the usage; if not, it is unreported again."""
-        self._unreported.record_report(usages, is_reported=is_told)
+        self._unreported.record_report(usages, is_reported=is_reported)
 
     def must_tell(self, limit: QuotaLimit) -> bool:
         """Whether a tenant's unreported grants exceed their bound and must be reported first."""
@@ -175,7 +175,7 @@
             account.sent.move(scheduled_at, now)
             self._unreported.record_delayed(draw.limit.tenant)
 
-    def give_back(self, draw: QuotaDraw) -> None:
+    def refund(self, draw: QuotaDraw) -> None:
         """Return the grant of one request that will not be sent.
 
         If it was to begin a program, the program's expected requests are returned too.
@@ -225,7 +225,7 @@
         granted = max(0, min(draw.ahead, int(spare)))
         if granted:
             self._needs.record_advance_calls(granted)
-            self._grant(account, draw.limit.tenant, granted, now + AHEAD_VALID_S)
+            self._grant(account, draw.limit.tenant, granted, now + ADVANCE_GRANT_TTL_S)
         return granted
 
     def _grant(self, account: TenantAccount, tenant: str, count: int, at: float) -> None:
--- a/src/passlane/messages/quotas.py
+++ b/src/passlane/messages/quotas.py
@@ -94,7 +94,7 @@
 class QuotaGranted(Message, frozen=True):
     """The request may be sent ``start_after_s`` from now, and ``ahead`` more soon.
 
-    Those ahead may be sent within ``quotas.allowances.AHEAD_VALID_S``.
+    Those ahead may be sent within ``quotas.allowances.ADVANCE_GRANT_TTL_S``.
     """
 
     start_after_s: float = 0.0
--- a/src/passlane/relay/request_quota.py
+++ b/src/passlane/relay/request_quota.py
@@ -59,7 +59,7 @@
             When the store group did not answer; the request must not be sent.
         """
         now = anyio.current_time()
-        if self.limit is None or self._allowances.take(self.limit.tenant, now):
+        if self.limit is None or self._allowances.spend(self.limit.tenant, now):
             return QuotaGranted()
         use = QuotaUse.CONTINUE_PROGRAM if is_in_program else QuotaUse.ALONE
         timeout_s = min(ANSWER_TIMEOUT_S, limit_at - now)
@@ -80,10 +80,10 @@
         """Return the draw for the settlement of a completed turn; ``None`` if none is needed."""
         if self.limit is None:
             return None
-        ahead = self._allowances.wanted_after_turn(self.limit.tenant, anyio.current_time())
+        ahead = self._allowances.prefetch_count(self.limit.tenant, anyio.current_time())
         return QuotaDraw(limit=self.limit, use=None, ahead=ahead) if ahead else None
 
     def record_settlement(self, settled: TurnSettled, asked_at: float) -> None:
         """Add what was granted with a settlement, which was requested at ``asked_at``."""
         if self.limit is not None:
-            self._allowances.hold(self.limit.tenant, settled.ahead, asked_at)
+            self._allowances.add_grant(self.limit.tenant, settled.ahead, asked_at)
--- a/src/passlane/turns/quota_grants.py
+++ b/src/passlane/turns/quota_grants.py
@@ -59,9 +59,9 @@
         """Record that a request granted for ``scheduled_at`` (local time, s) is sent only now."""
         self._quotas.note_sent(draw, scheduled_at, anyio.current_time())
 
-    def give_back(self, draw: QuotaDraw) -> None:
+    def refund(self, draw: QuotaDraw) -> None:
         """Return the grant of a request that will never be sent."""
-        self._quotas.give_back(draw)
+        self._quotas.refund(draw)
 
     async def _replicate_until_within_bound(self, limit: QuotaLimit) -> None:
         """Replicate until a tenant's unreplicated grants are within the bound, or raise."""
@@ -72,14 +72,14 @@
     async def _replicate_usage(self) -> None:
         """Replicate the recorded grants; on return a majority has stored them."""
         now = anyio.current_time()
-        usages = self._quotas.usages_to_tell(now)
+        usages = self._quotas.take_unreported(now)
         if not usages:
             return
-        command = NoteUsage(usages=usages, group_s=self._quotas.group_s(now))
+        command = NoteUsage(usages=usages, group_s=self._quotas.group_time_s(now))
         is_replicated = False
         try:
             await self._leadership.propose(command)
             is_replicated = True
         finally:
             # Without an answer the outcome is unknown, so the grants are replicated again.
-            self._quotas.note_told(usages, is_told=is_replicated)
+            self._quotas.record_report(usages, is_reported=is_replicated)
--- a/src/passlane/turns/service.py
+++ b/src/passlane/turns/service.py
@@ -117,7 +117,7 @@
             # the replicated grants, so there is nothing to return.
             is_sent = isinstance(answer, TurnReserved)
             if not is_sent and term == self._leadership.served_term:
-                self._quotas.give_back(draw)
+                self._quotas.refund(draw)
 
     async def _reserve_granted(self, request: ReserveTurn, quota: QuotaGranted) -> Message:
         """Reserve a turn that was granted its tenant's quota."""
--- a/tests/decisions/limits/test_delayed_sends.py
+++ b/tests/decisions/limits/test_delayed_sends.py
@@ -29,13 +29,13 @@
         leader, follower = QuotaLedger(RULES), QuotaLedger(RULES)
         leader.enter_term(1, 0.0)
         first = granted(leader, 0.0)
-        usages = leader.usages_to_tell(0.0)
-        follower.note_replicated(usages, leader.group_s(0.0))
-        leader.note_told(usages, is_told=True)
+        usages = leader.take_unreported(0.0)
+        follower.apply_replicated(usages, leader.group_time_s(0.0))
+        leader.record_report(usages, is_reported=True)
         for _ in range(first):
             leader.note_sent(DRAW, 0.0, DELAY_S)
-        usages = leader.usages_to_tell(DELAY_S)
-        follower.note_replicated(usages, leader.group_s(DELAY_S))
+        usages = leader.take_unreported(DELAY_S)
+        follower.apply_replicated(usages, leader.group_time_s(DELAY_S))
         failed_at = DELAY_S + 0.1
         follower.enter_term(2, failed_at)
         second = granted(follower, failed_at + 2.2)
@@ -47,18 +47,18 @@
         self.leader = QuotaLedger(RULES)
         self.leader.enter_term(1, 0.0)
         granted(self.leader, 0.0, draws=2)
-        self.first = self.leader.usages_to_tell(0.0)
+        self.first = self.leader.take_unreported(0.0)
 
     def usages_after_delayed_send(self):
-        self.leader.note_told(self.first, is_told=True)
+        self.leader.record_report(self.first, is_reported=True)
         self.leader.note_sent(DRAW, 0.0, DELAY_S)
-        return self.leader.usages_to_tell(DELAY_S)
+        return self.leader.take_unreported(DELAY_S)
 
     def test_a_delayed_send_whose_report_failed_is_reported_again(self):
         moved = self.usages_after_delayed_send()
         self.assertEqual([(usage.granted, usage.moved) for usage in moved], [(0, 1)])
-        self.leader.note_told(moved, is_told=False)
-        self.assertEqual(self.leader.usages_to_tell(DELAY_S), moved)
+        self.leader.record_report(moved, is_reported=False)
+        self.assertEqual(self.leader.take_unreported(DELAY_S), moved)
 
     def test_a_delayed_send_replaces_an_older_grant(self):
         history = UsageHistory(WINDOW_S)
--- a/tests/decisions/limits/test_quota_ledger.py
+++ b/tests/decisions/limits/test_quota_ledger.py
@@ -4,7 +4,7 @@
 import unittest
 from bisect import bisect_right
 
-from passlane.decisions.limits.allowances import AHEAD_VALID_S
+from passlane.decisions.limits.allowances import ADVANCE_GRANT_TTL_S
 from passlane.decisions.limits.quota_ledger import (
     DELIVERY_JITTER_S,
     MAX_WAIT_S,
@@ -141,7 +141,7 @@
         leader, follower = lenient_ledger(), lenient_ledger()
         for now in leader_draw_times:
             leader.draw(draw(), now)
-            follower.note_replicated(leader.usages_to_tell(now), 100.0 + now - START_S)
+            follower.apply_replicated(leader.take_unreported(now), 100.0 + now - START_S)
         return follower
 
     def test_a_new_leader_continues_from_the_replicated_usage(self):
@@ -158,7 +158,7 @@
         """After a restart all commands come at once; only those of the last window count."""
         follower = lenient_ledger()
         for group_s in range(0, 100, 6):
-            follower.note_replicated((TenantUsage("corner", 30),), float(group_s))
+            follower.apply_replicated((TenantUsage("corner", 30),), float(group_s))
         follower.enter_term(2, START_S)
         self.assertEqual(len(draw_all(follower, [START_S] * 100)), 60 - 30)
 
@@ -171,11 +171,11 @@
         quotas = ledger()
         quotas.draw(draw(ahead=2, **LARGE), START_S)
         quotas.draw(draw(tenant="other"), START_S)
-        corner, other = quotas.usages_to_tell(START_S)
+        corner, other = quotas.take_unreported(START_S)
         self.assertEqual((corner.tenant, corner.granted), ("corner", 3))
-        self.assertAlmostEqual(corner.last_in_s, AHEAD_VALID_S)
+        self.assertAlmostEqual(corner.last_in_s, ADVANCE_GRANT_TTL_S)
         self.assertEqual(other, TenantUsage("other", 1))
-        self.assertEqual(quotas.usages_to_tell(START_S), ())
+        self.assertEqual(quotas.take_unreported(START_S), ())
 
     def test_a_lagging_leader_does_not_turn_the_clock_back(self):
         history = UsageHistory(WINDOW_S)
@@ -191,19 +191,19 @@
         self.assertFalse(quotas.must_tell(limit()))
         draw_all(quotas, [START_S] * 2)
         self.assertTrue(quotas.must_tell(limit()))
-        usages = quotas.usages_to_tell(START_S)
+        usages = quotas.take_unreported(START_S)
         self.assertTrue(quotas.must_tell(limit()))
-        quotas.note_told(usages, is_told=True)
+        quotas.record_report(usages, is_reported=True)
         self.assertFalse(quotas.must_tell(limit()))
 
     def test_usage_whose_report_failed_is_reported_again(self):
         quotas = lenient_ledger()
         draw_all(quotas, [START_S] * 6)
-        quotas.note_told(quotas.usages_to_tell(START_S), is_told=False)
+        quotas.record_report(quotas.take_unreported(START_S), is_reported=False)
         self.assertTrue(quotas.must_tell(limit()))
-        usages = quotas.usages_to_tell(START_S)
+        usages = quotas.take_unreported(START_S)
         self.assertEqual(usages, (TenantUsage("corner", 6),))
-        quotas.note_told(usages, is_told=True)
+        quotas.record_report(usages, is_reported=True)
         self.assertFalse(quotas.must_tell(limit()))
 
     def test_the_history_is_bounded(self):
@@ -309,7 +309,7 @@
     def test_advance_grants_count_until_a_window_after_they_expire(self):
         quotas = ledger()
         quotas.draw(draw(None, ahead=120, **LARGE), START_S)
-        ends_at = START_S + AHEAD_VALID_S + WINDOW_S
+        ends_at = START_S + ADVANCE_GRANT_TTL_S + WINDOW_S
         for now in (ends_at - 0.2, ends_at + 0.2):
             sent = draw_all(quotas, [now] * 300, use=QuotaUse.ALONE, **LARGE)
             self.assertEqual(len(sent), 120)
@@ -317,16 +317,16 @@
     def test_an_unused_grant_can_be_returned(self):
         quotas = ledger()
         draw_all(quotas, [START_S] * 60)
-        quotas.give_back(draw())
+        quotas.refund(draw())
         self.assertEqual(quotas.draw(draw(), START_S), QuotaGranted())
-        quotas.give_back(draw(tenant="unknown"))
+        quotas.refund(draw(tenant="unknown"))
 
     def test_programs_that_did_not_begin_reserve_nothing(self):
         quotas = ledger()
         begin = draw(QuotaUse.BEGIN_PROGRAM, route="r")
         for _ in range(100):
             self.assertEqual(quotas.draw(begin, START_S), QuotaGranted())
-            quotas.give_back(begin)
+            quotas.refund(begin)
 
     def test_programs_that_did_not_begin_do_not_change_the_estimate(self):
         quotas = ledger()
@@ -334,6 +334,6 @@
         sent = len(draw_all(ledger(), [START_S] * 300, use=QuotaUse.BEGIN_PROGRAM, **LARGE))
         for _ in range(100):
             quotas.draw(begin, START_S)
-            quotas.give_back(begin)
+            quotas.refund(begin)
         later = len(draw_all(quotas, [START_S] * 300, use=QuotaUse.BEGIN_PROGRAM, **LARGE))
         self.assertLessEqual(later, sent + 1)
--- a/tests/on_platform/test_quotas.py
+++ b/tests/on_platform/test_quotas.py
@@ -245,7 +245,7 @@
 
     @on_seeds()
     async def test_a_leader_that_heard_nothing_of_grants_is_caught(self, fleet):
-        with mock.patch.object(QuotaLedger, "note_replicated"):
+        with mock.patch.object(QuotaLedger, "apply_replicated"):
             await flood_around_a_restart(fleet)
         self.assertGreater(fullest_window(fleet), allowed(CORNER))
 
--- a/tests/recorded_decisions/quota_ledger_load.py
+++ b/tests/recorded_decisions/quota_ledger_load.py
@@ -117,11 +117,11 @@
         if not self._granted:
             return self._look()
         draw, _ = self._granted.pop()
-        self._leader.give_back(draw)
+        self._leader.refund(draw)
         return self._step("given back", draw, self._state())
 
     def _tell(self) -> Step:
-        usages = self._leader.usages_to_tell(self._now)
+        usages = self._leader.take_unreported(self._now)
         self._pending_usages.append(usages)
         return self._step("tell", None, usages)
 
@@ -130,16 +130,16 @@
             return self._look()
         usages = self._pending_usages.pop(0)
         is_told = self._random.random() < 0.8
-        self._leader.note_told(usages, is_told=is_told)
+        self._leader.record_report(usages, is_reported=is_told)
         if is_told:
             self._replicate(usages)
         return self._step(f"told {is_told}", usages, self._state())
 
     def _replicate(self, usages: tuple[TenantUsage, ...]) -> None:
-        group_s = self._leader.group_s(self._now)
+        group_s = self._leader.group_time_s(self._now)
         for ledger in self._ledgers:
             if ledger is self._leader or self._random.random() < 0.9:
-                ledger.note_replicated(usages, group_s)
+                ledger.apply_replicated(usages, group_s)
 
     def _enter_term(self) -> Step:
         """Enter the term in which the leader already leads."""
@@ -158,7 +158,7 @@
         return self._step("look", None, self._state())
 
     def _state(self) -> list[Any]:
-        return [[len(ledger), ledger.group_s(self._now)] for ledger in self._ledgers]
+        return [[len(ledger), ledger.group_time_s(self._now)] for ledger in self._ledgers]
 
 
 def quota_ledger_steps() -> Iterator[Step]:
--- a/tests/turns/state/test_usage_in_snapshots.py
+++ b/tests/turns/state/test_usage_in_snapshots.py
@@ -22,7 +22,7 @@
 
     def __init__(self):
         self.ledger = QuotaLedger(QuotaRules(window_s=5.0))
-        self.machine = TurnStateMachine(self.ledger.note_replicated, self.ledger.history)
+        self.machine = TurnStateMachine(self.ledger.apply_replicated, self.ledger.history)
 
     def apply_grant(self, granted, group_s, tenant="corner"):
         usages = (TenantUsage(tenant, granted),)
