--- a/src/passlane/decisions/admission/program_admission.py
+++ b/src/passlane/decisions/admission/program_admission.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from passlane.decisions.admission.new_programs import NewProgram, NewPrograms
-from passlane.decisions.inputs.turn_events import TurnAsked
+from passlane.decisions.inputs.turn_events import TurnRequested
 
 MAX_ADMISSION_WAIT_S = 0.5
 """Maximum wait of a new program before it is refused, below the 2 s after which callers abandon a
@@ -142,7 +142,7 @@
         return refusal is not None and now >= refusal.retry_at - EARLY_RETRY_TOLERANCE_S
 
     def expected_start(
-        self, asked: TurnAsked, asked_at: float, all_slots_per_s: float, now: float
+        self, asked: TurnRequested, asked_at: float, all_slots_per_s: float, now: float
     ) -> ExpectedStart:
         """Return the expected start of a program whose first request was at ``asked_at``.
 
@@ -160,7 +160,7 @@
         before = self.programs_before(asked, asked_at, now)
         return ExpectedStart(before, self.expected_wait_s(before, all_slots_per_s, now))
 
-    def programs_before(self, asked: TurnAsked, asked_at: float, now: float) -> int:
+    def programs_before(self, asked: TurnRequested, asked_at: float, now: float) -> int:
         """Return the number of new programs ahead of one first requested at ``asked_at``."""
         self.forget_lapsed(now)
         return self._programs.count_before(_program_of(asked, asked_at))
@@ -170,7 +170,7 @@
         min_per_s = MIN_RATE_SHARE * all_slots_per_s
         return (before + 1) / max(min_per_s, self._rate.per_s(now))
 
-    def note_waits(self, asked: TurnAsked, asked_at: float) -> None:
+    def note_waits(self, asked: TurnRequested, asked_at: float) -> None:
         """Record that a turn of a new program waits for a slot."""
         self._waiting[asked.program_id] += 1
         self._programs.put(_program_of(asked, asked_at))
@@ -191,7 +191,7 @@
         self._rate.note(now)
 
     def note_refused(
-        self, asked: TurnAsked, asked_at: float, retry_after_s: float, now: float
+        self, asked: TurnRequested, asked_at: float, retry_after_s: float, now: float
     ) -> None:
         """Record that a program was refused with a retry-after time."""
         retry_at = now + retry_after_s
@@ -211,5 +211,5 @@
                 self._programs.drop(expiry.program_id)
 
 
-def _program_of(asked: TurnAsked, asked_at: float) -> NewProgram:
+def _program_of(asked: TurnRequested, asked_at: float) -> NewProgram:
     return NewProgram(asked.program_id, asked.demand.urgency, asked.demand.tenant, asked_at)
--- a/src/passlane/decisions/inputs/turn_events.py
+++ b/src/passlane/decisions/inputs/turn_events.py
@@ -12,7 +12,7 @@
 from passlane.messages.placement import TurnDemand, TurnOutcome
 
 
-class TurnAsked(msgspec.Struct, frozen=True, kw_only=True):
+class TurnRequested(msgspec.Struct, frozen=True, kw_only=True):
     """A turn requests a slot of an engine.
 
     Attributes
--- a/src/passlane/decisions/order/turn_queue.py
+++ b/src/passlane/decisions/order/turn_queue.py
@@ -24,7 +24,7 @@
 
 from passlane.decisions.inputs.call_events import CallArrived
 from passlane.decisions.inputs.call_scheduler_config import QueueConfig
-from passlane.decisions.inputs.turn_events import TurnAsked
+from passlane.decisions.inputs.turn_events import TurnRequested
 from passlane.decisions.order.call_queue import CallQueue, QueuedCall
 from passlane.identifiers import CallId, ProgramId, TenantId
 
@@ -66,7 +66,7 @@
         Whether its program has been detected as an endless loop.
     """
 
-    asked: TurnAsked
+    asked: TurnRequested
     asked_at: float
     arrived_at: float
     latest_start: float
@@ -186,7 +186,7 @@
             self._under_way[turn.urgency].remove(turn)
         return turn
 
-    def charge(self, asked: TurnAsked, service_s: float) -> None:
+    def charge(self, asked: TurnRequested, service_s: float) -> None:
         """Charge the service of a turn to its tenant's share."""
         self._new.charge(_call_of(asked, 0.0), service_s)
 
@@ -267,7 +267,7 @@
     return _ArrivalKey(turn.urgency, turn.is_new_program)
 
 
-def _call_of(asked: TurnAsked, hold_until: float) -> CallArrived:
+def _call_of(asked: TurnRequested, hold_until: float) -> CallArrived:
     demand = asked.demand
     return CallArrived(
         call_id=CallId(asked.attempt_id),
--- a/src/passlane/decisions/placement/turn_placement.py
+++ b/src/passlane/decisions/placement/turn_placement.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from passlane.decisions.backends.engine_slots import EngineSlots
-from passlane.decisions.inputs.turn_events import TurnAsked
+from passlane.decisions.inputs.turn_events import TurnRequested
 from passlane.decisions.placement.shared_parts import MIN_LARGE_PART_TOKENS
 from passlane.messages.placement import TurnDemand, TurnOutcome
 
@@ -108,7 +108,7 @@
 
 
 def choose_engine(
-    engines: Sequence[EngineSlots], asked: TurnAsked, durations: TurnDurations
+    engines: Sequence[EngineSlots], asked: TurnRequested, durations: TurnDurations
 ) -> EngineChoice | None:
     """Return the engine with the earliest expected end; ``None`` if none has capacity.
 
@@ -127,7 +127,7 @@
     return EngineChoice(best.engine, best.end_s, best.run_s, best.engine.slowdown)
 
 
-def _estimate(engine: EngineSlots, asked: TurnAsked, mean_s: float) -> EndEstimate | None:
+def _estimate(engine: EngineSlots, asked: TurnRequested, mean_s: float) -> EndEstimate | None:
     """Return the expected end of a turn at an engine; ``None`` if it lacks a slot or memory.
 
     A turn may be queued beyond the slots if its history or large shared prefix is cached there.
--- a/src/passlane/decisions/scheduling/turn_admission.py
+++ b/src/passlane/decisions/scheduling/turn_admission.py
@@ -15,7 +15,7 @@
 
 from passlane.decisions.admission.program_admission import ExpectedStart, hold_s
 from passlane.decisions.backends.engine_table import EngineTable
-from passlane.decisions.inputs.turn_events import TurnAsked, TurnDecision, TurnNotPlaced
+from passlane.decisions.inputs.turn_events import TurnDecision, TurnNotPlaced, TurnRequested
 from passlane.decisions.order.program_progress import ProgramProgress, ProgramTable
 from passlane.decisions.order.turn_precedence import find_wait_reason
 from passlane.decisions.order.turn_queue import WaitingTurn
@@ -23,12 +23,12 @@
 from passlane.decisions.scheduling.service_turns import ServiceTurns
 from passlane.decisions.scheduling.slot_assigner import SlotAssigner
 
-LONGEST_LOOPING_HOLD_S = 1.2
+MAX_LOOPING_HOLD_S = 1.2
 """Maximum wait in seconds of a looping program's turn; below the 2 s after which callers abandon a
 silent stream."""
 
 
-class TurnEntry:
+class TurnAdmission:
     """Admits turns, and refuses those that can't begin soon."""
 
     def __init__(
@@ -39,14 +39,14 @@
         self._slot_assigner = slot_assigner
 
     def request_slot(
-        self, request: TurnAsked, program: ProgramProgress, service: ServiceTurns, now: float
+        self, request: TurnRequested, program: ProgramProgress, service: ServiceTurns, now: float
     ) -> list[TurnDecision]:
         """Place, queue or refuse a turn; return no decision if it is queued."""
         turn = self._waiting_turn(request, program, service, now)
         choice = self._immediate_choice(turn, service, now)
         if choice is not None:
             return [self._slot_assigner.assign(turn, choice, service, now)]
-        refused = self._refusal_at_once(turn, service, now) if turn.is_new_program else None
+        refused = self._immediate_refusal(turn, service, now) if turn.is_new_program else None
         if refused is not None:
             return [refused]
         service.enqueue(turn)
@@ -64,7 +64,7 @@
         return refused
 
     def _waiting_turn(
-        self, request: TurnAsked, program: ProgramProgress, service: ServiceTurns, now: float
+        self, request: TurnRequested, program: ProgramProgress, service: ServiceTurns, now: float
     ) -> WaitingTurn:
         is_new = request.is_first and program.turns == 0
         is_looping = self._programs.is_looping(program)
@@ -75,7 +75,7 @@
             retried_on_time = admission.retried_on_schedule(request.program_id, now)
             hold_until = now + hold_s(retried_on_schedule=retried_on_time)
         elif is_looping:
-            hold_until = now + LONGEST_LOOPING_HOLD_S
+            hold_until = now + MAX_LOOPING_HOLD_S
         return WaitingTurn(
             asked=request,
             asked_at=asked_at,
@@ -98,7 +98,7 @@
             return None
         return self._slot_assigner.choose(turn, service, now)
 
-    def _refusal_at_once(
+    def _immediate_refusal(
         self, turn: WaitingTurn, service: ServiceTurns, now: float
     ) -> TurnNotPlaced | None:
         """Refuse a new program that can't begin soon; return ``None`` if it may wait.
--- a/src/passlane/decisions/scheduling/turn_scheduler.py
+++ b/src/passlane/decisions/scheduling/turn_scheduler.py
@@ -28,16 +28,16 @@
 from passlane.decisions.backends.engine_table import EngineSlotState, EngineTable
 from passlane.decisions.backends.health import STALL_WEIGHT
 from passlane.decisions.inputs.turn_events import (
-    TurnAsked,
     TurnDecision,
     TurnEnded,
     TurnPlaced,
+    TurnRequested,
     TurnWithdrawn,
 )
 from passlane.decisions.order.program_progress import ProgramTable
 from passlane.decisions.scheduling.service_turns import ServiceTurns
 from passlane.decisions.scheduling.slot_assigner import SlotAssigner
-from passlane.decisions.scheduling.turn_admission import TurnEntry
+from passlane.decisions.scheduling.turn_admission import TurnAdmission
 from passlane.decisions.scheduling.turn_outcomes import (
     TurnOutcomes,
     is_complete_response,
@@ -45,12 +45,12 @@
 )
 from passlane.messages.listing import BackendRecord
 
-LEARNING_S = 0.6
+LEADER_WARMUP_S = 0.6
 """Seconds during which a new leader lets nodes choose the engines, because it does not know the
 running turns; nearly all of them end within this time."""
 
 
-class SchedulerFigures(msgspec.Struct, frozen=True):
+class SchedulerStats(msgspec.Struct, frozen=True):
     """Counts of the running and waiting turns of a service, for logs and metrics.
 
     The field names are those of the log line ``places``. ``told_to_return`` counts the refused
@@ -78,11 +78,11 @@
         self._programs = ProgramTable()
         self._services: dict[str, ServiceTurns] = {}
         self._slot_assigner = SlotAssigner(self._engines, self._programs)
-        self._admission = TurnEntry(self._engines, self._programs, self._slot_assigner)
+        self._admission = TurnAdmission(self._engines, self._programs, self._slot_assigner)
         self._outcomes = TurnOutcomes(self._engines)
         self._warmup_until = -math.inf
 
-    def begin(self, now: float) -> list[TurnDecision]:
+    def start_term(self, now: float) -> list[TurnDecision]:
         """Reset the state for a new leader, which does not know the running turns."""
         withdrawn: list[TurnDecision] = [
             TurnWithdrawn(turn.attempt_id)
@@ -91,7 +91,7 @@
         ]
         self._engines.reset()
         self._services = {}
-        self._warmup_until = now + LEARNING_S
+        self._warmup_until = now + LEADER_WARMUP_S
         return withdrawn
 
     def replace_backends(self, records: Iterable[BackendRecord], now: float) -> list[TurnDecision]:
@@ -104,7 +104,7 @@
                 decisions += [_node_choice(t.attempt_id, now - t.arrived_at) for t in dequeued]
         return decisions + self._assign_all(now)
 
-    def ask(self, request: TurnAsked, now: float) -> list[TurnDecision]:
+    def request_slot(self, request: TurnRequested, now: float) -> list[TurnDecision]:
         """Place, queue or refuse a turn."""
         demand = request.demand
         service = self._service(demand.service)
@@ -155,11 +155,11 @@
             decisions += self._admission.refuse_expired(service, now)
         return decisions + self._assign_all(now)
 
-    def figures(self, service_name: str) -> SchedulerFigures:
+    def stats(self, service_name: str) -> SchedulerStats:
         """Return the counts of running and waiting turns of a service."""
         service = self._services.get(service_name) or ServiceTurns(service_name)
         engines = self._engines.of_service(service_name)
-        return SchedulerFigures(
+        return SchedulerStats(
             engines=len(engines),
             slots=self._engines.all_slots(service_name),
             running=sum(len(engine.turns) for engine in engines),
--- a/src/passlane/turns/decision_log.py
+++ b/src/passlane/turns/decision_log.py
@@ -12,13 +12,13 @@
 
 from passlane.decisions.backends.engine_table import EngineSlotState
 from passlane.decisions.inputs.turn_events import (
-    TurnAsked,
     TurnDecision,
     TurnNotPlaced,
     TurnPlaced,
+    TurnRequested,
     TurnWithdrawn,
 )
-from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures
+from passlane.decisions.scheduling.turn_scheduler import SchedulerStats
 from passlane.observability.logging import get_logger
 
 MAX_UNUSED_ENGINES_LOGGED = 10
@@ -28,7 +28,7 @@
 _log = get_logger(__name__)
 
 
-def log_decision(turn_event: TurnAsked, decision: TurnDecision) -> None:
+def log_decision(turn_event: TurnRequested, decision: TurnDecision) -> None:
     """Log a decision on a turn that waited, was refused or was withdrawn.
 
     The turn's node logs all other decisions.
@@ -43,7 +43,7 @@
         )
 
 
-def log_slot_usage(service: str, figures: SchedulerFigures) -> None:
+def log_slot_usage(service: str, figures: SchedulerStats) -> None:
     """Log the slot usage of a service while a turn waits or a refused program is to retry.
 
     ``running`` of ``slots`` turns run; ``decisions.order.turn_precedence`` explains why the others
@@ -69,7 +69,7 @@
     )
 
 
-def _log_placed(turn_event: TurnAsked, decision: TurnPlaced) -> None:
+def _log_placed(turn_event: TurnRequested, decision: TurnPlaced) -> None:
     """Log the placement of a turn that waited.
 
     The turn waited because of ``decisions.order.turn_precedence`` if slots were free when it
@@ -93,12 +93,12 @@
     )
 
 
-def _log_refused(turn_event: TurnAsked, decision: TurnNotPlaced) -> None:
+def _log_refused(turn_event: TurnRequested, decision: TurnNotPlaced) -> None:
     """Log a refusal for lack of capacity.
 
-    If ``waited_s`` is 0, the turn could not have begun soon (``TurnEntry``); otherwise it waited
-    for the maximum time (``program_admission``). ``waiting`` and ``retry_after_s`` are those of
-    ``program_admission.ExpectedStart``.
+    If ``waited_s`` is 0, the turn could not have begun soon (``TurnAdmission``); otherwise it
+    waited for the maximum time (``program_admission``). ``waiting`` and ``retry_after_s`` are those
+    of ``program_admission.ExpectedStart``.
     """
     demand = turn_event.demand
     _log.info(
--- a/src/passlane/turns/dispatch.py
+++ b/src/passlane/turns/dispatch.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from passlane.decisions.inputs.turn_events import (
-    TurnAsked,
     TurnDecision,
     TurnEnded,
+    TurnRequested,
     TurnWithdrawn,
 )
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
@@ -30,7 +30,7 @@
 class PendingTurn(msgspec.Struct, eq=False):
     """A turn and its decision, which may be outstanding."""
 
-    asked: TurnAsked
+    asked: TurnRequested
     decided: anyio.Event
     decision: TurnDecision | None = None
 
@@ -55,20 +55,20 @@
 
     def begin_term(self) -> None:
         """Reset the scheduler at the start of a term that this replica leads."""
-        self._apply_decisions(self._scheduler.begin(anyio.current_time()))
+        self._apply_decisions(self._scheduler.start_term(anyio.current_time()))
 
     def replace_backends(self, records: Iterable[BackendRecord]) -> None:
         """Replace the list of backends."""
         self._apply_decisions(self._scheduler.replace_backends(records, anyio.current_time()))
 
-    def submit(self, turn_event: TurnAsked) -> PendingTurn:
+    def submit(self, turn_event: TurnRequested) -> PendingTurn:
         """Request a slot; a repeated request of a waiting attempt returns the same pending turn."""
         pending = self._pending.get(turn_event.attempt_id)
         if pending is not None:
             return pending
         pending = PendingTurn(turn_event, anyio.Event())
         self._pending[turn_event.attempt_id] = pending
-        self._apply_decisions(self._scheduler.ask(turn_event, anyio.current_time()))
+        self._apply_decisions(self._scheduler.request_slot(turn_event, anyio.current_time()))
         return pending
 
     def end(self, ended: TurnEnded) -> None:
@@ -88,7 +88,7 @@
         """Log the slot usage of each service in which turns wait or are to retry."""
         now = anyio.current_time()
         for name in self._scheduler.service_names:
-            figures = self._scheduler.figures(name)
+            figures = self._scheduler.stats(name)
             log_slot_usage(name, figures)
             if figures.has_waiting:
                 log_slots(name, self._scheduler.slot_states(name, now))
--- a/src/passlane/turns/slot_metrics.py
+++ b/src/passlane/turns/slot_metrics.py
@@ -1,16 +1,16 @@
 """Metrics of the turn scheduler on the replica that leads the store group.
 
-They are for operators and are computed from ``TurnScheduler.figures``; no state is owned. The
+They are for operators and are computed from ``TurnScheduler.stats``; no state is owned. The
 metric ``turn_places`` and its state ``told_to_return`` keep the names that operators' charts use:
 a place is a slot of an engine, and ``told_to_return`` counts refused programs that are to retry.
 """
 
 from collections.abc import Callable
 
-from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures, TurnScheduler
+from passlane.decisions.scheduling.turn_scheduler import SchedulerStats, TurnScheduler
 from passlane.observability.metrics import Metrics
 
-_STATES: dict[str, Callable[[SchedulerFigures], int]] = {
+_STATES: dict[str, Callable[[SchedulerStats], int]] = {
     "free": lambda figures: max(0, figures.slots - figures.running),
     "running": lambda figures: figures.running,
     "waiting_under_way": lambda figures: figures.waiting_under_way,
@@ -29,11 +29,11 @@
 
 
 def _sum_over_services(
-    scheduler: TurnScheduler, figure: Callable[[SchedulerFigures], int]
+    scheduler: TurnScheduler, figure: Callable[[SchedulerStats], int]
 ) -> Callable[[], float]:
     """Return a function that computes the sum of a figure over the services."""
 
     def total() -> float:
-        return float(sum(figure(scheduler.figures(name)) for name in scheduler.service_names))
+        return float(sum(figure(scheduler.stats(name)) for name in scheduler.service_names))
 
     return total
--- a/src/passlane/turns/slot_waits.py
+++ b/src/passlane/turns/slot_waits.py
@@ -8,7 +8,12 @@
 
 import msgspec
 
-from passlane.decisions.inputs.turn_events import TurnAsked, TurnEnded, TurnNotPlaced, TurnPlaced
+from passlane.decisions.inputs.turn_events import (
+    TurnEnded,
+    TurnNotPlaced,
+    TurnPlaced,
+    TurnRequested,
+)
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.base import Message
 from passlane.messages.placement import TurnDemand, TurnRefused
@@ -68,7 +73,7 @@
     async def _reserve_with_slot(
         self,
         request: ReserveTurn,
-        turn_event: TurnAsked,
+        turn_event: TurnRequested,
         quota: QuotaGranted,
         request_token: object,
     ) -> Message:
@@ -89,8 +94,8 @@
             return _refusal(decision)
         return _with_slot(answer, decision, quota)
 
-    def _build_turn_event(self, request: ReserveTurn, demand: TurnDemand) -> TurnAsked:
-        return TurnAsked(
+    def _build_turn_event(self, request: ReserveTurn, demand: TurnDemand) -> TurnRequested:
+        return TurnRequested(
             attempt_id=request.attempt_id,
             program_id=request.program_id,
             is_first=not self._machine.knows_program(request.program_id),
--- a/tests/decisions/backends/test_incarnations.py
+++ b/tests/decisions/backends/test_incarnations.py
@@ -10,8 +10,8 @@
 
 from passlane.decisions.backends.engine_table import EngineTable
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.inputs.turn_events import TurnAsked, TurnEnded, TurnPlaced
-from passlane.decisions.scheduling.turn_scheduler import LEARNING_S, TurnScheduler
+from passlane.decisions.inputs.turn_events import TurnEnded, TurnPlaced, TurnRequested
+from passlane.decisions.scheduling.turn_scheduler import LEADER_WARMUP_S, TurnScheduler
 from passlane.fleet.state.listing_updates import apply_changes, changes_between
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
@@ -94,21 +94,21 @@
 class SlotTest(unittest.TestCase):
     def setUp(self):
         self.scheduler = TurnScheduler()
-        self.scheduler.begin(-LEARNING_S)
+        self.scheduler.start_term(-LEADER_WARMUP_S)
         self.scheduler.replace_backends([FIRST], 0.0)
 
     def ask(self, attempt, now, program="p"):
         demand = TurnDemand(
             service="llm", route="r", urgency=1, zone="a", program_time_left_s=5.0, time_left_s=4.0
         )
-        asked = TurnAsked(
+        asked = TurnRequested(
             attempt_id=attempt, program_id=program, is_first=False, used_last="", most_tokens=10,
             demand=demand,
         )  # fmt: skip
-        return self.scheduler.ask(asked, now)
+        return self.scheduler.request_slot(asked, now)
 
     def running(self):
-        return self.scheduler.figures("llm").running
+        return self.scheduler.stats("llm").running
 
     def test_slots_of_the_previous_incarnation_are_released_at_once(self):
         (placed,) = self.ask("a", 0.0)
--- a/tests/decisions/order/test_turn_precedence.py
+++ b/tests/decisions/order/test_turn_precedence.py
@@ -3,7 +3,7 @@
 import math
 import unittest
 
-from passlane.decisions.inputs.turn_events import TurnAsked
+from passlane.decisions.inputs.turn_events import TurnRequested
 from passlane.decisions.order.turn_precedence import WaitReason, find_wait_reason
 from passlane.decisions.order.turn_queue import (
     MAX_OVERDUE_WAIT_S,
@@ -18,7 +18,7 @@
 
 def turn(name: str, urgency: int = NORMAL, **changes: object) -> WaitingTurn:
     """Return a turn of a program under way, requested at 0 s by default."""
-    asked = TurnAsked(
+    asked = TurnRequested(
         attempt_id=name,
         program_id=f"p-{name}",
         is_first=False,
--- a/tests/decisions/placement/test_turn_placement.py
+++ b/tests/decisions/placement/test_turn_placement.py
@@ -7,7 +7,7 @@
 
 from passlane.decisions.backends.engine_slots import EngineSlots, PlacedTurn
 from passlane.decisions.backends.speed import FleetSpeed
-from passlane.decisions.inputs.turn_events import TurnAsked
+from passlane.decisions.inputs.turn_events import TurnRequested
 from passlane.decisions.placement.shared_parts import MIN_LARGE_PART_TOKENS
 from passlane.decisions.placement.turn_placement import (
     INITIAL_DURATION_S,
@@ -43,9 +43,9 @@
     return slots
 
 
-def asked(*, used_last: str = "", **demand: object) -> TurnAsked:
+def asked(*, used_last: str = "", **demand: object) -> TurnRequested:
     facts: dict[str, object] = {"service": "llm", "route": "r", "urgency": 0, "zone": "a"}
-    return TurnAsked(
+    return TurnRequested(
         attempt_id="a",
         program_id="q",
         is_first=False,
@@ -56,7 +56,7 @@
 
 
 class ChooseEngineTest(unittest.TestCase):
-    def choice(self, turn: TurnAsked, *engines: EngineSlots) -> str:
+    def choice(self, turn: TurnRequested, *engines: EngineSlots) -> str:
         chosen = choose_engine(engines, turn, TurnDurations())
         return chosen.engine.incarnation if chosen is not None else ""
 
--- a/tests/decisions/scheduling/test_failing_engines.py
+++ b/tests/decisions/scheduling/test_failing_engines.py
@@ -24,7 +24,7 @@
 
     def __init__(self, slots=SLOTS):
         self.scheduler = TurnScheduler()
-        self.scheduler.begin(-1.0)
+        self.scheduler.start_term(-1.0)
         self.scheduler.replace_backends([engine(name, n) for name, n in slots.items()], 0.0)
         self.slots = sum(slots.values())
         self.numbers = itertools.count()
@@ -45,7 +45,7 @@
             while requests and requests[0][0] <= self.now:
                 _, program = heapq.heappop(requests)
                 self.programs[attempt := f"t{next(self.numbers)}"] = program
-                decisions += self.scheduler.ask(slot_request(attempt, program), self.now)
+                decisions += self.scheduler.request_slot(slot_request(attempt, program), self.now)
             for decision in decisions:
                 if isinstance(decision, TurnPlaced):
                     turn = (self.now + TURN_S, decision.attempt_id, decision.engine)
@@ -88,7 +88,7 @@
 
     def setUp(self):
         self.scheduler = TurnScheduler()
-        self.scheduler.begin(-1.0)
+        self.scheduler.start_term(-1.0)
         records = [engine("e1", 2), engine("e2", 1), engine("e3", 1)]
         self.scheduler.replace_backends(records, 0.0)
         for number in range(8):
@@ -96,7 +96,9 @@
 
     def ask(self, name, now):
         """Request a slot for a running program; return its engine, ``None`` if it waits."""
-        decisions = self.scheduler.ask(slot_request(name, f"p-{name}", is_first=False), now)
+        decisions = self.scheduler.request_slot(
+            slot_request(name, f"p-{name}", is_first=False), now
+        )
         return decisions[0].engine if decisions else None
 
     def fill(self, now):
--- a/tests/decisions/scheduling/test_turn_defects.py
+++ b/tests/decisions/scheduling/test_turn_defects.py
@@ -14,7 +14,7 @@
 
 _release = EngineTable.release
 _pop_expired = EngineTable.pop_expired
-_begin = TurnScheduler.begin
+_start_term = TurnScheduler.start_term
 _in_order = TurnQueue.in_order
 
 
@@ -40,7 +40,7 @@
 
 def skip_warmup(scheduler: TurnScheduler, now: float) -> list[object]:
     """Place turns by an empty slot table from the start of a term."""
-    decisions = _begin(scheduler, now)
+    decisions = _start_term(scheduler, now)
     scheduler._warmup_until = now
     return decisions
 
@@ -85,7 +85,7 @@
         self.assert_detected(Replacement(EngineTable, "pop_expired", keep_expired))
 
     def test_a_new_leader_without_warmup(self):
-        self.assert_detected(Replacement(TurnScheduler, "begin", skip_warmup))
+        self.assert_detected(Replacement(TurnScheduler, "start_term", skip_warmup))
 
     def test_a_retry_that_loses_its_place_in_the_order(self):
         self.assert_detected(Replacement(ProgramAdmission, "first_asked_at", forget_first_request))
--- a/tests/decisions/scheduling/test_turn_estimates.py
+++ b/tests/decisions/scheduling/test_turn_estimates.py
@@ -27,7 +27,7 @@
                 at, attempt, instance, took_s = heapq.heappop(running)
                 scheduler.end(ended(attempt, instance, took_s), at)
             scheduler.advance(now)
-            for decision in scheduler.ask(slot_request(f"t{number}"), now):
+            for decision in scheduler.request_slot(slot_request(f"t{number}"), now):
                 took_s = MEAN_S * math.exp(draw.gauss(-0.125, 0.5))
                 turn = (now + took_s, decision.attempt_id, decision.engine, took_s)
                 heapq.heappush(running, turn)
@@ -48,14 +48,14 @@
         scheduler.replace_backends([engine("e1", 1)], 0.0)
         for number in range(5):
             begins_at = 20.0 * number
-            scheduler.ask(slot_request(f"full{number}", f"busy{number}"), begins_at)
-            scheduler.ask(slot_request(f"a{number}", f"p{number}"), begins_at)
+            scheduler.request_slot(slot_request(f"full{number}", f"busy{number}"), begins_at)
+            scheduler.request_slot(slot_request(f"a{number}", f"p{number}"), begins_at)
             scheduler.end(ended(f"full{number}", "e1"), begins_at + 0.4)
             scheduler.end(TurnEnded(attempt_id=f"a{number}"), begins_at + 0.4)
-            scheduler.ask(slot_request(f"b{number}", f"p{number}"), begins_at + 3.0)
+            scheduler.request_slot(slot_request(f"b{number}", f"p{number}"), begins_at + 3.0)
             scheduler.end(ended(f"b{number}", "e1"), begins_at + 3.1)
             scheduler.advance(begins_at + 10.0)
-        scheduler.ask(slot_request("last", "q"), 120.0)
+        scheduler.request_slot(slot_request("last", "q"), 120.0)
         needs = scheduler._programs._needs_of("r")
         self.assertLess(needs.need_share, 0.2)
 
@@ -79,21 +79,21 @@
         scheduler = TurnScheduler()
         scheduler.replace_backends([engine("e1"), engine("e2")], 0.0)
         for step in range(20):
-            (placed,) = scheduler.ask(slot_request(f"t{step}"), 4.0 * step)
+            (placed,) = scheduler.request_slot(slot_request(f"t{step}"), 4.0 * step)
             scheduler.advance(4.0 * step + 2.9)
             scheduler.end(ended(f"t{step}", placed.engine, 3.0), 4.0 * step + 3.0)
-        scheduler.ask(slot_request("last"), 100.0)
+        scheduler.request_slot(slot_request("last"), 100.0)
         scheduler.advance(102.9)
-        self.assertEqual(scheduler.figures("llm").running, 1)
+        self.assertEqual(scheduler.stats("llm").running, 1)
 
     def test_an_end_after_expiry_releases_nothing_and_counts_once(self):
         scheduler = TurnScheduler()
         scheduler.replace_backends([engine("e1", 1)], 0.0)
-        scheduler.ask(slot_request("lost"), 0.0)
+        scheduler.request_slot(slot_request("lost"), 0.0)
         scheduler.advance(2.0)
-        scheduler.ask(slot_request("next"), 2.0)
-        scheduler.ask(slot_request("waits", "under-way", is_first=False), 2.0)
+        scheduler.request_slot(slot_request("next"), 2.0)
+        scheduler.request_slot(slot_request("waits", "under-way", is_first=False), 2.0)
         for _ in range(2):
             self.assertEqual(scheduler.end(ended("lost", "e1", 2.1), 2.1), [])
-        self.assertEqual(scheduler.figures("llm").running, 1)
+        self.assertEqual(scheduler.stats("llm").running, 1)
         self.assertEqual(scheduler._services["llm"].durations._samples, 1)
--- a/tests/decisions/scheduling/test_turn_load.py
+++ b/tests/decisions/scheduling/test_turn_load.py
@@ -128,4 +128,4 @@
         load = TurnLoad(kinds(), CompetingKindsTest.BURSTS, scheduler=TurnScheduler())
         load.fail_leader_at(6.0)
         load.run()
-        self.assertEqual(load.scheduler.figures("llm").running, 0)
+        self.assertEqual(load.scheduler.stats("llm").running, 0)
--- a/tests/decisions/scheduling/test_turn_scheduler.py
+++ b/tests/decisions/scheduling/test_turn_scheduler.py
@@ -11,16 +11,16 @@
     RETRY_GRACE_S,
 )
 from passlane.decisions.inputs.turn_events import (
-    TurnAsked,
     TurnEnded,
     TurnNotPlaced,
     TurnPlaced,
+    TurnRequested,
     TurnWithdrawn,
 )
 from passlane.decisions.order.turn_queue import MAX_OVERDUE_WAIT_S
 from passlane.decisions.scheduling.slot_assigner import MIN_SLOT_S
-from passlane.decisions.scheduling.turn_admission import LONGEST_LOOPING_HOLD_S
-from passlane.decisions.scheduling.turn_scheduler import LEARNING_S, TurnScheduler
+from passlane.decisions.scheduling.turn_admission import MAX_LOOPING_HOLD_S
+from passlane.decisions.scheduling.turn_scheduler import LEADER_WARMUP_S, TurnScheduler
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.placement import TurnDemand, TurnOutcome
@@ -32,13 +32,13 @@
     return BackendRecord(name, "llm", Address("10.0.0.1", 80), "a", slots, state)
 
 
-def slot_request(attempt: str, program: str = "", **given: object) -> TurnAsked:
+def slot_request(attempt: str, program: str = "", **given: object) -> TurnRequested:
     """Return a turn's request; it is the first of its program unless ``is_first=False``."""
     demand = {"urgency": NORMAL, "program_time_left_s": 5.0, "tenant": "", "memory_tokens": 0}
     demand |= {key: given.pop(key) for key in list(given) if key in demand}
     prompt_tokens = given.pop("prompt_tokens", 1_000)
     attributes: dict[str, object] = {"is_first": True, "used_last": "", "most_tokens": 100} | given
-    return TurnAsked(
+    return TurnRequested(
         attempt_id=attempt,
         program_id=program or f"p-{attempt}",
         demand=TurnDemand(
@@ -66,7 +66,7 @@
 
     def place(self, attempt: str, program: str = "", now: float = 0.0, **given: object) -> str:
         """Request a slot that is assigned at once, and return its engine."""
-        (decision,) = self.scheduler.ask(slot_request(attempt, program, **given), now)
+        (decision,) = self.scheduler.request_slot(slot_request(attempt, program, **given), now)
         self.assertIsInstance(decision, TurnPlaced)
         return decision.engine
 
@@ -77,7 +77,9 @@
 
     def wait(self, attempt: str, program: str = "", now: float = 0.0, **given: object) -> None:
         """Request a slot for a turn that must wait."""
-        self.assertEqual(self.scheduler.ask(slot_request(attempt, program, **given), now), [])
+        self.assertEqual(
+            self.scheduler.request_slot(slot_request(attempt, program, **given), now), []
+        )
 
     def placed_after(self, attempt: str, now: float) -> list[str]:
         """End a turn and return the attempts that get a slot by it."""
@@ -148,14 +150,14 @@
             returns = slot_request(
                 f"back{number}", f"cycles{number}", is_first=False, used_last="e1"
             )
-            placed_attempts += [d.attempt_id for d in self.scheduler.ask(returns, now)]
+            placed_attempts += [d.attempt_id for d in self.scheduler.request_slot(returns, now)]
         self.assertEqual(placed_attempts[0], "urgent")
 
     def test_tenants_share_the_slots_of_new_programs(self):
         self.list_engines(engine("e1", 6), engine("e2", 6))
         self.fill(12)
         for number in range(20):
-            self.scheduler.ask(slot_request(f"many{number}", tenant="many"), 0.0)
+            self.scheduler.request_slot(slot_request(f"many{number}", tenant="many"), 0.0)
         self.wait("few", tenant="few")
         placed_attempts = [
             attempt for full in range(2) for attempt in self.placed_after(f"full{full}", 0.1)
@@ -194,7 +196,7 @@
     def test_a_new_program_goes_where_its_shared_prefix_is_cached(self):
         demand = {"prompt_tokens": 13_000}
         first = slot_request("a", **demand)
-        turn_with_prefix = TurnAsked(
+        turn_with_prefix = TurnRequested(
             attempt_id="a",
             program_id="p",
             is_first=True,
@@ -207,15 +209,15 @@
             ),
         )  # fmt: skip
         self.assertEqual(first.demand.prompt_tokens, turn_with_prefix.demand.prompt_tokens)
-        (decision,) = self.scheduler.ask(turn_with_prefix, 0.0)
+        (decision,) = self.scheduler.request_slot(turn_with_prefix, 0.0)
         other = turn_with_prefix.__class__(
             attempt_id="b", program_id="q", is_first=True, used_last="", most_tokens=100,
             demand=turn_with_prefix.demand,
         )  # fmt: skip
-        (next_decision,) = self.scheduler.ask(other, 0.0)
+        (next_decision,) = self.scheduler.request_slot(other, 0.0)
         self.assertEqual(decision.engine, next_decision.engine)
 
-    def turn_with_prefix(self, attempt: str, tokens: int) -> TurnAsked:
+    def turn_with_prefix(self, attempt: str, tokens: int) -> TurnRequested:
         """Return the first turn of a program whose prompt begins with a shared prefix."""
         turn = slot_request(attempt, prompt_tokens=tokens + 500)
         demand = msgspec.structs.replace(turn.demand, shared_part="part", shared_tokens=tokens)
@@ -226,7 +228,7 @@
         placed = [
             decision
             for number in range(3)
-            for decision in self.scheduler.ask(
+            for decision in self.scheduler.request_slot(
                 self.turn_with_prefix(f"a{number}", shared_tokens), 0.0
             )
         ]
@@ -249,7 +251,7 @@
                 took_s = 0.3 if instance == "e2" else 0.1
                 self.scheduler.end(ended(attempt, instance, took_s), at)
             self.scheduler.advance(now)
-            (decision,) = self.scheduler.ask(slot_request(f"t{number}"), now)
+            (decision,) = self.scheduler.request_slot(slot_request(f"t{number}"), now)
             instance = decision.engine
             placed[instance] += 1
             took_s = 0.3 if instance == "e2" else 0.1
@@ -280,7 +282,7 @@
                 prompt_tokens=2_000,
                 memory_tokens=10_000,
             )
-            placed += [d.attempt_id for d in self.scheduler.ask(small, now)]
+            placed += [d.attempt_id for d in self.scheduler.request_slot(small, now)]
             running += [attempt for attempt in placed if attempt not in running]
             if len(running) > 1 or number > 10:
                 decisions = self.scheduler.end(ended(running.pop(0), "e1"), now)
@@ -348,14 +350,14 @@
 
 class AdmissionTest(SchedulerTest):
     def refuse(self, attempt: str, now: float = 0.0, **given: object) -> TurnNotPlaced:
-        (decision,) = self.scheduler.ask(slot_request(attempt, **given), now)
+        (decision,) = self.scheduler.request_slot(slot_request(attempt, **given), now)
         self.assertIsInstance(decision, TurnNotPlaced)
         return decision
 
     def fill_queue(self, now: float = 0.0) -> int:
         """Let new programs wait until the next one is refused; return how many wait."""
         for number in range(1_000):
-            if self.scheduler.ask(slot_request(f"crowd{number}"), now):
+            if self.scheduler.request_slot(slot_request(f"crowd{number}"), now):
                 return number
         raise AssertionError("no program was refused")
 
@@ -420,11 +422,11 @@
         self.fill()
         waiting = self.fill_queue()
         self.refuse("gone")
-        self.assertEqual(self.scheduler.figures("llm").told_to_return, 2)
+        self.assertEqual(self.scheduler.stats("llm").told_to_return, 2)
         for number in range(waiting):
             self.scheduler.end(TurnEnded(attempt_id=f"crowd{number}"), 0.1)
         self.scheduler.advance(MAX_RETRY_S + RETRY_GRACE_S + 0.1)
-        self.assertEqual(self.scheduler.figures("llm").told_to_return, 0)
+        self.assertEqual(self.scheduler.stats("llm").told_to_return, 0)
 
     def test_two_first_turns_of_a_program_count_once(self):
         self.list_engines(engine("e1", 6), engine("e2", 6))
@@ -446,7 +448,7 @@
         self.list_engines(engine("e1", 6), engine("e2", 6))
         self.fill(12)
         for number in range(20):
-            self.scheduler.ask(slot_request(f"many{number}", tenant="many"), 0.0)
+            self.scheduler.request_slot(slot_request(f"many{number}", tenant="many"), 0.0)
         self.wait("few", tenant="few")
 
     def test_an_urgent_program_does_not_wait_for_queued_ones(self):
@@ -469,7 +471,7 @@
         self.scheduler.advance(MIN_SLOT_S + 0.1)
         for _ in range(3):
             self.scheduler.end(ended("full0", "e1"), MIN_SLOT_S + 0.2)
-        self.assertEqual(self.scheduler.figures("llm").running, 0)
+        self.assertEqual(self.scheduler.stats("llm").running, 0)
         for number in range(4):
             self.place(f"new{number}", now=MIN_SLOT_S + 0.3)
         self.wait("fifth", now=MIN_SLOT_S + 0.3)
@@ -477,7 +479,7 @@
     def test_a_repeated_request_has_one_slot(self):
         self.place("a")
         self.place("a", is_first=False)
-        self.assertEqual(self.scheduler.figures("llm").running, 1)
+        self.assertEqual(self.scheduler.stats("llm").running, 1)
 
     def test_a_turn_abandoned_while_waiting_takes_no_slot(self):
         self.fill()
@@ -490,15 +492,15 @@
     def test_nodes_choose_during_the_warmup_of_a_new_leader(self):
         self.fill()
         self.wait("waits", "under-way0", is_first=False)
-        self.assertEqual(self.scheduler.begin(1.0), [TurnWithdrawn("waits")])
+        self.assertEqual(self.scheduler.start_term(1.0), [TurnWithdrawn("waits")])
         self.assertEqual(self.place("a", now=1.1), "")
-        self.assertIn(self.place("b", now=1.1 + LEARNING_S), ("e1", "e2"))
+        self.assertIn(self.place("b", now=1.1 + LEADER_WARMUP_S), ("e1", "e2"))
 
     def test_a_turn_placed_by_an_earlier_leader_releases_nothing(self):
         self.fill()
-        self.scheduler.begin(1.0)
+        self.scheduler.start_term(1.0)
         self.scheduler.end(ended("full0", "e1"), 1.1)
-        self.assertEqual(self.scheduler.figures("llm").running, 0)
+        self.assertEqual(self.scheduler.stats("llm").running, 0)
 
     def test_a_removed_engine_loses_its_slots(self):
         self.fill()
@@ -507,7 +509,7 @@
         self.assertEqual([(d.attempt_id, d.engine) for d in decisions], [("next", "e3")])
         for number in range(4):
             self.scheduler.end(ended(f"full{number}"), 0.2)
-        self.assertEqual(self.scheduler.figures("llm").running, 1)
+        self.assertEqual(self.scheduler.stats("llm").running, 1)
 
     def test_nodes_choose_for_waiting_turns_when_all_engines_are_removed(self):
         self.fill()
@@ -515,7 +517,7 @@
         self.wait("new")
         decisions = self.scheduler.replace_backends([], 0.1)
         self.assertEqual({(d.attempt_id, d.engine) for d in decisions}, {("next", ""), ("new", "")})
-        self.assertEqual(self.scheduler.figures("llm").waiting_new, 0)
+        self.assertEqual(self.scheduler.stats("llm").waiting_new, 0)
 
     def test_a_looping_program_is_refused_at_its_maximum_wait(self):
         self.fill()
@@ -526,9 +528,9 @@
         for number in range(4):
             self.place(f"again{number}", f"busy{number}")
         self.wait("loop", "loops", is_first=False)
-        (refused,) = self.scheduler.advance(LONGEST_LOOPING_HOLD_S + 0.01)[:1]
+        (refused,) = self.scheduler.advance(MAX_LOOPING_HOLD_S + 0.01)[:1]
         self.assertEqual(refused.attempt_id, "loop")
-        self.assertEqual(self.scheduler.figures("llm").told_to_return, 0)
+        self.assertEqual(self.scheduler.stats("llm").told_to_return, 0)
 
     def test_without_engines_nodes_choose(self):
         self.list_engines()
--- a/tests/decisions/scheduling/turn_load.py
+++ b/tests/decisions/scheduling/turn_load.py
@@ -12,11 +12,11 @@
 from random import Random
 
 from passlane.decisions.inputs.turn_events import (
-    TurnAsked,
     TurnDecision,
     TurnEnded,
     TurnNotPlaced,
     TurnPlaced,
+    TurnRequested,
 )
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
 from passlane.messages.common import Address
@@ -240,7 +240,7 @@
 
         def begin() -> None:
             assert self.scheduler is not None
-            self._apply_decisions(self.scheduler.begin(self.now))
+            self._apply_decisions(self.scheduler.start_term(self.now))
 
         self._at(time, begin)
 
@@ -310,7 +310,7 @@
                 self._at(self.now + FAILOVER_S, lambda: self._send(program, events, tokens, on_end))
 
         self._callbacks[attempt_id] = decided
-        request = TurnAsked(
+        request = TurnRequested(
             attempt_id=attempt_id,
             program_id=program.program_id,
             is_first=program.is_first,
@@ -332,7 +332,7 @@
         )
         self._at(
             self.now + STORE_DELAY_S,
-            lambda: self._apply_decisions(self.scheduler.ask(request, self.now)),
+            lambda: self._apply_decisions(self.scheduler.request_slot(request, self.now)),
         )
 
     def _retry(
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -46,10 +46,10 @@
     SchedulerConfig,
 )
 from passlane.decisions.inputs.turn_events import (
-    TurnAsked,
     TurnEnded,
     TurnNotPlaced,
     TurnPlaced,
+    TurnRequested,
     TurnWithdrawn,
 )
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
@@ -67,7 +67,7 @@
 )
 from passlane.decisions.placement.turn_placement import EngineChoice, TurnDurations, choose_engine
 from passlane.decisions.scheduling.call_scheduler import Scheduler
-from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures, TurnScheduler
+from passlane.decisions.scheduling.turn_scheduler import SchedulerStats, TurnScheduler
 from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
 from passlane.messages.backends import (
     CacheEntry,
@@ -155,20 +155,20 @@
     "RouteKind",
     "Scheduler",
     "SchedulerConfig",
-    "SchedulerFigures",
+    "SchedulerStats",
     "ServiceCapacity",
     "ServiceHealth",
     "StartCall",
     "TenantId",
     "TenantUsage",
     "TimeAdvanced",
-    "TurnAsked",
     "TurnDemand",
     "TurnDurations",
     "TurnEnded",
     "TurnNotPlaced",
     "TurnOutcome",
     "TurnPlaced",
+    "TurnRequested",
     "TurnScheduler",
     "TurnWithdrawn",
     "WaitingCall",
@@ -201,7 +201,7 @@
     QuotaGranted: "granted",
     QuotaRefused: "refused",
     RoomTurn: "turn",
-    SchedulerFigures: "figures",
+    SchedulerStats: "figures",
     ServiceHealth: "judgement",
     TenantUsage: "usage",
     TurnNotPlaced: "not placed",
--- a/tests/recorded_decisions/program_admission_load.py
+++ b/tests/recorded_decisions/program_admission_load.py
@@ -14,10 +14,10 @@
     FleetSpeed,
     PlacedTurn,
     ProgramAdmission,
-    TurnAsked,
     TurnDemand,
     TurnDurations,
     TurnOutcome,
+    TurnRequested,
     choose_engine,
     promise_retry_after,
 )
@@ -70,7 +70,7 @@
         self.later(self.random.expovariate(PROGRAMS_PER_S), self.new_program)
         return self.ask(self.asked(f"program-{self.next_number()}"))
 
-    def asked(self, program_id: str) -> TurnAsked:
+    def asked(self, program_id: str) -> TurnRequested:
         random = self.random
         demand = TurnDemand(
             service="model",
@@ -83,7 +83,7 @@
             shared_tokens=random.choice((1_000, 4_000, 5_000)),
             memory_tokens=random.choice((0, 14_000)),
         )
-        return TurnAsked(
+        return TurnRequested(
             attempt_id=f"attempt-{self.next_number()}",
             program_id=program_id,
             is_first=True,
@@ -92,7 +92,7 @@
             demand=demand,
         )
 
-    def ask(self, asked: TurnAsked) -> Step:
+    def ask(self, asked: TurnRequested) -> Step:
         admission, now = self.admission, self.now
         asked_at = admission.first_asked_at(asked.program_id, now)
         has_returned = admission.retried_on_schedule(asked.program_id, now)
@@ -104,7 +104,7 @@
             self.refuse(asked, asked_at, wait_s)
         return self.step("asked", asked, [asked_at, has_returned, before, wait_s])
 
-    def wait(self, asked: TurnAsked, asked_at: float) -> None:
+    def wait(self, asked: TurnRequested, asked_at: float) -> None:
         self.admission.note_waits(asked, asked_at)
         wait_s = self.random.expovariate(4.0)
         if self.random.random() < 0.1:
@@ -115,7 +115,7 @@
         else:
             self.later(wait_s, lambda: self.leave(asked, asked_at))
 
-    def refuse(self, asked: TurnAsked, asked_at: float, wait_s: float) -> float:
+    def refuse(self, asked: TurnRequested, asked_at: float, wait_s: float) -> float:
         retry_after_s = promise_retry_after(wait_s)
         self.admission.note_refused(asked, asked_at, retry_after_s, self.now)
         if self.random.random() < 0.7:
@@ -123,7 +123,7 @@
             self.later(max(0.0, retry_after_s - early_s), lambda: self.ask(asked))
         return retry_after_s
 
-    def leave(self, asked: TurnAsked, asked_at: float) -> Step:
+    def leave(self, asked: TurnRequested, asked_at: float) -> Step:
         """Leave the queue: refused with a retry-after time, or abandoned by the caller."""
         self.admission.note_waits_no_longer(asked.program_id)
         if self.random.random() < 0.3:
@@ -132,7 +132,7 @@
 
     # Starts of programs.
 
-    def begin(self, asked: TurnAsked) -> Step:
+    def begin(self, asked: TurnRequested) -> Step:
         self.admission.note_waits_no_longer(asked.program_id)
         self.admission.note_begun(asked.program_id, self.now)
         choice = choose_engine(self.engines, asked, self.durations)
--- a/tests/recorded_decisions/turn_scheduler_load.py
+++ b/tests/recorded_decisions/turn_scheduler_load.py
@@ -13,12 +13,12 @@
     Address,
     BackendRecord,
     BackendState,
-    TurnAsked,
     TurnDemand,
     TurnEnded,
     TurnNotPlaced,
     TurnOutcome,
     TurnPlaced,
+    TurnRequested,
     TurnScheduler,
 )
 from recorded_decisions.recording import Step
@@ -77,7 +77,7 @@
     """A turn that has been requested and has not ended."""
 
     program: _Program
-    asked: TurnAsked
+    asked: TurnRequested
     engine: str = ""
 
 
@@ -119,7 +119,7 @@
     # Periodic actions.
 
     def begin(self) -> Step:
-        return self.apply_all("begin", None, self.scheduler.begin(self.now))
+        return self.apply_all("begin", None, self.scheduler.start_term(self.now))
 
     def tick(self) -> Step:
         self.later(TICK_S, self.tick)
@@ -128,7 +128,7 @@
     def figures(self) -> Step:
         self.later(FIGURES_PERIOD_S, self.figures)
         names = (*SERVICES, "unknown")
-        figures = [self.scheduler.figures(name) for name in names]
+        figures = [self.scheduler.stats(name) for name in names]
         return Step("figures", self.now, names, [figures, self.scheduler.service_names])
 
     def list_engines(self) -> Step:
@@ -198,7 +198,7 @@
             self.later(retry_after_s / 2, lambda: self.ask(program))
 
     def ask(self, program: _Program) -> Step:
-        asked = TurnAsked(
+        asked = TurnRequested(
             attempt_id=f"attempt-{self.next_number()}",
             program_id=program.program_id,
             is_first=program.is_first,
@@ -211,13 +211,13 @@
             self.later(self.random.uniform(0.0, 0.2), lambda: self.ask_again(asked))
         if not program.is_looping and self.random.random() < 0.1:
             self.later(self.random.uniform(0.02, 0.5), lambda: self.give_up(asked.attempt_id))
-        return self.apply_all("asked", asked, self.scheduler.ask(asked, self.now))
+        return self.apply_all("asked", asked, self.scheduler.request_slot(asked, self.now))
 
-    def ask_again(self, asked: TurnAsked) -> Step | None:
+    def ask_again(self, asked: TurnRequested) -> Step | None:
         turn = self.turns.get(asked.attempt_id)
         if turn is None or not turn.engine:
             return None
-        decisions = self.scheduler.ask(asked, self.now)
+        decisions = self.scheduler.request_slot(asked, self.now)
         return Step("asked again", self.now, asked, decisions)
 
     def demand(self, program: _Program) -> TurnDemand:
--- a/tests/turns/test_decision_log.py
+++ b/tests/turns/test_decision_log.py
@@ -5,17 +5,17 @@
 from structlog.testing import capture_logs
 
 from passlane.decisions.inputs.turn_events import (
-    TurnAsked,
     TurnDecision,
     TurnNotPlaced,
     TurnPlaced,
+    TurnRequested,
     TurnWithdrawn,
 )
-from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures
+from passlane.decisions.scheduling.turn_scheduler import SchedulerStats
 from passlane.messages.placement import TurnDemand
 from passlane.turns.decision_log import log_decision, log_slot_usage
 
-TURN_EVENT = TurnAsked(
+TURN_EVENT = TurnRequested(
     attempt_id="a",
     program_id="p",
     is_first=True,
@@ -79,7 +79,7 @@
 class SlotUsageLineTest(unittest.TestCase):
     def events_for(self, **given: int) -> list[str]:
         none = {"waiting_under_way": 0, "waiting_new": 0, "told_to_return": 0}
-        figures = SchedulerFigures(engines=1, slots=6, running=6, **(none | given))
+        figures = SchedulerStats(engines=1, slots=6, running=6, **(none | given))
         with capture_logs() as lines:
             log_slot_usage("llm", figures)
         return [line["event"] for line in lines]
--- a/tests/turns/test_service.py
+++ b/tests/turns/test_service.py
@@ -7,7 +7,7 @@
 import trio.testing
 
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
-from passlane.decisions.scheduling.turn_scheduler import LEARNING_S, TurnScheduler
+from passlane.decisions.scheduling.turn_scheduler import LEADER_WARMUP_S, TurnScheduler
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.base import Message, encode_message
 from passlane.messages.common import Address, NotLeaderError
@@ -70,7 +70,7 @@
                 # A running program whose last engine is no longer listed.
                 await self.service.reserve(EARLIER_TURN)
                 await self.settle(EARLIER_TURN.attempt_id, EARLIER_TURN.program_id, served_by="e9")
-                await anyio.sleep(LEARNING_S)
+                await anyio.sleep(LEADER_WARMUP_S)
                 await body(self)
                 tasks.cancel_scope.cancel()
 
@@ -171,7 +171,7 @@
         await self.reserve("a")
         self.group.term = 2
         self.assertEqual((await self.reserve("b", "q")).engine, "")
-        await anyio.sleep(LEARNING_S)
+        await anyio.sleep(LEADER_WARMUP_S)
         self.assertEqual((await self.reserve("c", "r")).engine, "e1")
 
     @with_leader
@@ -218,7 +218,7 @@
             tasks.start_soon(self.reserve_and_cancel, "b", "under-way", PROPOSE_S / 2)
             tasks.start_soon(reserve_again)
         self.assertEqual(answers[0].engine, "e1")
-        self.assertEqual(self.dispatcher.scheduler.figures("llm").running, 1)
+        self.assertEqual(self.dispatcher.scheduler.stats("llm").running, 1)
 
     @with_leader
     async def test_a_request_cancelled_at_any_time_occupies_no_slot(self):
@@ -226,10 +226,10 @@
             await self.reserve_and_cancel(f"n{number}", f"new{number}", 0.0005 * number)
             await self.reserve_and_cancel(f"u{number}", "under-way", 0.0005 * number)
             if 0.0005 * number < PROPOSE_S:
-                self.assertEqual(self.dispatcher.scheduler.figures("llm").running, 0)
+                self.assertEqual(self.dispatcher.scheduler.stats("llm").running, 0)
             await self.settle(f"n{number}", f"new{number}")
             await self.settle(f"u{number}", "under-way")
-        self.assertEqual(self.dispatcher.scheduler.figures("llm").running, 0)
+        self.assertEqual(self.dispatcher.scheduler.stats("llm").running, 0)
 
     @with_leader
     async def test_requests_cancelled_while_waiting_use_no_quota(self):
