--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -71,7 +71,7 @@
             self._follower.reporter.report,
             context.environment.random,
         )
-        self._follower.backends.on_confirmation(reader.take_over)
+        self._follower.backends.on_confirmation(reader.apply)
         async with anyio.create_task_group() as tasks:
             self._relay = self._build_relay(tasks)
             tasks.start_soon(self._follower.run)
@@ -113,7 +113,7 @@
             context.metrics,
             context.environment.random,
             self._bounds.admission,
-            asks_for_places=context.settings.turns.are_placed_by_store,
+            requests_placement=context.settings.turns.are_placed_by_store,
         )
         configuration = self._follower.configuration.newest
         if configuration is not None:
--- a/src/passlane/daemon/fleet/node_bounds.py
+++ b/src/passlane/daemon/fleet/node_bounds.py
@@ -17,7 +17,7 @@
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
 from passlane.relay.admission import NodeAdmission
-from passlane.relay.slow_reader_monitor import UnreadAnswers
+from passlane.relay.slow_reader_monitor import SlowReaderMonitor
 from passlane.runtime.process_usage import open_descriptors, resident_bytes
 from passlane.settings.fleet import FleetSettings, MachineSettings, NodeBoundsSettings
 
@@ -60,7 +60,7 @@
         self._resident_bytes: int | None = None
         self._descriptors: int | None = None
         self._untold: set[str] = set()
-        self.unread = UnreadAnswers(self._bounds)
+        self.unread = SlowReaderMonitor(self._bounds)
         self.admission = NodeAdmission(
             _capacity(settings, self._bounds.for_all), is_enabled=settings.node_bounds.enabled
         )
@@ -95,14 +95,14 @@
             if samples % USAGE_PERIOD_SAMPLES == 0:
                 self._read_usage()
             samples += 1
-            self.unread.look(now)
+            self.unread.poll(now)
             self.admission.observe(self._reading(), now)
 
     def _reading(self) -> NodeReading:
         return NodeReading(
             loop_lag_s=self._lag.mean_s,
-            held_bytes=self.unread.held_bytes + self.admission.body_bytes,
-            under_way=self.admission.under_way,
+            held_bytes=self.unread.buffered_bytes + self.admission.body_bytes,
+            under_way=self.admission.in_flight,
             resident_bytes=self._resident_bytes,
             descriptors=self._descriptors,
         )
@@ -127,8 +127,8 @@
         readings = {
             "loop_lag_seconds": self._lag.mean_s,
             "loop_lag_worst_seconds": self._lag.worst_s,
-            "unread_answer_bytes": self.unread.held_bytes,
-            "requests_under_way": self.admission.under_way,
+            "unread_answer_bytes": self.unread.buffered_bytes,
+            "requests_under_way": self.admission.in_flight,
             "request_body_bytes": self.admission.body_bytes,
             "resident_bytes": self._resident_bytes,
             "open_descriptors": self._descriptors,
--- a/src/passlane/relay/admission.py
+++ b/src/passlane/relay/admission.py
@@ -23,7 +23,7 @@
 
     Attributes
     ----------
-    under_way
+    in_flight
         Number of admitted requests that have not ended.
     body_bytes
         Bytes of their bodies.
@@ -40,7 +40,7 @@
         self._load = NodeLoad(capacity)
         self._is_enabled = is_enabled
         self._programs = KnownPrograms()
-        self.under_way = 0
+        self.in_flight = 0
         self.body_bytes = 0
         self.refused: Counter[str] = Counter()
 
@@ -89,10 +89,10 @@
         size = len(call.body)
         if self._is_enabled:
             self._programs.note(call, now)
-        self.under_way += 1
+        self.in_flight += 1
         self.body_bytes += size
         try:
             yield
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
             self.body_bytes -= size
--- a/src/passlane/relay/attempt.py
+++ b/src/passlane/relay/attempt.py
@@ -151,4 +151,4 @@
             return
         self._history.runs += 1
         if next_step is RetryDecision.FAIL:
-            raise RequestFailedError(RequestEndReason.BROKE_OFF, str(error)) from error
+            raise RequestFailedError(RequestEndReason.ATTEMPT_BROKEN, str(error)) from error
--- a/src/passlane/relay/end_reasons.py
+++ b/src/passlane/relay/end_reasons.py
@@ -117,7 +117,7 @@
         "decisions.order.service_capacity",
     )
     """As ``NO_BACK_END``, but after an attempt that may have run."""
-    BROKE_OFF = ("{detail}", CallerResponse.BY_VERDICT, None, "decisions.failure.resending")
+    ATTEMPT_BROKEN = ("{detail}", CallerResponse.BY_VERDICT, None, "decisions.failure.resending")
     """An attempt that may have run returned no complete answer, and no further attempt is allowed;
     the detail is the error of the connection (``HttpConnectionError``)."""
     OUT_OF_TIME = ("out_of_time", CallerResponse.BY_VERDICT, None, "relay.request")
@@ -146,7 +146,7 @@
 
 
 class BreakReason(enum.Enum):
-    """Why the relay itself treats an attempt as broken; details of ``BROKE_OFF``.
+    """Why the relay itself treats an attempt as broken; details of ``ATTEMPT_BROKEN``.
 
     All other details are texts of ``HttpConnectionError``, which the HTTP client raises.
     """
--- a/src/passlane/relay/list_reader.py
+++ b/src/passlane/relay/list_reader.py
@@ -17,7 +17,7 @@
 from passlane.observability.logging import get_logger
 from passlane.relay.backends import BackendList
 
-READ_PERIOD_S = 0.9
+READ_INTERVAL_S = 0.9
 """Seconds between two reads by the appointed node."""
 RATE_SHARE = 0.6
 """Share of the allowed call rate that all nodes together use when each of them reads."""
@@ -38,9 +38,9 @@
 _log = get_logger(__name__)
 
 
-def own_period_s(node_count: int, rate_per_s: float) -> float:
+def self_read_interval_s(node_count: int, rate_per_s: float) -> float:
     """Return the seconds between two reads by one node when all nodes read."""
-    return max(READ_PERIOD_S, node_count / (RATE_SHARE * rate_per_s))
+    return max(READ_INTERVAL_S, node_count / (RATE_SHARE * rate_per_s))
 
 
 class BackendListReader:
@@ -87,7 +87,7 @@
             else:
                 await self._read_if_stale()
 
-    def take_over(self, records: Sequence[BackendRecord], confirmed_at: float) -> None:
+    def apply(self, records: Sequence[BackendRecord], confirmed_at: float) -> None:
         """Apply a list that was valid at a local time; ignore it if the current list is newer."""
         updated_at = self._registry.updated_at
         if updated_at is not None and confirmed_at < updated_at:
@@ -113,7 +113,7 @@
             await anyio.sleep(READ_RETRY_DELAY_S)
             return
         await self._report(records)
-        await anyio.sleep(max(0.0, started + READ_PERIOD_S - anyio.current_time()))
+        await anyio.sleep(max(0.0, started + READ_INTERVAL_S - anyio.current_time()))
 
     async def _read_if_stale(self) -> None:
         now = anyio.current_time()
@@ -121,7 +121,7 @@
         is_stale = updated_at is None or now - updated_at > STALE_AFTER_S
         if is_stale and now >= self._next_own_read_at:
             records = await self._read()
-            period_s = own_period_s(self._node_count(), self._rate_per_s)
+            period_s = self_read_interval_s(self._node_count(), self._rate_per_s)
             if records is None:
                 period_s = max(READ_RETRY_DELAY_S, period_s / 2)
             self._next_own_read_at = now + period_s * self._random.uniform(
@@ -143,5 +143,5 @@
         if self._is_unavailable:
             _log.info("backend_list_regained")
         self._is_unavailable = False
-        self.take_over(records, started)
+        self.apply(records, started)
         return records
--- a/src/passlane/relay/request_metrics.py
+++ b/src/passlane/relay/request_metrics.py
@@ -30,7 +30,9 @@
         self._uncounted: list[_EndedRequest] = []
         metrics.call_before_exposure(self._count_ended)
 
-    def note_end(self, kind: str, status: int, elapsed_s: float, room_wait_s: float = 0.0) -> None:
+    def record_end(
+        self, kind: str, status: int, elapsed_s: float, room_wait_s: float = 0.0
+    ) -> None:
         """Record a request that has ended; it is counted now or later.
 
         Parameters
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -61,7 +61,7 @@
         Task group for work that outlives a request.
     admission
         Decides which requests the node admits; without it, all are admitted.
-    asks_for_places
+    requests_placement
         Whether the leader of the store group orders and places turns.
     """
 
@@ -76,9 +76,9 @@
         random: Random,
         admission: NodeAdmission | None = None,
         *,
-        asks_for_places: bool = False,
+        requests_placement: bool = False,
     ) -> None:
-        self._requests_placement = asks_for_places
+        self._requests_placement = requests_placement
         self._node = node
         self._registry = registry
         self._backends = backends
@@ -228,7 +228,7 @@
         status = progress.status or (writer.status if writer.has_started else 0)
         if writer.is_finished and progress.tried:
             self._first_answer.set()
-        self._metrics.note_end(progress.kind, status, elapsed_s, progress.room_wait_s)
+        self._metrics.record_end(progress.kind, status, elapsed_s, progress.room_wait_s)
         _log.info(
             "request_ended",
             request_id=call.request_id,
--- a/src/passlane/relay/slow_reader_monitor.py
+++ b/src/passlane/relay/slow_reader_monitor.py
@@ -38,7 +38,7 @@
     is_held: bool = False
 
 
-class UnreadAnswers:
+class SlowReaderMonitor:
     """Monitors connections of callers; implements ``runtime.interfaces.ConnectionWatch``.
 
     Attributes
@@ -54,7 +54,7 @@
         self.ended: Counter[str] = Counter()
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """Unread bytes of all callers at the last poll."""
         return self._buffered.total
 
@@ -71,7 +71,7 @@
         self._watched.pop(id(connection), None)
         self._buffered.closed(id(connection))
 
-    def look(self, now: float) -> None:
+    def poll(self, now: float) -> None:
         """Poll all connections once and apply the decisions."""
         if self._polled_at is not None and now - self._polled_at > MAX_POLL_GAP_S:
             self._buffered.skip(now - self._polled_at)
--- a/tests/daemon/test_fleet_start.py
+++ b/tests/daemon/test_fleet_start.py
@@ -60,7 +60,7 @@
             "import passlane.runtime.http_client\n"
             "from passlane.observability.metrics import Metrics\n"
             "from passlane.relay.request_metrics import RequestMetrics\n"
-            "RequestMetrics(Metrics()).note_end('stream', 200, 0.1)\n"
+            "RequestMetrics(Metrics()).record_end('stream', 200, 0.1)\n"
             "unwanted = {'prometheus_client', 'click', 'cleo', 'uvicorn.main', 'starlark'}\n"
             "unwanted |= {'httpcore._sync', 'httpcore._async.connection_pool', 'certifi'}\n"
             "print(sorted(unwanted & set(sys.modules)))\n"
--- a/tests/decisions/placement/test_request_placement.py
+++ b/tests/decisions/placement/test_request_placement.py
@@ -16,7 +16,7 @@
     engines_of_part,
     large_shared_part,
 )
-from passlane.relay.list_reader import own_period_s
+from passlane.relay.list_reader import self_read_interval_s
 from relay.fakes import backend, choose
 
 HERE = NodeLocation("node-1", "a")
@@ -180,5 +180,5 @@
 class ReadPeriodTest(unittest.TestCase):
     def test_all_nodes_together_stay_within_the_rate(self):
         for nodes in (1, 8, 70, 400):
-            period_s = own_period_s(nodes, 44.0)
+            period_s = self_read_interval_s(nodes, 44.0)
             self.assertLess(nodes / (0.85 * period_s), 44.0)
--- a/tests/on_platform/test_client_ingress.py
+++ b/tests/on_platform/test_client_ingress.py
@@ -141,7 +141,7 @@
         async def abort(writer):
             await writer.start(200, (), None)
             await writer.write(b"half")
-            raise AnswerAbortedError(RequestEnd(RequestEndReason.BROKE_OFF, "broken"))
+            raise AnswerAbortedError(RequestEnd(RequestEndReason.ATTEMPT_BROKEN, "broken"))
 
         client = Client()
         serve(ScriptedRelay(abort), client)
--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -151,11 +151,11 @@
                 with anyio.fail_after(STALL_S + BEYOND_SAMPLING_S):
                     while not bounds.unread.ended or engine.closed == 0:
                         await self.check_others_go_on(address)
-                        largest_held = max(largest_held, bounds.unread.held_bytes)
+                        largest_held = max(largest_held, bounds.unread.buffered_bytes)
                         await anyio.sleep(0.1)
-                self.assertEqual(bounds.unread.held_bytes, 0)
+                self.assertEqual(bounds.unread.buffered_bytes, 0)
                 self.assertEqual(bounds.unread.ended, {"reader_stopped": 1})
-                self.assertEqual(bounds.admission.under_way, 0)
+                self.assertEqual(bounds.admission.in_flight, 0)
                 self.assertEqual(engine.closed, 1)
                 stopped.close()
 
--- a/tests/relay/test_admission.py
+++ b/tests/relay/test_admission.py
@@ -52,9 +52,9 @@
         async def main():
             admitted = call(body=b"12345", budget=1)
             with self.assertRaises(ZeroDivisionError), admission.track(admitted, 0.0):
-                self.assertEqual((admission.under_way, admission.body_bytes), (1, 5))
+                self.assertEqual((admission.in_flight, admission.body_bytes), (1, 5))
                 raise ZeroDivisionError
-            self.assertEqual((admission.under_way, admission.body_bytes), (0, 0))
+            self.assertEqual((admission.in_flight, admission.body_bytes), (0, 0))
 
         anyio.run(main)
 
--- a/tests/relay/test_end_reasons.py
+++ b/tests/relay/test_end_reasons.py
@@ -32,7 +32,7 @@
     RequestEndReason.NO_ROOM: "no_room",
     RequestEndReason.NO_BACK_END: "no back end took the request",
     RequestEndReason.NO_FURTHER_BACK_END: "no further back end took the request",
-    RequestEndReason.BROKE_OFF: "timeout",
+    RequestEndReason.ATTEMPT_BROKEN: "timeout",
     RequestEndReason.OUT_OF_TIME: "out_of_time",
     RequestEndReason.TURN_NOT_DURABLE: "turn_not_durable_timeout",
     RequestEndReason.STOPPED: "stopped",
@@ -58,7 +58,7 @@
         )
 
     def test_a_detail_with_braces_is_unchanged(self):
-        self.assertEqual(RequestEnd(RequestEndReason.BROKE_OFF, "{0} {x}").text, "{0} {x}")
+        self.assertEqual(RequestEnd(RequestEndReason.ATTEMPT_BROKEN, "{0} {x}").text, "{0} {x}")
 
     def test_each_reason_names_an_existing_module(self):
         for reason in RequestEndReason:
@@ -111,9 +111,9 @@
 class ErrorTest(unittest.TestCase):
     def test_errors_carry_the_reason_as_their_code(self):
         refused = RequestRefusedError(Refusal.of(RequestEndReason.NO_ROOM, 0.5))
-        failed = RequestFailedError(RequestEndReason.BROKE_OFF, "reset")
+        failed = RequestFailedError(RequestEndReason.ATTEMPT_BROKEN, "reset")
         self.assertEqual((refused.code, str(refused)), (RequestEndReason.NO_ROOM, "no_room"))
-        self.assertEqual((failed.code, str(failed)), (RequestEndReason.BROKE_OFF, "reset"))
+        self.assertEqual((failed.code, str(failed)), (RequestEndReason.ATTEMPT_BROKEN, "reset"))
 
     def test_a_refusal_has_the_status_of_its_reason(self):
         refusal = Refusal.of(RequestEndReason.QUOTA_SPENT, 0.5)
--- a/tests/relay/test_list_reader.py
+++ b/tests/relay/test_list_reader.py
@@ -23,7 +23,7 @@
                 if callable(records):
                     records(registry)
                 else:
-                    reader.take_over(records, at)
+                    reader.apply(records, at)
 
         anyio.run(main)
         return registry
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -69,7 +69,7 @@
         store=None,
         records=None,
         tenants=(),
-        asks_for_places=False,
+        requests_placement=False,
         stops_after_s=math.inf,
         has_disconnected=False,
         **route_changes,
@@ -94,7 +94,7 @@
                     Metrics(),
                     random.Random(1),
                     self.admission,
-                    asks_for_places=asks_for_places,
+                    requests_placement=requests_placement,
                 )
                 configured = configuration(route(**route_changes), tenants=tenants)
                 service.replace_configuration(configured)
@@ -673,7 +673,7 @@
             scripts,
             call_changes=self.changes,
             store=store,
-            asks_for_places=True,
+            requests_placement=True,
             **(TURNS | {"keeps_turns": False, "max_attempts": 2} | changes),
         )
         return store
--- a/tests/relay/test_slow_reader_monitor.py
+++ b/tests/relay/test_slow_reader_monitor.py
@@ -5,7 +5,7 @@
 from structlog.testing import capture_logs
 
 from passlane.decisions.admission.reader_buffers import LONGEST_STALL_S, HeldBytesBounds
-from passlane.relay.slow_reader_monitor import MAX_LOGGED_ENDINGS, UnreadAnswers
+from passlane.relay.slow_reader_monitor import MAX_LOGGED_ENDINGS, SlowReaderMonitor
 
 PERIOD_S = 0.25
 
@@ -40,12 +40,12 @@
 
 class UnreadAnswersTest(unittest.TestCase):
     def setUp(self):
-        self.watch = UnreadAnswers(HeldBytesBounds(for_one=100, for_all=250))
+        self.watch = SlowReaderMonitor(HeldBytesBounds(for_one=100, for_all=250))
 
     def poll_until(self, end_s, between_polls=lambda: None):
         now = 0.0
         while now <= end_s:
-            self.watch.look(now)
+            self.watch.poll(now)
             between_polls()
             now += PERIOD_S
 
@@ -80,33 +80,33 @@
         slow = [FakeConnection(self.watch) for _ in range(3)]
         for connection in slow:
             connection.write(90)
-        self.watch.look(0.0)
-        self.watch.look(0.1)
+        self.watch.poll(0.0)
+        self.watch.poll(0.1)
         self.assertEqual([connection.is_held for connection in slow], [True] * 3)
         for connection in slow:
             connection.read(80)
-        self.watch.look(0.2)
-        self.watch.look(0.3)
+        self.watch.poll(0.2)
+        self.watch.poll(0.3)
         self.assertEqual([connection.is_held for connection in slow], [False] * 3)
         self.assertEqual([connection.end_reason for connection in slow], [""] * 3)
 
     def test_a_closed_connection_is_no_longer_monitored(self):
         closed = FakeConnection(self.watch)
         closed.write(90)
-        self.watch.look(0.0)
-        self.assertEqual(self.watch.held_bytes, 90)
+        self.watch.poll(0.0)
+        self.assertEqual(self.watch.buffered_bytes, 90)
         self.watch.closed(closed)
-        self.assertEqual(self.watch.held_bytes, 0)
+        self.assertEqual(self.watch.buffered_bytes, 0)
         self.poll_until(LONGEST_STALL_S)
         self.assertEqual(closed.end_reason, "")
 
     def test_time_while_the_process_was_suspended_does_not_count_as_a_stall(self):
         connection = FakeConnection(self.watch)
         connection.write(10)
-        self.watch.look(0.0)
+        self.watch.poll(0.0)
         now = 30.0
         while now < 30.0 + LONGEST_STALL_S:
-            self.watch.look(now)
+            self.watch.poll(now)
             now += PERIOD_S
         self.assertEqual(connection.end_reason, "")
 
