--- a/src/passlane/backends/engine_client.py
+++ b/src/passlane/backends/engine_client.py
@@ -15,7 +15,7 @@
     read_whole,
 )
 from passlane.errors import ErrorCode, Verdict
-from passlane.event_streams.event_data import EventLines
+from passlane.event_streams.event_data import EventDataParser
 from passlane.messages.backends import (
     CacheEvents,
     CacheSnapshot,
@@ -80,7 +80,7 @@
         self.final: EngineChunk | None = None
         self._attempt_id = attempt_id
         self._on_chunk = on_chunk
-        self._lines = EventLines()
+        self._lines = EventDataParser()
 
     def feed(self, data: bytes) -> None:
         """Take more bytes; raise ``BackendError`` when they can't be read."""
--- a/src/passlane/emulator/caller_answers.py
+++ b/src/passlane/emulator/caller_answers.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from passlane.errors import Verdict
-from passlane.event_streams.event_data import EventLines
+from passlane.event_streams.event_data import EventDataParser
 from passlane.runtime.interfaces import HttpResponse
 
 END_OF_STREAM = b"[DONE]"
@@ -111,7 +111,7 @@
 async def _read_stream(response: HttpResponse, began: float) -> Attempt:
     """Read a stream of events up to its proper end."""
     reader = _StreamReader(began)
-    lines = EventLines()
+    lines = EventDataParser()
     async with aclosing(response.chunks()) as parts:
         async for data in parts:
             for line in lines.feed(data):
--- a/src/passlane/event_streams/event_data.py
+++ b/src/passlane/event_streams/event_data.py
@@ -9,7 +9,7 @@
 DATA_PREFIX = b"data:"
 
 
-class EventLines:
+class EventDataParser:
     """Buffers bytes and returns the data of complete lines."""
 
     def __init__(self) -> None:
