--- a/src/passlane/decisions/order/capacity_queue.py
+++ b/src/passlane/decisions/order/capacity_queue.py
@@ -37,7 +37,7 @@
     request_id
         ID for log lines.
     priority
-        Urgency of the request (``Identity.urgency_on``): the tenant's rank before the route's;
+        Urgency of the request (``Identity.queue_rank_on``): the tenant's rank before the route's;
         0 is the most urgent.
     arrived_at
         Arrival time of the request; keeps the calls of one program in order.
--- a/src/passlane/relay/context.py
+++ b/src/passlane/relay/context.py
@@ -48,7 +48,7 @@
         return TurnDemand(
             service=self.service.name,
             route=self.route.name,
-            urgency=self.identity.urgency_on(self.route),
+            urgency=self.identity.queue_rank_on(self.route),
             zone=self.node.zone,
             tenant=self.identity.tenant_name,
             prompt_tokens=sum(part.tokens for part in parts),
--- a/src/passlane/relay/request_admission.py
+++ b/src/passlane/relay/request_admission.py
@@ -108,7 +108,7 @@
             "room_refused",
             request_id=self._context.call.request_id,
             tenant=self._context.identity.tenant_name,
-            urgency=self._context.identity.urgency_on(self._context.route),
+            urgency=self._context.identity.queue_rank_on(self._context.route),
             waiting=refused.waiting,
             busy_share=round(refused.busy_share, 3),
             retry_after_s=round(refused.retry_after_s, 3),
--- a/src/passlane/relay/request_wait.py
+++ b/src/passlane/relay/request_wait.py
@@ -80,7 +80,7 @@
         context = self._context
         return WaitingCall(
             request_id=context.call.request_id,
-            priority=context.identity.urgency_on(context.route),
+            priority=context.identity.queue_rank_on(context.route),
             arrived_at=context.call.arrived_at,
             give_up_at=self._abandon_at(judgement, limit_at, now),
             joined_at=now,
--- a/src/passlane/routes/tenants.py
+++ b/src/passlane/routes/tenants.py
@@ -56,7 +56,7 @@
             PRIORITY_LEVELS - 1,
         )
 
-    def urgency_on(self, route: Route) -> int:
+    def queue_rank_on(self, route: Route) -> int:
         """Return the rank of its requests among those of all tenants; 0 is the most urgent.
 
         Requests are ordered by the tenant's priority, then by the route's.
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -688,7 +688,7 @@
     def test_requests_are_ordered_by_the_tenants_priority_and_then_by_the_routes(self):
         identities = [Identity(Tenant(name="t", priority=rank)) for rank in (0, 1)]
         orders = [
-            (identity.urgency_on(route(priority=priority)), identity.engine_priority_on(
+            (identity.queue_rank_on(route(priority=priority)), identity.engine_priority_on(
                 route(priority=priority)
             ))
             for identity in identities
