--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -142,7 +142,7 @@
         """
         configuration, view = self._follower.configuration, self._follower.view
         knows_fleet = configuration.newest is not None and view.has_seen_store_leader
-        is_lost = view.is_lost or self._store.is_lost
+        is_lost = view.is_lost or self._store.is_unavailable
         has_list = self._registry.updated_at is not None
         return knows_fleet and has_list and not is_lost and not self._is_draining
 
--- a/src/passlane/daemon/fleet/store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -27,7 +27,7 @@
 from passlane.storage.identity import IdentityFile, process_name_of
 from passlane.turns.dispatch import TurnDispatcher
 from passlane.turns.service import TurnService
-from passlane.turns.slot_metrics import expose_slots
+from passlane.turns.slot_metrics import register_slot_metrics
 from passlane.turns.state.machine import TurnStateMachine
 
 TURN_GROUP = "turns"
@@ -96,7 +96,7 @@
             lambda metrics: expose_replica(metrics, TURN_GROUP, host)
         )
         context.metrics.define_when_exposed(
-            lambda metrics: expose_slots(metrics, self._dispatcher.scheduler)
+            lambda metrics: register_slot_metrics(metrics, self._dispatcher.scheduler)
         )
         service = TurnService(host, machine, context.router, quotas, self._dispatcher)
         async with anyio.create_task_group() as tasks:
--- a/src/passlane/relay/turn_account.py
+++ b/src/passlane/relay/turn_account.py
@@ -130,7 +130,7 @@
         # From here on the reservation may exist, even if no answer is received.
         self._is_reserved = True
         reservation = await self._store.reserve(request, timeout_s=limit_at - now)
-        self._is_reserved = reservation.may_stand
+        self._is_reserved = reservation.may_be_reserved
         self._log_refusal(run, reservation.answer)
         return reservation.answer
 
--- a/src/passlane/turns/client.py
+++ b/src/passlane/turns/client.py
@@ -55,13 +55,13 @@
 
     Attributes
     ----------
-    may_stand
+    may_be_reserved
         Whether tokens are reserved or may be: an earlier attempt whose answer was lost may
         have reserved them, even if the retry was refused. They must be settled.
     """
 
     answer: ReserveAnswer
-    may_stand: bool
+    may_be_reserved: bool
 
 
 class _Outcome(msgspec.Struct, frozen=True):
@@ -100,7 +100,7 @@
         self._has_attempts = anyio.Event()
 
     @property
-    def is_lost(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Whether the leader has been unconfirmed for so long that the group is unavailable."""
         return self._finder.is_unavailable
 
@@ -137,8 +137,8 @@
         answer = outcome.answer
         if not isinstance(answer, ReserveAnswer):
             raise self._unexpected_answer(answer)
-        may_stand = isinstance(answer, TurnReserved) or outcome.may_have_run_before
-        return Reservation(answer, may_stand)
+        may_be_reserved = isinstance(answer, TurnReserved) or outcome.may_have_run_before
+        return Reservation(answer, may_be_reserved)
 
     async def draw_quota(self, draw: QuotaDraw, *, timeout_s: float) -> QuotaAnswer:
         """Draw a tenant's quota for a request outside turns.
@@ -155,7 +155,7 @@
 
     def _limited_timeout_s(self, timeout_s: float) -> float:
         """Return the timeout of an answer, which is shorter while the group is unavailable."""
-        return min(timeout_s, UNAVAILABLE_TIMEOUT_S) if self.is_lost else timeout_s
+        return min(timeout_s, UNAVAILABLE_TIMEOUT_S) if self.is_unavailable else timeout_s
 
     async def settle(self, request: SettleTurn, *, timeout_s: float) -> TurnSettled:
         """Settle a turn; on return the settlement is durable.
--- a/src/passlane/turns/slot_metrics.py
+++ b/src/passlane/turns/slot_metrics.py
@@ -19,7 +19,7 @@
 }
 
 
-def expose_slots(metrics: Metrics, scheduler: TurnScheduler) -> None:
+def register_slot_metrics(metrics: Metrics, scheduler: TurnScheduler) -> None:
     """Register the gauge of slots and turns, summed over services, with one series per state."""
     gauge = metrics.gauge(
         "turn_places", "Places of engines, and turns that run, wait or are to return", ("state",)
--- a/src/passlane/turns/slot_waits.py
+++ b/src/passlane/turns/slot_waits.py
@@ -99,7 +99,7 @@
             attempt_id=request.attempt_id,
             program_id=request.program_id,
             is_first=not self._machine.knows_program(request.program_id),
-            used_last=self._machine.used_last(request.program_id),
+            used_last=self._machine.last_engine(request.program_id),
             most_tokens=request.most_tokens,
             demand=demand,
         )
--- a/src/passlane/turns/state/machine.py
+++ b/src/passlane/turns/state/machine.py
@@ -140,7 +140,7 @@
         program = self._programs.get(program_id)
         return program is not None and program.keep_until_s > 0.0
 
-    def used_last(self, program_id: str) -> str:
+    def last_engine(self, program_id: str) -> str:
         """Return the engine instance that a program used last; empty if unknown."""
         program = self._programs.get(program_id)
         return program.used_last if program is not None else ""
--- a/tests/recorded_machines/test_recorded_turns.py
+++ b/tests/recorded_machines/test_recorded_turns.py
@@ -105,7 +105,7 @@
         command = load.draw()
         result = machine.apply(number, encode_message(command))
         program = f"p{load.number // 30}.{load.random.randrange(6)}"
-        known = [machine.knows_program(program), machine.used_last(program)]
+        known = [machine.knows_program(program), machine.last_engine(program)]
         histories = [history_of(machine, turn_id) for turn_id in load.turns[-3:]]
         given = [_results.decode(result), result, list(told), machine.age_s, known, histories]
         recording.note(command, given)
--- a/tests/relay/fakes.py
+++ b/tests/relay/fakes.py
@@ -183,8 +183,8 @@
         self.reserved.append(request)
         if self.is_unavailable:
             raise PasslaneError(ErrorCode.UNAVAILABLE, "no leader")
-        may_stand = isinstance(self.answer, TurnReserved) or self.answer_was_lost
-        return Reservation(self.answer, may_stand)
+        may_be_reserved = isinstance(self.answer, TurnReserved) or self.answer_was_lost
+        return Reservation(self.answer, may_be_reserved)
 
     async def settle(self, request, *, timeout_s):
         if self.settle_fails:
--- a/tests/turns/test_client.py
+++ b/tests/turns/test_client.py
@@ -99,20 +99,20 @@
         await client.reserve(reservation(), timeout_s=1.0)
         stores.answers = [refusal]
         known = await client.reserve(reservation("b"), timeout_s=1.0)
-        self.assertEqual((known.answer, known.may_stand), (refusal, False))
+        self.assertEqual((known.answer, known.may_be_reserved), (refusal, False))
         lost = PasslaneError(ErrorCode.CONNECTION_LOST, "reset", verdict=Verdict.MAY_HAVE_RUN)
         stores.answers = [lost, refusal]
         doubtful = await client.reserve(reservation("c"), timeout_s=1.0)
-        self.assertEqual((doubtful.answer, doubtful.may_stand), (refusal, True))
+        self.assertEqual((doubtful.answer, doubtful.may_be_reserved), (refusal, True))
         stores.silent.add(STORES[0])
         stores.elect(STORES[1])
         stores.answers = [refusal]
         moved = await client.reserve(reservation("e"), timeout_s=1.5)
-        self.assertEqual((moved.answer, moved.may_stand), (refusal, True))
+        self.assertEqual((moved.answer, moved.may_be_reserved), (refusal, True))
         not_sent = PasslaneError(ErrorCode.UNAVAILABLE, "no connection")
         stores.answers = [not_sent, refusal]
         unsent = await client.reserve(reservation("d"), timeout_s=1.0)
-        self.assertFalse(unsent.may_stand)
+        self.assertFalse(unsent.may_be_reserved)
 
     @on_virtual_clock()
     async def test_the_leader_is_found_before_the_first_request(self, client, stores):
@@ -148,7 +148,7 @@
         stores.calls.clear()
         await client.reserve(reservation("late"), timeout_s=1.0)
         self.assertEqual([address for _, address, _ in stores.calls], [STORES[1]])
-        self.assertFalse(client.is_lost)
+        self.assertFalse(client.is_unavailable)
 
     @on_virtual_clock()
     async def test_waiting_requests_share_one_search(self, client, stores):
@@ -172,7 +172,7 @@
         stores.silent.update(STORES)
         with self.assertRaises(PasslaneError):
             await client.reserve(reservation("b"), timeout_s=1.5)
-        self.assertTrue(client.is_lost)
+        self.assertTrue(client.is_unavailable)
         started = anyio.current_time()
         with self.assertRaises(PasslaneError):
             await client.reserve(reservation("c"), timeout_s=1.5)
@@ -180,7 +180,7 @@
         stores.silent.clear()
         stores.elect(STORES[2])
         await anyio.sleep(0.5)
-        self.assertFalse(client.is_lost)
+        self.assertFalse(client.is_unavailable)
         await client.reserve(reservation("d"), timeout_s=0.1)
 
     @on_virtual_clock()
