--- a/src/passlane/daemon/fleet/control.py
+++ b/src/passlane/daemon/fleet/control.py
@@ -15,7 +15,7 @@
     hand_over_leadership,
     members_at_start,
 )
-from passlane.fleet.client import FleetFollower
+from passlane.fleet.client import FleetClient
 from passlane.fleet.operator import FleetOperator
 from passlane.fleet.service import FleetService
 from passlane.fleet.state.machine import FleetStateMachine
@@ -53,7 +53,7 @@
         self._context = context
         self._scope = anyio.CancelScope()
         random = context.environment.random
-        self._follower = FleetFollower(
+        self._follower = FleetClient(
             context.heartbeat, context.seed_addresses(), context.pool, random
         )
         machine = FleetStateMachine()
--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -17,7 +17,7 @@
 from passlane.daemon.shared.in_flight import InFlightRequests
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.placement.request_placement import NodeLocation
-from passlane.fleet.client import FleetFollower
+from passlane.fleet.client import FleetClient
 from passlane.messages.common import Address
 from passlane.messages.routes import RouteConfiguration
 from passlane.observability.logging import get_logger
@@ -50,7 +50,7 @@
         self._scope = anyio.CancelScope()
         self._relay: RelayService | None = None
         self._requests: InFlightRequests | None = None
-        self._follower = FleetFollower(
+        self._follower = FleetClient(
             context.heartbeat, context.seed_addresses(), context.pool, random
         )
         self._follower.configuration.on_change(self._take_configuration)
@@ -142,7 +142,7 @@
         """
         configuration, view = self._follower.configuration, self._follower.view
         knows_fleet = configuration.newest is not None and view.has_seen_store_leader
-        is_lost = view.is_lost or self._store.is_unavailable
+        is_lost = view.is_stale or self._store.is_unavailable
         has_list = self._registry.updated_at is not None
         return knows_fleet and has_list and not is_lost and not self._is_draining
 
--- a/src/passlane/daemon/fleet/store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -15,7 +15,7 @@
 from passlane.daemon.shared.replicas import STORE_FOLDER, hand_over_leadership, members_at_start
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
-from passlane.fleet.client import FleetFollower
+from passlane.fleet.client import FleetClient
 from passlane.messages.common import NotLeaderError
 from passlane.messages.fleet import Announce, NamedAddress, RemoveReplica, ReplicaRemoved
 from passlane.messages.listing import BackendRecord
@@ -60,7 +60,7 @@
         self._host: ReplicaHost | None = None
         self._may_found = False
         self._backends: Sequence[BackendRecord] = ()
-        self._follower = FleetFollower(
+        self._follower = FleetClient(
             self._heartbeat, context.seed_addresses(), context.pool, context.environment.random
         )
         self._dispatcher = TurnDispatcher(TurnScheduler())
--- a/src/passlane/fleet/cached_view.py
+++ b/src/passlane/fleet/cached_view.py
@@ -49,10 +49,10 @@
     @property
     def reads_backends(self) -> bool:
         """Whether this process must read the list: it is the assigned reader and not cut off."""
-        return self.is_assigned_reader and not self.is_lost
+        return self.is_assigned_reader and not self.is_stale
 
     @property
-    def is_lost(self) -> bool:
+    def is_stale(self) -> bool:
         """Whether the control group's leader has not answered for longer than an election."""
         confirmed_at = self._confirmed_at
         return confirmed_at is None or anyio.current_time() - confirmed_at >= STALE_AFTER_S
--- a/src/passlane/fleet/client.py
+++ b/src/passlane/fleet/client.py
@@ -36,7 +36,7 @@
 """Minimum interval between two heartbeats when updates arrive in quick succession."""
 
 
-class FleetFollower:
+class FleetClient:
     """Keeps this process's cached state of the fleet up to date.
 
     Parameters
--- a/src/passlane/fleet/heartbeat_service.py
+++ b/src/passlane/fleet/heartbeat_service.py
@@ -38,7 +38,7 @@
         """
         self._leader.require_leadership()
         now = anyio.current_time()
-        if self._leader.directory.note(heartbeat, now):
+        if self._leader.directory.record_heartbeat(heartbeat, now):
             self._leader.notify_changed()
         self._leader.choose_reader()
         if not self._has_update_for(heartbeat):
--- a/src/passlane/fleet/leader_tasks.py
+++ b/src/passlane/fleet/leader_tasks.py
@@ -59,7 +59,7 @@
         if self._leader.replicated.store_founders:
             return
         now = anyio.current_time()
-        initial = self._leader.directory.founders_due(now, self._store_voters)
+        initial = self._leader.directory.initial_store_members(now, self._store_voters)
         if not initial:
             return
         await self._leader.propose(FoundStoreGroup(initial), StoreGroupFounded)
--- a/src/passlane/fleet/state/directory.py
+++ b/src/passlane/fleet/state/directory.py
@@ -51,7 +51,7 @@
         self._group_members: tuple[NamedAddress, ...] = ()
         self._addresses = _Addresses(first_number - 1, ())
 
-    def note(self, heartbeat: Announce, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: Announce, now: float) -> bool:
         """Record a heartbeat; return whether the view of the fleet has changed.
 
         ``now`` is the local time in seconds.
@@ -108,12 +108,12 @@
         """Return the names of the store machines that send heartbeats."""
         return [process.heartbeat.name for process in self._of_role(FleetRole.STORE)]
 
-    def announcement_of(self, name: str) -> Announce | None:
+    def heartbeat_of(self, name: str) -> Announce | None:
         """Return the newest heartbeat of a machine; ``None`` if there is none."""
         process = self._processes.get(name)
         return process.heartbeat if process is not None else None
 
-    def founders_due(self, now: float, max_members: int) -> tuple[NamedAddress, ...]:
+    def initial_store_members(self, now: float, max_members: int) -> tuple[NamedAddress, ...]:
         """Return the initial members of the store group; empty while more may register.
 
         At most ``max_members`` members are chosen, spread over zones. Only replicas whose disks
--- a/src/passlane/fleet/store_retirements.py
+++ b/src/passlane/fleet/store_retirements.py
@@ -90,7 +90,7 @@
                 await self._remove_replica(replica_name)
 
     def _heartbeat_of_store(self, name: str) -> Announce:
-        heartbeat = self._leader.directory.announcement_of(name)
+        heartbeat = self._leader.directory.heartbeat_of(name)
         if heartbeat is None or heartbeat.role is not FleetRole.STORE:
             raise PasslaneError(ErrorCode.NOT_FOUND, f"no store machine {name}")
         return heartbeat
--- a/tests/fleet/state/test_machine.py
+++ b/tests/fleet/state/test_machine.py
@@ -66,51 +66,52 @@
         self.directory = FleetDirectory(0)
 
     def test_initial_members_are_chosen_after_a_quiet_period(self):
-        self.directory.note(announce(1), 0.0)
-        self.directory.note(announce(2), 1.0)
-        self.assertEqual(self.directory.founders_due(1.0 + FORMATION_QUIET_S - 0.1, 3), ())
-        self.directory.note(announce(1), 2.0)
-        initial_members = self.directory.founders_due(1.0 + FORMATION_QUIET_S, 3)
+        self.directory.record_heartbeat(announce(1), 0.0)
+        self.directory.record_heartbeat(announce(2), 1.0)
+        self.assertEqual(self.directory.initial_store_members(1.0 + FORMATION_QUIET_S - 0.1, 3), ())
+        self.directory.record_heartbeat(announce(1), 2.0)
+        initial_members = self.directory.initial_store_members(1.0 + FORMATION_QUIET_S, 3)
         self.assertEqual(initial_members, (member(1), member(2)))
 
     def test_initial_members_are_limited_and_spread_over_zones(self):
         for number, zone in [(1, "a"), (2, "a"), (3, "a"), (4, "b"), (5, "b"), (6, "c")]:
-            self.directory.note(announce(number, zone=zone), 0.0)
-        initial_members = self.directory.founders_due(FORMATION_QUIET_S, 5)
+            self.directory.record_heartbeat(announce(number, zone=zone), 0.0)
+        initial_members = self.directory.initial_store_members(FORMATION_QUIET_S, 5)
         self.assertEqual(initial_members, tuple(member(n) for n in (1, 2, 4, 5, 6)))
         self.assertEqual(
-            self.directory.founders_due(FORMATION_QUIET_S, 3), (member(1), member(4), member(6))
+            self.directory.initial_store_members(FORMATION_QUIET_S, 3),
+            (member(1), member(4), member(6)),
         )
 
     def test_a_machine_that_may_not_found_is_no_initial_member(self):
-        self.directory.note(announce(1, may_found=False), 0.0)
-        self.assertEqual(self.directory.founders_due(10.0, 3), ())
+        self.directory.record_heartbeat(announce(1, may_found=False), 0.0)
+        self.assertEqual(self.directory.initial_store_members(10.0, 3), ())
 
     def test_silent_replicas_expire_and_change_the_view(self):
-        self.directory.note(announce(1), 0.0)
-        self.directory.note(announce(2), 0.0)
+        self.directory.record_heartbeat(announce(1), 0.0)
+        self.directory.record_heartbeat(announce(2), 0.0)
         number = self.directory.number
-        self.directory.note(announce(2), EXPIRE_AFTER_S + 1.0)
+        self.directory.record_heartbeat(announce(2), EXPIRE_AFTER_S + 1.0)
         self.assertEqual(self.directory.store_names(), [announce(2).name])
         self.assertGreater(self.directory.number, number)
 
     def test_nodes_are_counted_and_do_not_change_the_view(self):
-        self.assertFalse(self.directory.note(announce(1, FleetRole.NODE), 0.0))
-        self.directory.note(announce(2, FleetRole.NODE), 0.0)
+        self.assertFalse(self.directory.record_heartbeat(announce(1, FleetRole.NODE), 0.0))
+        self.directory.record_heartbeat(announce(2, FleetRole.NODE), 0.0)
         self.assertEqual(self.directory.node_count(), 2)
-        self.directory.note(announce(2, FleetRole.NODE), EXPIRE_AFTER_S + 1.0)
+        self.directory.record_heartbeat(announce(2, FleetRole.NODE), EXPIRE_AFTER_S + 1.0)
         self.assertEqual(self.directory.node_count(), 1)
         self.assertEqual(self.directory.number, 0)
 
     def test_only_members_reported_by_the_groups_leader_are_returned(self):
-        self.directory.note(announce(3), 0.0)
+        self.directory.record_heartbeat(announce(3), 0.0)
         self.assertEqual(self.directory.stores(), ())
-        self.directory.note(announce(1, group_members=(member(1), member(2))), 0.0)
+        self.directory.record_heartbeat(announce(1, group_members=(member(1), member(2))), 0.0)
         self.assertEqual(self.directory.stores(), (member(1), member(2)))
         self.assertEqual(len(self.directory.store_names()), 2)
 
     def test_an_unchanged_heartbeat_keeps_the_views_number(self):
-        self.assertTrue(self.directory.note(announce(1), 0.0))
+        self.assertTrue(self.directory.record_heartbeat(announce(1), 0.0))
         number = self.directory.number
-        self.assertFalse(self.directory.note(announce(1), 1.0))
+        self.assertFalse(self.directory.record_heartbeat(announce(1), 1.0))
         self.assertEqual(self.directory.number, number)
--- a/tests/fleet/test_client.py
+++ b/tests/fleet/test_client.py
@@ -6,7 +6,7 @@
 import anyio
 import anyio.lowlevel
 
-from passlane.fleet.client import FleetFollower
+from passlane.fleet.client import FleetClient
 from passlane.fleet.state.backend_listing import BackendListing
 from passlane.messages.common import Address
 from passlane.messages.fleet import Announce, FleetAddresses, FleetRole, FleetView, NamedAddress
@@ -40,7 +40,7 @@
 def follow(*views):
     """Return a follower that has applied these views, and the control replica that sent them."""
     control = ScriptedControl(*views)
-    follower = FleetFollower(heartbeat, [SEED], control, random.Random(0))
+    follower = FleetClient(heartbeat, [SEED], control, random.Random(0))
 
     async def main():
         with anyio.move_on_after(0.15 * (len(views) + 1)):
@@ -72,7 +72,7 @@
         self.assertNotIn(member(8).address, follower.leader.controls)
 
     def test_without_any_view_only_the_seeds_are_known(self):
-        follower = FleetFollower(heartbeat, [SEED], ScriptedControl(), random.Random(0))
+        follower = FleetClient(heartbeat, [SEED], ScriptedControl(), random.Random(0))
         self.assertEqual(follower.leader.controls, (SEED,))
         self.assertEqual(follower.view.stores, ())
 
@@ -94,7 +94,7 @@
 class ReportTest(unittest.TestCase):
     def test_an_unchanged_list_is_sent_once_to_each_leader(self):
         control = ScriptedReports()
-        follower = FleetFollower(heartbeat, [SEED], control, random.Random(0))
+        follower = FleetClient(heartbeat, [SEED], control, random.Random(0))
         records = (backend("i-2"), backend("i-1"))
 
         async def main():
@@ -114,7 +114,7 @@
         """Return the lists that a follower confirms while it applies these views."""
         lists = []
         control = ScriptedControl(*views)
-        follower = FleetFollower(heartbeat, [SEED], control, random.Random(0))
+        follower = FleetClient(heartbeat, [SEED], control, random.Random(0))
         follower.backends.on_confirmation(lambda records, confirmed_at: lists.append(records))
 
         async def main():
--- a/tests/fleet/test_heartbeat_service.py
+++ b/tests/fleet/test_heartbeat_service.py
@@ -91,7 +91,7 @@
 
     def test_a_new_term_clears_the_directory_and_increases_its_number(self):
         async def body():
-            self.leader.directory.note(store_heartbeat(1), 0.0)
+            self.leader.directory.record_heartbeat(store_heartbeat(1), 0.0)
             before = self.leader.directory.number
             self.group.term = 2
             self.assertEqual(self.leader.directory.store_names(), [])
--- a/tests/fleet/test_store_retirements.py
+++ b/tests/fleet/test_store_retirements.py
@@ -48,7 +48,9 @@
             members = [member(n) for n in range(1, VOTERS + 1)]
             for number in range(1, machines + 1):
                 members_in_heartbeat = members if number == 1 else ()
-                self.leader.directory.note(store_heartbeat(number, members_in_heartbeat), 0.0)
+                self.leader.directory.record_heartbeat(
+                    store_heartbeat(number, members_in_heartbeat), 0.0
+                )
             await body()
 
         anyio.run(main)
@@ -100,7 +102,7 @@
         async def body():
             await self.retirements.retire_store(RetireStore("store-3"))
             left = [member(1), member(2), member(4)]
-            self.leader.directory.note(store_heartbeat(1, left), 1.0)
+            self.leader.directory.record_heartbeat(store_heartbeat(1, left), 1.0)
             read = await self.retirements.read_retirement(ReadRetirement("store-3"))
             self.assertEqual(read.state, RetirementState.COMPLETED)
             await self.retirements.remove_retired()
--- a/tests/recorded_machines/test_recorded_fleet.py
+++ b/tests/recorded_machines/test_recorded_fleet.py
@@ -139,10 +139,10 @@
     for _ in range(STEPS):
         now += draw.choice((0.01, 0.1, 0.2, 0.4, 0.7, 1.6 if draw.random() < 0.2 else 0.05))
         told = announcement(draw, now)
-        has_changed = directory.note(told, now)
+        has_changed = directory.record_heartbeat(told, now)
         later = now + draw.choice((0.0, 1.4, 1.6))
-        founders = [directory.founders_due(later, places) for places in (3, 5)]
-        found = directory.announcement_of(f"store{draw.randrange(10)}")
+        founders = [directory.initial_store_members(later, places) for places in (3, 5)]
+        found = directory.heartbeat_of(f"store{draw.randrange(10)}")
         names = [directory.node_count(), directory.node_names(), directory.store_names()]
         addresses = [directory.number, directory.stores(), directory.controls()]
         recording.note([now, told], [has_changed, founders, found, names, addresses])
