--- a/src/passlane/daemon/fleet/control.py
+++ b/src/passlane/daemon/fleet/control.py
@@ -15,7 +15,7 @@
     initial_members,
     transfer_leadership,
 )
-from passlane.fleet.follower import FleetFollower
+from passlane.fleet.client import FleetClient
 from passlane.fleet.operator import FleetOperator
 from passlane.fleet.service import FleetService
 from passlane.fleet.state.machine import FleetStateMachine
@@ -46,7 +46,7 @@
         self._context = context
         self._scope = anyio.CancelScope()
         random = context.environment.random
-        self._follower = FleetFollower(
+        self._follower = FleetClient(
             context.heartbeat, context.seed_addresses(), context.pool, random
         )
         machine = FleetStateMachine()
--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -16,8 +16,8 @@
 from passlane.daemon.fleet.stop_times import StopTimes
 from passlane.daemon.shared.in_flight import InFlightRequests
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.placement.request_placement import NodePlace
-from passlane.fleet.follower import FleetFollower
+from passlane.decisions.placement.request_placement import NodeLocation
+from passlane.fleet.client import FleetClient
 from passlane.messages.common import Address
 from passlane.messages.routes import RouteConfiguration
 from passlane.observability.logging import get_logger
@@ -50,7 +50,7 @@
         self._scope = anyio.CancelScope()
         self._relay: RelayService | None = None
         self._requests: InFlightRequests | None = None
-        self._follower = FleetFollower(
+        self._follower = FleetClient(
             context.heartbeat, context.seed_addresses(), context.pool, random
         )
         self._follower.configuration.on_change(self._apply_configuration)
@@ -71,7 +71,7 @@
             self._follower.reporter.report,
             context.environment.random,
         )
-        self._follower.backends.on_confirmation(reader.take_over)
+        self._follower.backends.on_confirmation(reader.apply)
         async with anyio.create_task_group() as tasks:
             self._relay = self._build_relay(tasks)
             tasks.start_soon(self._follower.run)
@@ -105,7 +105,7 @@
     def _build_relay(self, tasks: TaskGroup) -> RelayService:
         context = self._context
         relay = RelayService(
-            NodePlace(context.settings.process.name, context.settings.process.zone),
+            NodeLocation(context.settings.process.name, context.settings.process.zone),
             self._registry,
             EngineClient(context.environment.http_client),
             self._store,
@@ -113,7 +113,7 @@
             context.metrics,
             context.environment.random,
             self._bounds.admission,
-            asks_for_places=context.settings.turns.are_placed_by_store,
+            requests_placement=context.settings.turns.are_placed_by_store,
         )
         configuration = self._follower.configuration.newest
         if configuration is not None:
@@ -143,7 +143,7 @@
         """
         configuration, view = self._follower.configuration, self._follower.view
         has_fleet_state = configuration.newest is not None and view.has_seen_store_leader
-        is_partitioned = view.is_lost or self._store.is_lost
+        is_partitioned = view.is_stale or self._store.is_unavailable
         has_list = self._registry.updated_at is not None
         return has_fleet_state and has_list and not is_partitioned and not self._is_draining
 
--- a/src/passlane/daemon/fleet/node_bounds.py
+++ b/src/passlane/daemon/fleet/node_bounds.py
@@ -10,14 +10,14 @@
 
 import anyio
 
-from passlane.decisions.admission.held_bytes import SHARE_OF_MEMORY, HeldBytesBounds
 from passlane.decisions.admission.loop_lag import SAMPLE_PERIOD_S, LoopLag
 from passlane.decisions.admission.node_load import NodeCapacity, NodeReading
+from passlane.decisions.admission.reader_buffers import SHARE_OF_MEMORY, HeldBytesBounds
 from passlane.messages.routes import RouteConfiguration
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
 from passlane.relay.admission import NodeAdmission
-from passlane.relay.unread_answers import UnreadAnswers
+from passlane.relay.slow_reader_monitor import SlowReaderMonitor
 from passlane.runtime.process_usage import open_descriptors, resident_bytes
 from passlane.settings.fleet import FleetSettings, MachineSettings, NodeBoundsSettings
 
@@ -51,7 +51,7 @@
         self._resident_bytes: int | None = None
         self._descriptors: int | None = None
         self._unavailable: set[str] = set()
-        self.unread = UnreadAnswers(self._bounds)
+        self.unread = SlowReaderMonitor(self._bounds)
         self.admission = NodeAdmission(
             _capacity(settings, self._bounds.for_all), is_enabled=settings.node_bounds.enabled
         )
@@ -86,14 +86,14 @@
             if samples % SAMPLES_PER_USAGE_READING == 0:
                 self._read_usage()
             samples += 1
-            self.unread.look(now)
+            self.unread.poll(now)
             self.admission.observe(self._reading(), now)
 
     def _reading(self) -> NodeReading:
         return NodeReading(
             loop_lag_s=self._lag.mean_s,
-            held_bytes=self.unread.held_bytes + self.admission.body_bytes,
-            under_way=self.admission.under_way,
+            held_bytes=self.unread.buffered_bytes + self.admission.body_bytes,
+            under_way=self.admission.in_flight,
             resident_bytes=self._resident_bytes,
             descriptors=self._descriptors,
         )
@@ -118,8 +118,8 @@
         readings = {
             "loop_lag_seconds": self._lag.mean_s,
             "loop_lag_worst_seconds": self._lag.worst_s,
-            "unread_answer_bytes": self.unread.held_bytes,
-            "requests_under_way": self.admission.under_way,
+            "unread_answer_bytes": self.unread.buffered_bytes,
+            "requests_under_way": self.admission.in_flight,
             "request_body_bytes": self.admission.body_bytes,
             "resident_bytes": self._resident_bytes,
             "open_descriptors": self._descriptors,
--- a/src/passlane/daemon/fleet/store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -15,7 +15,7 @@
 from passlane.daemon.shared.replicas import STORE_FOLDER, initial_members, transfer_leadership
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
 from passlane.decisions.scheduling.turn_scheduler import TurnScheduler
-from passlane.fleet.follower import FleetFollower
+from passlane.fleet.client import FleetClient
 from passlane.messages.common import NotLeaderError
 from passlane.messages.fleet import Announce, NamedAddress, RemoveReplica, ReplicaRemoved
 from passlane.messages.listing import BackendRecord
@@ -27,7 +27,7 @@
 from passlane.storage.identity import IdentityFile, process_name_of
 from passlane.turns.dispatch import TurnDispatcher
 from passlane.turns.service import TurnService
-from passlane.turns.slot_metrics import expose_slots
+from passlane.turns.slot_metrics import register_slot_metrics
 from passlane.turns.state.machine import TurnStateMachine
 
 TURN_GROUP = "turns"
@@ -50,7 +50,7 @@
         self._host: ReplicaHost | None = None
         self._may_found = False
         self._backends: Sequence[BackendRecord] = ()
-        self._follower = FleetFollower(
+        self._follower = FleetClient(
             self._heartbeat, context.seed_addresses(), context.pool, context.environment.random
         )
         self._dispatcher = TurnDispatcher(TurnScheduler())
@@ -79,14 +79,14 @@
         self._may_found = not is_member and context.settings.process.is_first_start
         initial = () if is_member else await self._wait_for_initial_members()
         quotas = QuotaLedger(self._quota_rules())
-        machine = TurnStateMachine(quotas.note_replicated, quotas.history)
+        machine = TurnStateMachine(quotas.apply_replicated, quotas.history)
         host = self._build_host(machine, initial)
         self._host = host
         context.metrics.define_when_exposed(
             lambda metrics: expose_replica(metrics, TURN_GROUP, host)
         )
         context.metrics.define_when_exposed(
-            lambda metrics: expose_slots(metrics, self._dispatcher.scheduler)
+            lambda metrics: register_slot_metrics(metrics, self._dispatcher.scheduler)
         )
         service = TurnService(host, machine, context.router, quotas, self._dispatcher)
         async with anyio.create_task_group() as tasks:
--- a/src/passlane/decisions/admission/program_admission.py
+++ b/src/passlane/decisions/admission/program_admission.py
@@ -16,13 +16,13 @@
 import msgspec
 
 from passlane.decisions.admission.new_programs import NewProgram, NewPrograms
-from passlane.decisions.inputs.turn_events import TurnAsked
+from passlane.decisions.inputs.turn_events import TurnRequested
 
-LONGEST_HOLD_S = 0.5
+MAX_ADMISSION_WAIT_S = 0.5
 """Maximum wait of a new program before it is refused, below the 2 s after which callers abandon a
 silent stream."""
-LONGEST_HOLD_AFTER_RETRY_S = 1.5
-"""Maximum wait of a program that retried on schedule. Longer than ``LONGEST_HOLD_S``, because
+MAX_ADMISSION_WAIT_AFTER_RETRY_S = 1.5
+"""Maximum wait of a program that retried on schedule. Longer than ``MAX_ADMISSION_WAIT_S``, because
 callers abandon a program after repeated refusals."""
 EARLY_RETRY_TOLERANCE_S = 0.15
 """Time by which a retry may precede its retry-after time and still be on schedule; allows for
@@ -36,7 +36,7 @@
 more urgent ones use nearly all slots, but that lasts only for seconds."""
 MIN_RETRY_S = 0.15
 """Lower bound of ``retry_after_s``."""
-LONGEST_RETRY_S = 3.0
+MAX_RETRY_S = 3.0
 """Upper bound of ``retry_after_s``. It may exceed what callers are willing to wait, so that they
 can choose another service."""
 
@@ -64,18 +64,18 @@
 
 def retry_after(wait_s: float) -> float:
     """Return the retry-after time for an expected wait, in seconds."""
-    return min(LONGEST_RETRY_S, max(MIN_RETRY_S, wait_s))
+    return min(MAX_RETRY_S, max(MIN_RETRY_S, wait_s))
 
 
-def hold_s(*, came_as_told: bool) -> float:
+def hold_s(*, retried_on_schedule: bool) -> float:
     """Return the maximum wait of a new program before it is refused, in seconds.
 
     Parameters
     ----------
-    came_as_told
+    retried_on_schedule
         Whether its caller retried at the given retry-after time.
     """
-    return LONGEST_HOLD_AFTER_RETRY_S if came_as_told else LONGEST_HOLD_S
+    return MAX_ADMISSION_WAIT_AFTER_RETRY_S if retried_on_schedule else MAX_ADMISSION_WAIT_S
 
 
 class _Refusal(NamedTuple):
@@ -133,7 +133,7 @@
         refusal = self._refused.get(program_id)
         return refusal.first_asked_at if refusal is not None else now
 
-    def came_as_told(self, program_id: str, now: float) -> bool:
+    def retried_on_schedule(self, program_id: str, now: float) -> bool:
         """Return whether a program that was refused retries no earlier than it was told to.
 
         A retry may be early by ``EARLY_RETRY_TOLERANCE_S``.
@@ -142,7 +142,7 @@
         return refusal is not None and now >= refusal.retry_at - EARLY_RETRY_TOLERANCE_S
 
     def expected_start(
-        self, asked: TurnAsked, asked_at: float, all_slots_per_s: float, now: float
+        self, asked: TurnRequested, asked_at: float, all_slots_per_s: float, now: float
     ) -> ExpectedStart:
         """Return the expected start of a program whose first request was at ``asked_at``.
 
@@ -160,7 +160,7 @@
         before = self.programs_before(asked, asked_at, now)
         return ExpectedStart(before, self.expected_wait_s(before, all_slots_per_s, now))
 
-    def programs_before(self, asked: TurnAsked, asked_at: float, now: float) -> int:
+    def programs_before(self, asked: TurnRequested, asked_at: float, now: float) -> int:
         """Return the number of new programs ahead of one first requested at ``asked_at``."""
         self.forget_lapsed(now)
         return self._programs.count_before(_program_of(asked, asked_at))
@@ -170,7 +170,7 @@
         min_per_s = MIN_RATE_SHARE * all_slots_per_s
         return (before + 1) / max(min_per_s, self._rate.per_s(now))
 
-    def note_waits(self, asked: TurnAsked, asked_at: float) -> None:
+    def note_waits(self, asked: TurnRequested, asked_at: float) -> None:
         """Record that a turn of a new program waits for a slot."""
         self._waiting[asked.program_id] += 1
         self._programs.put(_program_of(asked, asked_at))
@@ -191,7 +191,7 @@
         self._rate.note(now)
 
     def note_refused(
-        self, asked: TurnAsked, asked_at: float, retry_after_s: float, now: float
+        self, asked: TurnRequested, asked_at: float, retry_after_s: float, now: float
     ) -> None:
         """Record that a program was refused with a retry-after time."""
         retry_at = now + retry_after_s
@@ -211,5 +211,5 @@
                 self._programs.drop(expiry.program_id)
 
 
-def _program_of(asked: TurnAsked, asked_at: float) -> NewProgram:
+def _program_of(asked: TurnRequested, asked_at: float) -> NewProgram:
     return NewProgram(asked.program_id, asked.demand.urgency, asked.demand.tenant, asked_at)
--- a/src/passlane/decisions/order/room_queue.py
+++ b/src/passlane/decisions/order/capacity_queue.py
@@ -37,7 +37,7 @@
     request_id
         ID for log lines.
     priority
-        Urgency of the request (``Identity.urgency_on``): the tenant's rank before the route's;
+        Urgency of the request (``Identity.queue_rank_on``): the tenant's rank before the route's;
         0 is the most urgent.
     arrived_at
         Arrival time of the request; keeps the calls of one program in order.
@@ -127,7 +127,9 @@
         if call in self._waiting:
             self._waiting.remove(call)
 
-    def take_turn(self, call: WaitingCall, pauses: PauseRange, now: float) -> RetryPermit | None:
+    def try_acquire_permit(
+        self, call: WaitingCall, pauses: PauseRange, now: float
+    ) -> RetryPermit | None:
         """Return a permit and remove the request if it may retry now; otherwise ``None``.
 
         The next request may retry once a refusal of this one would have been received.
--- a/src/passlane/decisions/order/service_room.py
+++ b/src/passlane/decisions/order/service_capacity.py
@@ -3,16 +3,21 @@
 Decides when a wait is abandoned and what retry-after time a refused caller gets. Owns one node's
 view of the service: response times (``decisions.backends.answer_times``), the choice among plain
 back ends (``decisions.placement.plain_placement``) and the queue of waiting requests
-(``decisions.order.room_queue``).
+(``decisions.order.capacity_queue``).
 """
 
 import math
 
 from passlane.decisions.backends.answer_times import AnswerTimes
 from passlane.decisions.failure.retry_after import retry_after_wait_s
-from passlane.decisions.order.room_queue import CapacityQueue, PauseRange, RetryPermit, WaitingCall
+from passlane.decisions.order.capacity_queue import (
+    CapacityQueue,
+    PauseRange,
+    RetryPermit,
+    WaitingCall,
+)
 from passlane.decisions.placement.plain_placement import PlainBackends
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 
 MIN_PAUSE_S = 0.003
 """Above the round trip to another zone, within which a refusal is received."""
@@ -22,7 +27,7 @@
 """Time for which the last wait that ended is used to estimate the next one."""
 
 
-class ServiceRoom:
+class ServiceCapacity:
     """Capacity of one service as one node sees it; all times are local.
 
     Parameters
@@ -40,7 +45,7 @@
         State of plain back ends, used to choose among them; ``None`` for model engines.
     """
 
-    def __init__(self, node: NodePlace, *, is_for_model: bool) -> None:
+    def __init__(self, node: NodeLocation, *, is_for_model: bool) -> None:
         self.times = AnswerTimes()
         self.plain = None if is_for_model else PlainBackends(node, self.times)
         self._queue = CapacityQueue(demotes_refused=is_for_model)
@@ -80,9 +85,9 @@
         """Remove a request that no longer waits."""
         self._queue.leave(call)
 
-    def take_turn(self, call: WaitingCall, now: float) -> RetryPermit | None:
+    def try_acquire_permit(self, call: WaitingCall, now: float) -> RetryPermit | None:
         """Return a permit and remove the request if it may retry now; otherwise ``None``."""
-        return self._queue.take_turn(call, self.pauses, now)
+        return self._queue.try_acquire_permit(call, self.pauses, now)
 
     def wakes_at(self, call: WaitingCall) -> float:
         """Return when a waiting request must check again whether it may retry."""
@@ -95,11 +100,11 @@
 
         Only slots of plain back ends are reassigned; engines have queues of their own.
         """
-        ratio = self.times.note(route, seconds)
+        ratio = self.times.record(route, seconds)
         self._queue.note_answered(now)
         if self.plain is None:
             return None
-        self.plain.note_answered(instance_id, ratio, now)
+        self.plain.record_answered(instance_id, ratio, now)
         return self._queue.offer(now)
 
     def offer(self, now: float) -> WaitingCall | None:
@@ -111,7 +116,7 @@
         self._last_wait_s = now - call.joined_at
         self._last_wait_at = now
 
-    def come_back_s(self, now: float, draw: float) -> float:
+    def retry_after_s(self, now: float, draw: float) -> float:
         """Return the retry-after time of a refused request, in seconds.
 
         The shortage is expected to last as long again as it has lasted so far: the maximum of the
--- a/src/passlane/decisions/scheduling/turn_scheduler.py
+++ b/src/passlane/decisions/scheduling/turn_scheduler.py
@@ -8,11 +8,11 @@
 decision                                       rule
 =============================================  =====================================
 whether the node chooses the engine            ``TurnScheduler.node_chooses``
-whether a turn must wait for others            ``turn_precedence.waits_for``
+whether a turn must wait for others            ``turn_precedence.find_wait_reason``
 order of the waiting turns                     ``turn_queue``
 engine of a turn                               ``turn_placement.choose_engine``
 whether an engine is usable                    ``engine_table.EngineTable.usable``
-whether a new program waits or is refused      ``turn_entry``, ``program_admission``
+whether a new program waits or is refused      ``turn_admission``, ``program_admission``
 expiry of a slot whose turn does not end       ``slot_assigner``
 =============================================  =====================================
 
@@ -28,16 +28,16 @@
 from passlane.decisions.backends.engine_table import EngineSlotState, EngineTable
 from passlane.decisions.backends.health import STALL_WEIGHT
 from passlane.decisions.inputs.turn_events import (
-    TurnAsked,
     TurnDecision,
     TurnEnded,
     TurnPlaced,
+    TurnRequested,
     TurnWithdrawn,
 )
 from passlane.decisions.order.program_progress import ProgramTable
 from passlane.decisions.scheduling.service_turns import ServiceTurns
 from passlane.decisions.scheduling.slot_assigner import SlotAssigner
-from passlane.decisions.scheduling.turn_entry import TurnEntry
+from passlane.decisions.scheduling.turn_admission import TurnAdmission
 from passlane.decisions.scheduling.turn_outcomes import (
     TurnOutcomes,
     is_complete_response,
@@ -45,12 +45,12 @@
 )
 from passlane.messages.listing import BackendRecord
 
-LEARNING_S = 0.6
+LEADER_WARMUP_S = 0.6
 """Seconds during which a new leader lets nodes choose the engines, because it does not know the
 running turns; nearly all of them end within this time."""
 
 
-class SchedulerFigures(msgspec.Struct, frozen=True):
+class SchedulerStats(msgspec.Struct, frozen=True):
     """Counts of the running and waiting turns of a service, for logs and metrics.
 
     The field names are those of the log line ``places``. ``told_to_return`` counts the refused
@@ -78,20 +78,20 @@
         self._programs = ProgramTable()
         self._services: dict[str, ServiceTurns] = {}
         self._slot_assigner = SlotAssigner(self._engines, self._programs)
-        self._admission = TurnEntry(self._engines, self._programs, self._slot_assigner)
+        self._admission = TurnAdmission(self._engines, self._programs, self._slot_assigner)
         self._outcomes = TurnOutcomes(self._engines)
         self._warmup_until = -math.inf
 
-    def begin(self, now: float) -> list[TurnDecision]:
+    def start_term(self, now: float) -> list[TurnDecision]:
         """Reset the state for a new leader, which does not know the running turns."""
         withdrawn: list[TurnDecision] = [
             TurnWithdrawn(turn.attempt_id)
             for service in self._services.values()
             for turn in service.queue.in_order(now)
         ]
-        self._engines.begin_anew()
+        self._engines.reset()
         self._services = {}
-        self._warmup_until = now + LEARNING_S
+        self._warmup_until = now + LEADER_WARMUP_S
         return withdrawn
 
     def replace_backends(self, records: Iterable[BackendRecord], now: float) -> list[TurnDecision]:
@@ -104,7 +104,7 @@
                 decisions += [_node_choice(t.attempt_id, now - t.arrived_at) for t in dequeued]
         return decisions + self._assign_all(now)
 
-    def ask(self, request: TurnAsked, now: float) -> list[TurnDecision]:
+    def request_slot(self, request: TurnRequested, now: float) -> list[TurnDecision]:
         """Place, queue or refuse a turn."""
         demand = request.demand
         service = self._service(demand.service)
@@ -132,34 +132,34 @@
         for service in self._services.values():
             if service.dequeue(ended.attempt_id):
                 return [TurnWithdrawn(ended.attempt_id)]
-        released = self._engines.give_back(ended.attempt_id)
+        released = self._engines.release(ended.attempt_id)
         if ended.outcome is not None:
             self._outcomes.record_failures(ended.attempt_id, ended.outcome, now)
-        slot = released or self._engines.take_expired(ended.attempt_id)
+        slot = released or self._engines.pop_expired(ended.attempt_id)
         if slot is None:
             return []
         self._programs.note_end(slot.turn.program_id, ended.served_by, now)
         service_name = slot.engine.record.service
         if ended.outcome is not None and is_complete_response(slot, ended):
             learn_speed(slot, ended.outcome, self._service(service_name).durations, now)
-            self._engines.note_served(slot.engine)
+            self._engines.record_served(slot.engine)
         return self._assign_free_slots(service_name, now) if released is not None else []
 
     def advance(self, now: float) -> list[TurnDecision]:
         """Release expired slots, refuse turns at their maximum wait, and assign free slots."""
-        self._engines.look_again()
+        self._engines.reevaluate_engines()
         for engine in self._engines.expire(now):
-            engine.health.note_failure(now, STALL_WEIGHT)
+            engine.health.record_failure(now, STALL_WEIGHT)
         decisions: list[TurnDecision] = []
         for service in self._services.values():
             decisions += self._admission.refuse_expired(service, now)
         return decisions + self._assign_all(now)
 
-    def figures(self, service_name: str) -> SchedulerFigures:
+    def stats(self, service_name: str) -> SchedulerStats:
         """Return the counts of running and waiting turns of a service."""
         service = self._services.get(service_name) or ServiceTurns(service_name)
         engines = self._engines.of_service(service_name)
-        return SchedulerFigures(
+        return SchedulerStats(
             engines=len(engines),
             slots=self._engines.all_slots(service_name),
             running=sum(len(engine.turns) for engine in engines),
--- a/src/passlane/relay/attempt.py
+++ b/src/passlane/relay/attempt.py
@@ -18,8 +18,12 @@
     is_gone,
     judge_answer,
 )
-from passlane.decisions.failure.resending import AfterBreak, after_break, leaves_silent_backend
-from passlane.decisions.placement.request_placement import note_failure, note_success
+from passlane.decisions.failure.resending import (
+    RetryDecision,
+    decide_after_failure,
+    leaves_silent_backend,
+)
+from passlane.decisions.placement.request_placement import record_failure, record_success
 from passlane.errors import Verdict
 from passlane.relay.attempt_history import AttemptHistory
 from passlane.relay.attempt_log import AttemptLabels, log_backend_refusal, log_untrusted_answer
@@ -113,7 +117,7 @@
         await deliver(answer, watch)
         if is_client_error(answer.head):
             self._history.record_rejected()
-        note_success(load)
+        record_success(load)
         return True
 
     def _record_refused(self, answer: BackendAnswer, load: BackendLoad) -> None:
@@ -134,17 +138,17 @@
         self, error: HttpConnectionError, load: BackendLoad, verdict_before: Verdict
     ) -> None:
         """Record a broken attempt; raise if the request must not be sent again."""
-        note_failure(load, anyio.current_time())
+        record_failure(load, anyio.current_time())
         self._history.record_broken(load.record.incarnation)
-        next_step = after_break(
+        next_step = decide_after_failure(
             self._context.route,
             self._history.runs,
             bytes_left=error.bytes_left,
             is_answer_final=self._history.is_answer_final,
         )
-        if next_step is AfterBreak.NOT_SENT:
+        if next_step is RetryDecision.NOT_SENT:
             self._history.verdict = verdict_before
             return
         self._history.runs += 1
-        if next_step is AfterBreak.FAIL:
-            raise RequestFailedError(RequestEndReason.BROKE_OFF, str(error)) from error
+        if next_step is RetryDecision.FAIL:
+            raise RequestFailedError(RequestEndReason.ATTEMPT_BROKEN, str(error)) from error
--- a/src/passlane/relay/attempt_log.py
+++ b/src/passlane/relay/attempt_log.py
@@ -2,8 +2,8 @@
 
 import msgspec
 
-from passlane.decisions.backends.registry import BackendLoad, ServiceJudgement
-from passlane.decisions.order.room_queue import RetryPermit
+from passlane.decisions.backends.registry import BackendLoad, ServiceHealth
+from passlane.decisions.order.capacity_queue import RetryPermit
 from passlane.decisions.placement.plain_placement import PlainChoice
 from passlane.decisions.placement.request_placement import PlacementChoice, PlacementKey
 from passlane.observability.logging import get_logger
@@ -29,7 +29,7 @@
     list_age_s: float | None = None
 
 
-def log_outliers(judgement: ServiceJudgement, *, request_id: str, service: str) -> None:
+def log_outliers(judgement: ServiceHealth, *, request_id: str, service: str) -> None:
     """Log which backends are outliers; decided in ``decisions.backends.health``."""
     _log.info(
         "outliers_changed",
@@ -86,7 +86,7 @@
         has_turn=permit is not None,
         offered=permit.offered if permit is not None else None,
         in_flight=choice.load.in_flight,
-        is_unsound=choice.rank.is_unsound,
+        is_unsound=choice.rank.is_unhealthy,
         is_beyond_subset=choice.rank.is_beyond_subset,
         expected_s=round(choice.rank.expected_s, 4),
         refusal_chance=round(choice.refusal_chance, 3),
--- a/src/passlane/relay/context.py
+++ b/src/passlane/relay/context.py
@@ -7,13 +7,13 @@
 
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.inputs.relayed_call import RelayedCall
-from passlane.decisions.placement.request_placement import NodePlace, PlacementKey
+from passlane.decisions.placement.request_placement import NodeLocation, PlacementKey
 from passlane.decisions.placement.shared_parts import large_shared_part
 from passlane.messages.placement import TurnDemand
 from passlane.messages.routes import Route, RoutedService
 from passlane.relay.backends import RelayBackends
+from passlane.relay.capacity_waits import CapacityWaits
 from passlane.relay.request_quota import RequestQuota
-from passlane.relay.room_waits import CapacityWaits
 from passlane.routes.tenants import Identity
 
 
@@ -25,7 +25,7 @@
     service: RoutedService
     identity: Identity
     quota: RequestQuota
-    node: NodePlace
+    node: NodeLocation
     registry: BackendRegistry
     backends: RelayBackends
     waits: CapacityWaits
@@ -48,7 +48,7 @@
         return TurnDemand(
             service=self.service.name,
             route=self.route.name,
-            urgency=self.identity.urgency_on(self.route),
+            urgency=self.identity.queue_rank_on(self.route),
             zone=self.node.zone,
             tenant=self.identity.tenant_name,
             prompt_tokens=sum(part.tokens for part in parts),
--- a/src/passlane/relay/end_reasons.py
+++ b/src/passlane/relay/end_reasons.py
@@ -79,7 +79,7 @@
     STORE_DID_NOT_ANSWER = ("store_{detail}", CallerResponse.REFUSAL, UNAVAILABLE, "turns.client")
     """The store group did not reserve the turn, or did not count the request against its quota; the
     detail is an ``ErrorCode``. For a further run that could not be counted, the verdict
-    determines the status (``relay.another_run``)."""
+    determines the status (``relay.rerun_admission``)."""
     QUOTA_SPENT = (
         "quota_spent",
         CallerResponse.REFUSAL,
@@ -87,11 +87,11 @@
         "decisions.limits.quota_ledger",
     )
     """The tenant's rate limit is exhausted: see the line ``quota_refused``. For a further run, the
-    verdict determines the status (``relay.another_run``)."""
+    verdict determines the status (``relay.rerun_admission``)."""
     BUDGET_SPENT = ("budget_spent", CallerResponse.REFUSAL, PAYMENT_REQUIRED, "turns.state")
     """The remaining budget of the program is less than the turn may generate: see the line
     ``budget_refused``. For a further run, the verdict determines the status
-    (``relay.another_run``)."""
+    (``relay.rerun_admission``)."""
     TURN_UNKNOWN = ("turn_unknown", CallerResponse.REFUSAL, NOT_FOUND, "turns.state")
     """The store group has no turn with the id that the request continues."""
     NO_ROOM = (
@@ -106,7 +106,7 @@
         "no back end took the request",
         CallerResponse.REFUSAL,
         UNAVAILABLE,
-        "decisions.order.service_room",
+        "decisions.order.service_capacity",
     )
     """The request did not run anywhere, and its remaining time is too short for an answer: see
     ``backend_refused`` for each attempt and ``room_wait_ended`` with ``has_turn`` false."""
@@ -114,10 +114,10 @@
         "no further back end took the request",
         CallerResponse.BY_VERDICT,
         None,
-        "decisions.order.service_room",
+        "decisions.order.service_capacity",
     )
     """As ``NO_BACK_END``, but after an attempt that may have run."""
-    BROKE_OFF = ("{detail}", CallerResponse.BY_VERDICT, None, "decisions.failure.resending")
+    ATTEMPT_BROKEN = ("{detail}", CallerResponse.BY_VERDICT, None, "decisions.failure.resending")
     """An attempt that may have run returned no complete answer, and no further attempt is allowed;
     the detail is the error of the connection (``HttpConnectionError``)."""
     OUT_OF_TIME = ("out_of_time", CallerResponse.BY_VERDICT, None, "relay.request")
@@ -135,13 +135,18 @@
     """The node is stopping. Only a request that did not run receives an answer."""
     CLIENT_LEFT = ("client_left", CallerResponse.NOTHING, None, "platform.client_ingress")
     """The caller closed its connection."""
-    CONNECTION_ENDED = ("{detail}", CallerResponse.NOTHING, None, "decisions.admission.held_bytes")
+    CONNECTION_ENDED = (
+        "{detail}",
+        CallerResponse.NOTHING,
+        None,
+        "decisions.admission.reader_buffers",
+    )
     """This node closed the connection of a slow reader: see the line ``answer_ended_unread``, whose
     reason is the detail."""
 
 
 class BreakReason(enum.Enum):
-    """Why the relay itself treats an attempt as broken; details of ``BROKE_OFF``.
+    """Why the relay itself treats an attempt as broken; details of ``ATTEMPT_BROKEN``.
 
     All other details are texts of ``HttpConnectionError``, which the HTTP client raises.
     """
--- a/src/passlane/relay/request_wait.py
+++ b/src/passlane/relay/request_wait.py
@@ -1,15 +1,15 @@
 """Lets one request wait for backend capacity while there is still time for an answer.
 
-Owns the request's entry among the waiting requests. Relies on ``relay.room_waits`` for the wait
-itself; ``decisions.order.room_queue`` decides which request tries next,
-``decisions.order.service_room`` and ``decisions.failure.client_timeout`` when a wait ends.
+Owns the request's entry among the waiting requests. Relies on ``relay.capacity_waits`` for the wait
+itself; ``decisions.order.capacity_queue`` decides which request tries next,
+``decisions.order.service_capacity`` and ``decisions.failure.client_timeout`` when a wait ends.
 """
 
 import anyio
 
-from passlane.decisions.backends.registry import ServiceJudgement
-from passlane.decisions.failure.client_timeout import hopeless_at
-from passlane.decisions.order.room_queue import RetryPermit, WaitingCall
+from passlane.decisions.backends.registry import ServiceHealth
+from passlane.decisions.failure.client_timeout import abandon_at
+from passlane.decisions.order.capacity_queue import RetryPermit, WaitingCall
 from passlane.errors import Verdict
 from passlane.relay.attempt_history import AttemptHistory
 from passlane.relay.context import RequestContext
@@ -38,7 +38,7 @@
         """Whether the request has started to wait, so that each further attempt needs a permit."""
         return self._waiting is not None
 
-    async def wait_for_permit(self, judgement: ServiceJudgement, limit_at: float) -> RetryPermit:
+    async def wait_for_permit(self, judgement: ServiceHealth, limit_at: float) -> RetryPermit:
         """Wait until the request may try again.
 
         Raises
@@ -75,21 +75,21 @@
         self._waiting = None
 
     def _create_waiting_call(
-        self, judgement: ServiceJudgement, limit_at: float, now: float
+        self, judgement: ServiceHealth, limit_at: float, now: float
     ) -> WaitingCall:
         context = self._context
         return WaitingCall(
             request_id=context.call.request_id,
-            priority=context.identity.urgency_on(context.route),
+            priority=context.identity.queue_rank_on(context.route),
             arrived_at=context.call.arrived_at,
             give_up_at=self._abandon_at(judgement, limit_at, now),
             joined_at=now,
         )
 
-    def _abandon_at(self, judgement: ServiceJudgement, limit_at: float, now: float) -> float:
+    def _abandon_at(self, judgement: ServiceHealth, limit_at: float, now: float) -> float:
         route = self._context.route
         has_forwarded = self._history.has_forwarded_events
-        return hopeless_at(
+        return abandon_at(
             route,
             whole_by=self._waits.queue.gives_up_at(route.name, limit_at),
             silent_since=now if has_forwarded else self._context.call.arrived_at,
--- a/src/passlane/relay/service.py
+++ b/src/passlane/relay/service.py
@@ -14,7 +14,7 @@
 from passlane.decisions.failure.retry_after import retry_after_outage_s
 from passlane.decisions.inputs.relayed_call import RelayedCall
 from passlane.decisions.limits.allowances import Allowances
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.messages.routes import Route, RouteConfiguration, RouteKind
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
@@ -22,7 +22,7 @@
 from passlane.relay.backends import AnswerWriter, RelayBackends
 from passlane.relay.context import RequestContext
 from passlane.relay.end_reasons import RequestEnd, RequestEndReason, end_of_connection
-from passlane.relay.own_answers import LocalResponses
+from passlane.relay.local_responses import LocalResponses
 from passlane.relay.progress import RequestProgress
 from passlane.relay.request import RequestRelay
 from passlane.relay.request_errors import Refusal, RequestRefusedError
@@ -61,13 +61,13 @@
         Task group for work that outlives a request.
     admission
         Decides which requests the node admits; without it, all are admitted.
-    asks_for_places
+    requests_placement
         Whether the leader of the store group orders and places turns.
     """
 
     def __init__(
         self,
-        node: NodePlace,
+        node: NodeLocation,
         registry: BackendRegistry,
         backends: RelayBackends,
         store: TurnStoreClient,
@@ -76,9 +76,9 @@
         random: Random,
         admission: NodeAdmission | None = None,
         *,
-        asks_for_places: bool = False,
+        requests_placement: bool = False,
     ) -> None:
-        self._requests_placement = asks_for_places
+        self._requests_placement = requests_placement
         self._node = node
         self._registry = registry
         self._backends = backends
@@ -228,7 +228,7 @@
         status = progress.status or (writer.status if writer.has_started else 0)
         if writer.is_finished and progress.tried:
             self._first_answer.set()
-        self._metrics.note_end(progress.kind, status, elapsed_s, progress.room_wait_s)
+        self._metrics.record_end(progress.kind, status, elapsed_s, progress.room_wait_s)
         _log.info(
             "request_ended",
             request_id=call.request_id,
--- a/src/passlane/relay/service_waits.py
+++ b/src/passlane/relay/service_waits.py
@@ -7,10 +7,10 @@
 
 import msgspec
 
-from passlane.decisions.order.service_room import ServiceRoom
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.order.service_capacity import ServiceCapacity
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.messages.routes import RoutedService
-from passlane.relay.room_waits import CapacityWaits
+from passlane.relay.capacity_waits import CapacityWaits
 
 
 class _ServiceKey(msgspec.Struct, frozen=True):
@@ -33,7 +33,7 @@
         Returns a uniform random number from 0 to 1, for jitter.
     """
 
-    def __init__(self, node: NodePlace, draw: Callable[[], float]) -> None:
+    def __init__(self, node: NodeLocation, draw: Callable[[], float]) -> None:
         self._node = node
         self._draw = draw
         self._by_service: dict[_ServiceKey, CapacityWaits] = {}
@@ -43,7 +43,7 @@
         key = _ServiceKey.of(service)
         waits = self._by_service.get(key)
         if waits is None:
-            queue = ServiceRoom(self._node, is_for_model=key.is_for_model)
+            queue = ServiceCapacity(self._node, is_for_model=key.is_for_model)
             waits = CapacityWaits(queue, self._draw)
             self._by_service[key] = waits
         return waits
--- a/src/passlane/relay/unread_answers.py
+++ b/src/passlane/relay/slow_reader_monitor.py
@@ -1,7 +1,7 @@
 """Monitors the answer bytes that callers leave unread, and closes connections that have stalled.
 
-Owns the last sample of each connection. ``decisions.admission.held_bytes`` decides what to do. Log
-lines: ``answer_ended_unread``, ``more_answers_ended``.
+Owns the last sample of each connection. ``decisions.admission.reader_buffers`` decides what to do.
+Log lines: ``answer_ended_unread``, ``more_answers_ended``.
 """
 
 from collections import Counter
@@ -9,7 +9,12 @@
 
 import msgspec
 
-from passlane.decisions.admission.held_bytes import Ending, HeldBytes, HeldBytesBounds, Instruction
+from passlane.decisions.admission.reader_buffers import (
+    Ending,
+    HeldBytesBounds,
+    Instruction,
+    ReaderBuffers,
+)
 from passlane.observability.logging import get_logger
 from passlane.runtime.interfaces import WatchedConnection
 
@@ -33,7 +38,7 @@
     is_held: bool = False
 
 
-class UnreadAnswers:
+class SlowReaderMonitor:
     """Monitors connections of callers; implements ``runtime.interfaces.ConnectionWatch``.
 
     Attributes
@@ -43,13 +48,13 @@
     """
 
     def __init__(self, bounds: HeldBytesBounds) -> None:
-        self._buffered = HeldBytes(bounds)
+        self._buffered = ReaderBuffers(bounds)
         self._watched: dict[Hashable, _Watched] = {}
         self._polled_at: float | None = None
         self.ended: Counter[str] = Counter()
 
     @property
-    def held_bytes(self) -> int:
+    def buffered_bytes(self) -> int:
         """Unread bytes of all callers at the last poll."""
         return self._buffered.total
 
@@ -66,7 +71,7 @@
         self._watched.pop(id(connection), None)
         self._buffered.closed(id(connection))
 
-    def look(self, now: float) -> None:
+    def poll(self, now: float) -> None:
         """Poll all connections once and apply the decisions."""
         if self._polled_at is not None and now - self._polled_at > MAX_POLL_GAP_S:
             self._buffered.skip(now - self._polled_at)
@@ -89,9 +94,9 @@
             return
         queued = written - watched.written
         flushed = watched.unread + queued - unread
-        instruction = self._buffered.taken(key, queued, now)
+        instruction = self._buffered.record_buffered(key, queued, now)
         if flushed > 0:
-            instruction = self._buffered.passed_on(key, flushed, now)
+            instruction = self._buffered.record_forwarded(key, flushed, now)
         watched.written = written
         watched.unread = unread
         self._apply(instruction, watched)
--- a/tests/decisions/backends/test_health.py
+++ b/tests/decisions/backends/test_health.py
@@ -11,7 +11,7 @@
     typical_latency_s,
 )
 from passlane.decisions.backends.registry import BackendLoad, BackendRegistry
-from passlane.decisions.placement.request_placement import NodePlace, PlacementKey
+from passlane.decisions.placement.request_placement import NodeLocation, PlacementKey
 from relay.fakes import backend, choose
 
 
@@ -19,7 +19,7 @@
     return find_outliers(backends, typical_latency_s(backends, now), now)
 
 
-HERE = NodePlace("node-1", "a")
+HERE = NodeLocation("node-1", "a")
 
 
 def answered(health, *, times=1, start=0.0, latency_s=0.05):
@@ -129,13 +129,13 @@
     def test_a_change_of_outliers_is_reported_once(self):
         registry = BackendRegistry()
         registry.update([backend(f"i-{number}") for number in range(3)], 0.0)
-        self.assertFalse(registry.judge("models", 0.0).has_changed)
+        self.assertFalse(registry.evaluate_health("models", 0.0).has_changed)
         watch = registry.of_service("models")[1].health.watch(0.0)
-        change = registry.judge("models", 1.0)
+        change = registry.evaluate_health("models", 1.0)
         self.assertTrue(change.has_changed)
         self.assertEqual((change.outliers, change.outliers_before), ({"i-1"}, frozenset()))
-        again = registry.judge("models", 1.1)
+        again = registry.evaluate_health("models", 1.1)
         self.assertFalse(again.has_changed)
         self.assertEqual(again.outliers, {"i-1"})
         watch.succeeded(1.2)
-        self.assertEqual(registry.judge("models", 1.2).outliers, frozenset())
+        self.assertEqual(registry.evaluate_health("models", 1.2).outliers, frozenset())
--- a/tests/decisions/placement/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -12,15 +12,15 @@
 import msgspec
 
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.order.room_queue import WaitingCall
-from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.order.capacity_queue import WaitingCall
+from passlane.decisions.order.service_capacity import ServiceCapacity
 from passlane.decisions.placement.plain_placement import PlainCall, PlainView
 from passlane.decisions.placement.request_placement import (
-    NodePlace,
+    NodeLocation,
     PlacementKey,
     choose_backend,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
@@ -136,11 +136,11 @@
     """A node with its registry, its connections and the state of its policy."""
 
     def __init__(self, name, zone, records):
-        self.location = NodePlace(name, zone)
+        self.location = NodeLocation(name, zone)
         self.registry = BackendRegistry()
         self.registry.update(records, 0.0)
         self.connections = Connections()
-        self.room = ServiceRoom(self.location, is_for_model=False)
+        self.room = ServiceCapacity(self.location, is_for_model=False)
         self.wake_at = math.inf
 
 
@@ -157,7 +157,7 @@
         simulation, node, now = self.simulation, call.node, self.simulation.now
         if call.ended_at is not None:
             return
-        judgement = node.registry.judge(SERVICE, now)
+        judgement = node.registry.evaluate_health(SERVICE, now)
         connected = {
             each.record.instance_id
             for each in judgement.loads
@@ -193,7 +193,7 @@
 
 
 class ServicePolicy:
-    """The policy of ``passlane.decisions.order.service_room``."""
+    """The policy of ``passlane.decisions.order.service_capacity``."""
 
     def __init__(self, simulation):
         self.simulation = simulation
@@ -206,7 +206,7 @@
         if not must_try and call.waiting is None and len(node.room):
             self._wait(call)
             return
-        judgement = node.registry.judge(SERVICE, now)
+        judgement = node.registry.evaluate_health(SERVICE, now)
         left_s = node.room.gives_up_at(call.kind.route, call.limit_at) - now
         plain_call = PlainCall(call.kind.route, call.kind.runs_once, left_s)
         connected = {
@@ -228,7 +228,7 @@
 
     def refused(self, call, backend_load):
         node, now = call.node, self.simulation.now
-        node.room.plain.note_refused(backend_load.record.instance_id, now)
+        node.room.plain.record_refused(backend_load.record.instance_id, now)
         if call.waiting is not None:
             call.waiting.refusals += 1
             self._wait(call)
@@ -237,7 +237,7 @@
 
     def broken(self, call, backend_load):
         call.waiting = None
-        call.node.room.plain.note_broken(backend_load.record.instance_id, self.simulation.now)
+        call.node.room.plain.record_broken(backend_load.record.instance_id, self.simulation.now)
         self.start(call)
 
     def answered(self, call, backend_load, seconds):
@@ -280,7 +280,7 @@
     def _refuse(self, call):
         room, now = call.node.room, self.simulation.now
         room.note_wait_ended(call.waiting, now)
-        call.retry_after_s = room.come_back_s(now, self.simulation.pause_random.random())
+        call.retry_after_s = room.retry_after_s(now, self.simulation.pause_random.random())
         self.simulation.end(call, is_served=False)
 
     def _schedule_wake(self, node):
@@ -297,7 +297,10 @@
             return
         node.wake_at = math.inf
         first = node.room.first
-        if first is not None and node.room.take_turn(first, self.simulation.now) is not None:
+        if (
+            first is not None
+            and node.room.try_acquire_permit(first, self.simulation.now) is not None
+        ):
             self.start(self.simulation.calls[int(first.request_id)], must_try=True)
         self._schedule_wake(node)
 
@@ -480,14 +483,14 @@
     def _broken(self, call, load, watch):
         load.in_flight -= 1
         watch.failed(self.now)
-        note_failure(load, self.now)
+        record_failure(load, self.now)
         if call.kind.runs_once:
             call.is_lost = True
             self.end(call, is_served=False)
         self.policy.broken(call, load)
 
     def _answered(self, call, load, watch, sent_at):
-        note_success(load)
+        record_success(load)
         load.in_flight -= 1
         watch.progressed(self.now)
         watch.succeeded(self.now)
--- a/tests/decisions/placement/test_turn_placement.py
+++ b/tests/decisions/placement/test_turn_placement.py
@@ -7,7 +7,7 @@
 
 from passlane.decisions.backends.engine_slots import EngineSlots, PlacedTurn
 from passlane.decisions.backends.speed import FleetSpeed
-from passlane.decisions.inputs.turn_events import TurnAsked
+from passlane.decisions.inputs.turn_events import TurnRequested
 from passlane.decisions.placement.shared_parts import MIN_LARGE_PART_TOKENS
 from passlane.decisions.placement.turn_placement import (
     INITIAL_DURATION_S,
@@ -29,7 +29,7 @@
     record = BackendRecord(name, "llm", address, zone, SLOTS, BackendState.READY)
     slots = EngineSlots(record, FleetSpeed())
     for number in range(running):
-        slots.take(
+        slots.assign(
             PlacedTurn(
                 attempt_id=f"{name}-{number}",
                 program_id="p",
@@ -43,9 +43,9 @@
     return slots
 
 
-def asked(*, used_last: str = "", **demand: object) -> TurnAsked:
+def asked(*, used_last: str = "", **demand: object) -> TurnRequested:
     facts: dict[str, object] = {"service": "llm", "route": "r", "urgency": 0, "zone": "a"}
-    return TurnAsked(
+    return TurnRequested(
         attempt_id="a",
         program_id="q",
         is_first=False,
@@ -56,7 +56,7 @@
 
 
 class ChooseEngineTest(unittest.TestCase):
-    def choice(self, turn: TurnAsked, *engines: EngineSlots) -> str:
+    def choice(self, turn: TurnRequested, *engines: EngineSlots) -> str:
         chosen = choose_engine(engines, turn, TurnDurations())
         return chosen.engine.incarnation if chosen is not None else ""
 
@@ -85,7 +85,7 @@
     def test_an_engine_with_the_cached_shared_prefix_is_preferred(self):
         cached = engine("e2")
         turn = asked(prompt_tokens=9_000, shared_part="part", shared_tokens=8_000)
-        cached.note_part(turn.demand)
+        cached.record_shared_part(turn.demand)
         self.assertEqual(self.choice(turn, engine("e1"), cached), "e2")
 
     def test_turns_are_queued_only_if_the_prompt_is_cached(self):
@@ -94,7 +94,7 @@
         self.assertEqual(self.choice(asked(used_last="e1"), full), "e1")
         part = asked(shared_part="part", shared_tokens=MIN_LARGE_PART_TOKENS)
         self.assertEqual(self.choice(part, full), "")
-        full.note_part(part.demand)
+        full.record_shared_part(part.demand)
         self.assertEqual(self.choice(part, full), "e1")
         small = asked(shared_part="part", shared_tokens=MIN_LARGE_PART_TOKENS - 1)
         self.assertEqual(self.choice(small, full), "")
--- a/tests/on_platform/test_client_ingress.py
+++ b/tests/on_platform/test_client_ingress.py
@@ -145,7 +145,7 @@
         async def abort(writer):
             await writer.start(200, (), None)
             await writer.write(b"half")
-            raise AnswerAbortedError(RequestEnd(RequestEndReason.BROKE_OFF, "broken"))
+            raise AnswerAbortedError(RequestEnd(RequestEndReason.ATTEMPT_BROKEN, "broken"))
 
         client = Client()
         serve(FakeRelay(abort), client)
--- a/tests/on_platform/test_quotas.py
+++ b/tests/on_platform/test_quotas.py
@@ -245,7 +245,7 @@
 
     @on_seeds()
     async def test_a_leader_without_replicated_grants_is_detected(self, fleet):
-        with mock.patch.object(QuotaLedger, "note_replicated"):
+        with mock.patch.object(QuotaLedger, "apply_replicated"):
             await flood_around_a_restart(fleet)
         self.assertGreater(max_runs_in_window(fleet), max_allowed_runs(CORNER))
 
--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -15,7 +15,7 @@
 from on_platform.test_deploy import FILLED_TEMPLATE, NODE_ADDRESSES
 from passlane.daemon.fleet.node_bounds import NodeBounds
 from passlane.decisions.backends.registry import BackendRegistry
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.messages.common import Address
 from passlane.messages.listing import BackendRecord, BackendState
 from passlane.messages.routes import RouteKind
@@ -117,7 +117,7 @@
         bounds = NodeBounds(settings(), Metrics())
         async with anyio.create_task_group() as tasks:
             relay = RelayService(
-                NodePlace("n", "a"),
+                NodeLocation("n", "a"),
                 registry,
                 EngineClient(SingleConnectionHttpClient(TcpNetwork())),
                 ScriptedStore(),
@@ -153,11 +153,11 @@
                 with anyio.fail_after(STALL_S + TIMING_MARGIN_S):
                     while not bounds.unread.ended or engine.closed == 0:
                         await self.check_other_callers_are_served(address)
-                        max_unread_bytes = max(max_unread_bytes, bounds.unread.held_bytes)
+                        max_unread_bytes = max(max_unread_bytes, bounds.unread.buffered_bytes)
                         await anyio.sleep(0.1)
-                self.assertEqual(bounds.unread.held_bytes, 0)
+                self.assertEqual(bounds.unread.buffered_bytes, 0)
                 self.assertEqual(bounds.unread.ended, {"reader_stopped": 1})
-                self.assertEqual(bounds.admission.under_way, 0)
+                self.assertEqual(bounds.admission.in_flight, 0)
                 self.assertEqual(engine.closed, 1)
                 stopped.close()
 
--- a/tests/recorded_decisions/engine_choice_load.py
+++ b/tests/recorded_decisions/engine_choice_load.py
@@ -16,14 +16,14 @@
     BackendRecord,
     BackendRegistry,
     BackendState,
-    NodePlace,
+    NodeLocation,
     PlacementChoice,
     PlacementKey,
-    ServiceJudgement,
+    ServiceHealth,
     choose_backend,
     congestion_level,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
     stall_limit_s,
 )
 from recorded_decisions.recording import Step
@@ -38,7 +38,7 @@
 MAX_TRIES = 3
 SERVICES = {"model": 7, "plain": 6}
 ZONES = "abb"
-HERE = NodePlace("node-1", "a")
+HERE = NodeLocation("node-1", "a")
 
 
 @dataclass
@@ -104,7 +104,7 @@
         """Record the health of all back ends of a service."""
         self.later(LOOK_PERIOD_S, self.look)
         service = self.random.choice(tuple(SERVICES))
-        judged = self.registry.judge(service, self.now)
+        judged = self.registry.evaluate_health(service, self.now)
         shown = [self.health_of(load, judged.typical_s) for load in judged.loads]
         return self.step("look", service, [judged, judged.has_changed, shown])
 
@@ -115,7 +115,7 @@
             load.failures,
             load.avoid_until,
             health.latency_s(now),
-            health.longest_wait_s(now),
+            health.max_wait_s(now),
             health.is_failing(now),
             health.is_slow(now, typical_s),
             health.is_stalled(now, stall_limit_s(typical_s)),
@@ -144,7 +144,7 @@
         )
 
     def send(self, request: _Request) -> Step | None:
-        judged = self.registry.judge(request.service, self.now)
+        judged = self.registry.evaluate_health(request.service, self.now)
         choice = self.choose(request, judged)
         if choice is not None:
             self.begin(request, choice.load)
@@ -152,7 +152,7 @@
         kind = "choose none" if choice is None else kind
         return self.step(kind, request.key, [judged, choice])
 
-    def choose(self, request: _Request, judged: ServiceJudgement) -> PlacementChoice | None:
+    def choose(self, request: _Request, judged: ServiceHealth) -> PlacementChoice | None:
         connected = [name for name in self.names_of(judged) if self.random.random() < 0.4]
         return choose_backend(
             judged.loads,
@@ -165,7 +165,7 @@
         )
 
     @staticmethod
-    def names_of(judged: ServiceJudgement) -> list[str]:
+    def names_of(judged: ServiceHealth) -> list[str]:
         return [load.record.instance_id for load in judged.loads]
 
     def begin(self, request: _Request, load: BackendLoad) -> None:
@@ -202,7 +202,7 @@
         attempt.watch.progressed(self.now)
         attempt.watch.succeeded(self.now)
         attempt.watch.failed(self.now)
-        note_success(attempt.load)
+        record_success(attempt.load)
         if self.random.random() < 0.03:
             self.registry.remove(attempt.load.record.instance_id)
         return self.ended("succeeded", attempt)
@@ -210,7 +210,7 @@
     def fail(self, attempt: _Attempt) -> Step:
         attempt.watch.failed(self.now)
         attempt.watch.dropped(self.now + 9.0, stall_limit_s(0.1))
-        note_failure(attempt.load, self.now)
+        record_failure(attempt.load, self.now)
         if len(attempt.request.tried) < MAX_TRIES:
             self.later(0.01, lambda: self.send(attempt.request))
         return self.ended("failed", attempt)
--- a/tests/recorded_decisions/names.py
+++ b/tests/recorded_decisions/names.py
@@ -10,7 +10,7 @@
 from passlane.decisions.admission.program_admission import retry_after as promise_retry_after
 from passlane.decisions.backends.engine_slots import EngineSlots, PlacedTurn
 from passlane.decisions.backends.health import AttemptWatch, congestion_level, stall_limit_s
-from passlane.decisions.backends.registry import BackendLoad, BackendRegistry, ServiceJudgement
+from passlane.decisions.backends.registry import BackendLoad, BackendRegistry, ServiceHealth
 from passlane.decisions.backends.speed import FleetSpeed
 from passlane.decisions.failure.client_timeout import first_part_due_at
 from passlane.decisions.failure.retry_after import retry_after_outage_s as outage_retry_after_s
@@ -46,28 +46,28 @@
     SchedulerConfig,
 )
 from passlane.decisions.inputs.turn_events import (
-    TurnAsked,
     TurnEnded,
     TurnNotPlaced,
     TurnPlaced,
+    TurnRequested,
     TurnWithdrawn,
 )
 from passlane.decisions.limits.quota_ledger import QuotaLedger, QuotaRules
-from passlane.decisions.order.room_queue import PauseRange, WaitingCall
-from passlane.decisions.order.room_queue import RetryPermit as RoomTurn
-from passlane.decisions.order.service_room import ServiceRoom
+from passlane.decisions.order.capacity_queue import PauseRange, WaitingCall
+from passlane.decisions.order.capacity_queue import RetryPermit as RoomTurn
+from passlane.decisions.order.service_capacity import ServiceCapacity
 from passlane.decisions.placement.plain_placement import PlainCall, PlainChoice, PlainView
 from passlane.decisions.placement.request_placement import (
-    NodePlace,
+    NodeLocation,
     PlacementChoice,
     PlacementKey,
     choose_backend,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 from passlane.decisions.placement.turn_placement import EngineChoice, TurnDurations, choose_engine
 from passlane.decisions.scheduling.call_scheduler import Scheduler
-from passlane.decisions.scheduling.turn_scheduler import SchedulerFigures, TurnScheduler
+from passlane.decisions.scheduling.turn_scheduler import SchedulerStats, TurnScheduler
 from passlane.identifiers import CallId, EngineId, ProgramId, TenantId
 from passlane.messages.backends import (
     CacheEntry,
@@ -124,7 +124,7 @@
     "MoveCache",
     "NodeCapacity",
     "NodeLoad",
-    "NodePlace",
+    "NodeLocation",
     "NodeReading",
     "Ordering",
     "PauseRange",
@@ -155,20 +155,20 @@
     "RouteKind",
     "Scheduler",
     "SchedulerConfig",
-    "SchedulerFigures",
-    "ServiceJudgement",
-    "ServiceRoom",
+    "SchedulerStats",
+    "ServiceCapacity",
+    "ServiceHealth",
     "StartCall",
     "TenantId",
     "TenantUsage",
     "TimeAdvanced",
-    "TurnAsked",
     "TurnDemand",
     "TurnDurations",
     "TurnEnded",
     "TurnNotPlaced",
     "TurnOutcome",
     "TurnPlaced",
+    "TurnRequested",
     "TurnScheduler",
     "TurnWithdrawn",
     "WaitingCall",
@@ -178,10 +178,10 @@
     "choose_engine",
     "congestion_level",
     "first_part_due_at",
-    "note_failure",
-    "note_success",
     "outage_retry_after_s",
     "promise_retry_after",
+    "record_failure",
+    "record_success",
     "stall_limit_s",
 ]
 
@@ -201,8 +201,8 @@
     QuotaGranted: "granted",
     QuotaRefused: "refused",
     RoomTurn: "turn",
-    SchedulerFigures: "figures",
-    ServiceJudgement: "judgement",
+    SchedulerStats: "figures",
+    ServiceHealth: "judgement",
     TenantUsage: "usage",
     TurnNotPlaced: "not placed",
     TurnPlaced: "placed",
--- a/tests/recorded_decisions/room_load.py
+++ b/tests/recorded_decisions/room_load.py
@@ -16,14 +16,14 @@
     BackendRecord,
     BackendRegistry,
     BackendState,
-    NodePlace,
+    NodeLocation,
     PlainCall,
     PlainView,
     RoomTurn,
-    ServiceRoom,
+    ServiceCapacity,
     WaitingCall,
-    note_failure,
-    note_success,
+    record_failure,
+    record_success,
 )
 from recorded_decisions.recording import Step
 from recorded_decisions.world import World
@@ -39,7 +39,7 @@
 """Time for which a back end is silent before its connection breaks."""
 BACKENDS = 19
 FEW_BACKENDS = 4
-HERE = NodePlace("node-1", "a")
+HERE = NodeLocation("node-1", "a")
 ROUTES = {"short": 0.02, "long": 0.08}
 
 
@@ -61,7 +61,7 @@
     def __init__(self, seed: int, *, is_for_model: bool) -> None:
         super().__init__(seed)
         self.registry = BackendRegistry()
-        self.room = ServiceRoom(HERE, is_for_model=is_for_model)
+        self.room = ServiceCapacity(HERE, is_for_model=is_for_model)
         self.calls: dict[WaitingCall, _Call] = {}
         self.later(0.0, self.list_backends)
         self.later(0.01, self.look)
@@ -140,7 +140,7 @@
         return self.step(kind, plain_call, [turn, choice])
 
     def view(self) -> PlainView:
-        judged = self.registry.judge("service", self.now)
+        judged = self.registry.evaluate_health("service", self.now)
         names = [load.record.instance_id for load in judged.loads]
         connected = [name for name in names if self.random.random() < 0.5]
         return PlainView(judged.loads, self.now, connected, judged.outliers)
@@ -169,7 +169,7 @@
         seconds = self.now - watch.started_at
         watch.progressed(self.now)
         watch.succeeded(self.now)
-        note_success(load)
+        record_success(load)
         instance_id = load.record.instance_id
         first = self.room.note_answered(instance_id, call.route, seconds, self.now)
         self.reassign_slot(first, instance_id)
@@ -186,7 +186,7 @@
         watch.dropped(self.now, PHASE_S)
         call.tried.append(load.record.instance_id)
         if self.room.plain is not None:
-            self.room.plain.note_refused(load.record.instance_id, self.now)
+            self.room.plain.record_refused(load.record.instance_id, self.now)
         if len(call.tried) < 3 and self.room.plain is not None:
             self.later(0.0, lambda: self.request_capacity(call, None))
         else:
@@ -196,9 +196,9 @@
     def break_off(self, call: _Call, load: BackendLoad, watch: AttemptWatch) -> Step:
         load.in_flight -= 1
         watch.failed(self.now)
-        note_failure(load, self.now)
+        record_failure(load, self.now)
         if self.room.plain is not None:
-            self.room.plain.note_broken(load.record.instance_id, self.now)
+            self.room.plain.record_broken(load.record.instance_id, self.now)
         first = self.room.offer(self.now)
         self.reassign_slot(first, load.record.instance_id)
         return self.step("broken off", load.record, [first])
@@ -218,7 +218,7 @@
     def wake(self, call: _Call) -> Step | None:
         if not call.is_waiting:
             return None
-        turn = self.room.take_turn(call.waiting, self.now)
+        turn = self.room.try_acquire_permit(call.waiting, self.now)
         if turn is not None:
             self.stop_waiting(call)
             self.later(0.0, lambda: self.request_capacity(call, turn))
@@ -235,7 +235,7 @@
         self.room.leave(call.waiting)
         self.room.leave(call.waiting)
         self.stop_waiting(call)
-        come_back_s = self.room.come_back_s(self.now, self.random.random())
+        come_back_s = self.room.retry_after_s(self.now, self.random.random())
         return self.step("given up", call.waiting, [come_back_s, len(self.room)])
 
     def stop_waiting(self, call: _Call) -> None:
--- a/tests/relay/test_end_reasons.py
+++ b/tests/relay/test_end_reasons.py
@@ -5,7 +5,7 @@
 from importlib.util import find_spec
 from pathlib import Path
 
-from passlane.decisions.admission import held_bytes
+from passlane.decisions.admission import reader_buffers
 from passlane.decisions.failure.answer_verdicts import NOT_RUN_STATUSES
 from passlane.relay.end_reasons import (
     BreakReason,
@@ -32,7 +32,7 @@
     RequestEndReason.NO_ROOM: "no_room",
     RequestEndReason.NO_BACK_END: "no back end took the request",
     RequestEndReason.NO_FURTHER_BACK_END: "no further back end took the request",
-    RequestEndReason.BROKE_OFF: "timeout",
+    RequestEndReason.ATTEMPT_BROKEN: "timeout",
     RequestEndReason.OUT_OF_TIME: "out_of_time",
     RequestEndReason.TURN_NOT_DURABLE: "turn_not_durable_timeout",
     RequestEndReason.STOPPED: "stopped",
@@ -58,7 +58,7 @@
         )
 
     def test_a_detail_with_braces_is_unchanged(self):
-        self.assertEqual(RequestEnd(RequestEndReason.BROKE_OFF, "{0} {x}").text, "{0} {x}")
+        self.assertEqual(RequestEnd(RequestEndReason.ATTEMPT_BROKEN, "{0} {x}").text, "{0} {x}")
 
     def test_each_reason_names_an_existing_module(self):
         for reason in RequestEndReason:
@@ -97,7 +97,7 @@
 
     def test_every_reason_has_a_row(self):
         texts = [RequestEnd(reason, "...").text for reason in RequestEndReason]
-        texts += [end_reason.value for end_reason in held_bytes.EndReason]
+        texts += [end_reason.value for end_reason in reader_buffers.EndReason]
         missing = [text for text in texts if text != "..." and f"`{text}`" not in self.section]
         self.assertEqual(missing, [])
 
@@ -111,9 +111,9 @@
 class ErrorTest(unittest.TestCase):
     def test_errors_carry_the_reason_as_their_code(self):
         refused = RequestRefusedError(Refusal.of(RequestEndReason.NO_ROOM, 0.5))
-        failed = RequestFailedError(RequestEndReason.BROKE_OFF, "reset")
+        failed = RequestFailedError(RequestEndReason.ATTEMPT_BROKEN, "reset")
         self.assertEqual((refused.code, str(refused)), (RequestEndReason.NO_ROOM, "no_room"))
-        self.assertEqual((failed.code, str(failed)), (RequestEndReason.BROKE_OFF, "reset"))
+        self.assertEqual((failed.code, str(failed)), (RequestEndReason.ATTEMPT_BROKEN, "reset"))
 
     def test_a_refusal_has_the_status_of_its_reason(self):
         refusal = Refusal.of(RequestEndReason.QUOTA_SPENT, 0.5)
@@ -125,7 +125,7 @@
         self.assertEqual(end_of_connection("client_left").reason, RequestEndReason.CLIENT_LEFT)
 
     def test_a_connection_closed_by_the_node_keeps_its_reason(self):
-        for end_reason in held_bytes.EndReason:
+        for end_reason in reader_buffers.EndReason:
             end = end_of_connection(end_reason.value)
             self.assertEqual(end.reason, RequestEndReason.CONNECTION_ENDED)
             self.assertEqual(end.text, end_reason.value)
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -13,12 +13,12 @@
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.failure.retry_after import (
     LONGEST_OUTAGE_RETRY_S,
-    LONGEST_ROOM_RETRY_S,
+    MAX_CAPACITY_RETRY_S,
     ROOM_RETRY_SPREAD,
     SHORTEST_OUTAGE_RETRY_S,
 )
 from passlane.decisions.inputs.relayed_call import PromptPart
-from passlane.decisions.placement.request_placement import NodePlace
+from passlane.decisions.placement.request_placement import NodeLocation
 from passlane.messages.listing import BackendState
 from passlane.messages.placement import TurnRefused
 from passlane.messages.quotas import QuotaGranted, QuotaRefused, QuotaUse
@@ -69,7 +69,7 @@
         store=None,
         records=None,
         tenants=(),
-        asks_for_places=False,
+        requests_placement=False,
         stops_after_s=math.inf,
         has_disconnected=False,
         **route_changes,
@@ -86,7 +86,7 @@
             registry.update(made, anyio.current_time())
             async with anyio.create_task_group() as tasks:
                 service = RelayService(
-                    NodePlace("node-1", "a"),
+                    NodeLocation("node-1", "a"),
                     registry,
                     self.backends,
                     self.store,
@@ -94,7 +94,7 @@
                     Metrics(),
                     random.Random(1),
                     self.admission,
-                    asks_for_places=asks_for_places,
+                    requests_placement=requests_placement,
                 )
                 configured = configuration(route(**route_changes), tenants=tenants)
                 service.replace_configuration(configured)
@@ -136,7 +136,7 @@
 
     def test_a_refusal_after_a_long_wait_has_the_maximum_retry_after(self):
         self.relay([Script(AT_CAPACITY)] * 400)
-        spread = self.writer.retry_after_s / LONGEST_ROOM_RETRY_S
+        spread = self.writer.retry_after_s / MAX_CAPACITY_RETRY_S
         self.assertTrue(1.0 <= spread <= 1.0 + ROOM_RETRY_SPREAD)
 
     def test_a_slot_that_is_freed_after_many_attempts_is_used(self):
@@ -419,7 +419,7 @@
             registry.update([backend("i-1")], anyio.current_time())
             async with anyio.create_task_group() as tasks:
                 service = RelayService(
-                    NodePlace("node-1", "a"),
+                    NodeLocation("node-1", "a"),
                     registry,
                     ScriptedBackends(Script(head(), b"ok")),
                     ScriptedStore(),
@@ -470,7 +470,7 @@
             backends = ScriptedBackends(Script(head(), b"ok", delay_s=0.2))
             async with anyio.create_task_group() as tasks:
                 service = RelayService(
-                    NodePlace("node-1", "a"),
+                    NodeLocation("node-1", "a"),
                     registry,
                     backends,
                     ScriptedStore(),
@@ -533,7 +533,7 @@
             registry.update([backend("i-1", service="tools", slots=1)], anyio.current_time())
             async with anyio.create_task_group() as tasks:
                 service = RelayService(
-                    NodePlace("node-1", "a"),
+                    NodeLocation("node-1", "a"),
                     registry,
                     self.backends,
                     ScriptedStore(),
@@ -673,7 +673,7 @@
             scripts,
             call_changes=self.changes,
             store=store,
-            asks_for_places=True,
+            requests_placement=True,
             **(TURNS | {"keeps_turns": False, "max_attempts": 2} | changes),
         )
         return store
@@ -688,7 +688,7 @@
     def test_requests_are_ordered_by_the_tenants_priority_and_then_by_the_routes(self):
         identities = [Identity(Tenant(name="t", priority=rank)) for rank in (0, 1)]
         orders = [
-            (identity.urgency_on(route(priority=priority)), identity.engine_priority_on(
+            (identity.queue_rank_on(route(priority=priority)), identity.engine_priority_on(
                 route(priority=priority)
             ))
             for identity in identities
