--- a/src/passlane/messages/backends.py
+++ b/src/passlane/messages/backends.py
@@ -1,7 +1,7 @@
-"""JSON bodies of the back ends' published protocols (see docs/design/backend-protocols.md).
+"""JSON bodies of the protocols that engines, applications and the platform speak.
 
-Engines speak the well-known chat-completions format with extra fields that are
-described here; applications speak a small JSON protocol over HTTP.
+Engines use the chat-completions format with the extra fields described here.
+Applications use a small JSON protocol over HTTP.
 """
 
 import enum
@@ -15,10 +15,18 @@
 class EngineChatRequest(msgspec.Struct, frozen=True, omit_defaults=True):
     """``POST /v1/chat/completions`` at an engine; always streamed.
 
-    ``attempt_id`` names this try, also for ``POST /v1/cancel``; ``priority`` is lower for
-    more urgent; ``resume_from`` is the number of tokens already received of an answer
-    whose text so far is ``resume_text``; ``program_id`` keys held cache memory.
-    ``epoch`` is the fencing token of the program's leader.
+    Attributes
+    ----------
+    attempt_id
+        Identifies this attempt, also for ``POST /v1/cancel``.
+    program_id
+        Program whose prefix the engine caches.
+    epoch
+        Fencing token of the program's leader.
+    priority
+        A lower value is more urgent.
+    resume_from, resume_text
+        Number of tokens already received of this answer, and their text.
     """
 
     model: str
@@ -35,7 +43,7 @@
 
 
 class EngineChunk(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One server-sent event: a token, or with ``finish_reason`` the end and its usage."""
+    """One server-sent event: a token, or with ``finish_reason`` the end and the usage."""
 
     attempt_id: str
     position: int = 0
@@ -48,16 +56,16 @@
 
 
 class EngineCancel(msgspec.Struct, frozen=True):
-    """``POST /v1/cancel``: stop an attempt and free its batch slot."""
+    """``POST /v1/cancel``: stops an attempt and frees its batch slot."""
 
     attempt_id: str
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
-    """``GET /v1/load``: load as it was a while ago (``age_s`` seconds).
+    """``GET /v1/load``: the engine's load as of ``age_s`` seconds ago.
 
-    ``last_cache_event`` is the number of the newest published cache event, which spares
-    readers a request when there is none they lack; ``None`` if the engine does not say.
+    ``last_cache_event`` is the number of the newest published cache event, ``None`` if the
+    engine does not report it. A reader that has this event need not request further ones.
     """
 
     engine_id: EngineId
@@ -79,7 +87,10 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """One cache event; ``number`` counts by one within an incarnation, gaps mean loss."""
+    """One cache event.
+
+    ``number`` increases by 1 within an incarnation; a gap means that events were lost.
+    """
 
     number: int
     kind: CacheEventKind
@@ -88,14 +99,14 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """``GET /v1/cache/events?after=N``: events published so far after number N."""
+    """``GET /v1/cache/events?after=N``: the published events with numbers above N."""
 
     incarnation: int
     events: tuple[CacheEvent, ...]
 
 
 class CacheEntry(msgspec.Struct, frozen=True):
-    """Tokens of a program's prefix held in an engine's cache."""
+    """Number of tokens of a program's prefix in an engine's cache."""
 
     program_id: ProgramId
     tokens: int
@@ -110,7 +121,7 @@
 
 
 class OrderKind(enum.StrEnum):
-    """Fenced orders to engines."""
+    """Kinds of orders to engines; each order carries a fencing token."""
 
     RELEASE_PROGRAM = "release_program"
     LOAD_MODEL = "load_model"
@@ -123,9 +134,9 @@
 class EngineOrder(msgspec.Struct, frozen=True, omit_defaults=True):
     """``POST /v1/orders``: an order with its fencing token.
 
-    The engine keeps the highest token for each ``scope`` (for example
-    ``program:ID``, ``engine``) and refuses lower ones with status 409. ``argument`` is
-    a model, a role, or the address to import from.
+    The engine keeps the maximum token of each ``scope`` (for example ``program:ID``,
+    ``engine``) and refuses an order with a lower one with status 409. ``argument`` is a
+    model, a role, or the address to import from.
     """
 
     kind: OrderKind
@@ -136,7 +147,7 @@
 
 
 class OrderReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer to an order; ``highest_token`` is what the engine has seen for the scope."""
+    """Answer to an order; ``highest_token`` is the maximum token received for its scope."""
 
     done: bool
     incarnation: int
@@ -147,7 +158,8 @@
 class ToolRequest(msgspec.Struct, frozen=True):
     """``POST /v1/tools/{tool}`` at an application, with header ``Idempotency-Key``.
 
-    ``operation_id`` equals the key: the call's id, the same for each attempt.
+    ``operation_id`` equals the idempotency key. It is the call's id and is the same for
+    each attempt.
     """
 
     operation_id: str
@@ -165,10 +177,10 @@
 
 
 class ToolReply(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Answer of a tool or of a status query; ``UNKNOWN`` proves that it never ran here.
+    """Answer to a tool request or to a status query.
 
-    An application answers ``UNKNOWN`` to a status query only after it has made sure
-    that a later arrival of the same operation is refused.
+    ``UNKNOWN`` proves that the operation has not run: an application answers so only after
+    it has made sure that a later request for the same operation is refused.
     """
 
     operation_id: str
@@ -177,7 +189,7 @@
 
 
 class LedgerLine(msgspec.Struct, frozen=True):
-    """``GET /v1/ledger`` lists one line for each time an operation really ran."""
+    """One line of ``GET /v1/ledger``, which has a line for each run of an operation."""
 
     operation_id: str
     tool: str
@@ -185,7 +197,7 @@
 
 
 class PlatformMachine(msgspec.Struct, frozen=True):
-    """One machine on the platform's lagging list (``GET /v1/machines``)."""
+    """One machine of the platform's list (``GET /v1/machines``), which may be stale."""
 
     name: str
     state: str
@@ -193,7 +205,10 @@
 
 
 class PlatformList(msgspec.Struct, frozen=True):
-    """The platform's list; ``state`` of a machine is ``live`` or ``leaving``."""
+    """The platform's list of machines, ``age_s`` seconds old.
+
+    The ``state`` of a machine is ``live`` or ``leaving``.
+    """
 
     machines: tuple[PlatformMachine, ...]
     age_s: float = 0.0
--- a/src/passlane/messages/base.py
+++ b/src/passlane/messages/base.py
@@ -1,7 +1,7 @@
-"""Base class of messages, and the codec for them (MessagePack by msgspec).
+"""Base class of messages, and their codec (MessagePack with msgspec).
 
-A message is encoded as a map whose key ``type`` holds the class name, so a
-decoder for a union of classes picks the right one.
+A message is encoded as a map whose key ``type`` holds the class name, which selects the
+class when a union of message classes is decoded.
 """
 
 from typing import Any
@@ -17,7 +17,7 @@
 
 
 def encode_message(message: msgspec.Struct) -> bytes:
-    """Return the MessagePack encoding of ``message``, with its type tag."""
+    """Return the MessagePack encoding of ``message``, including its type tag."""
     return _encoder.encode(message)
 
 
@@ -27,6 +27,6 @@
     Raises
     ------
     msgspec.ValidationError, msgspec.DecodeError
-        By the decoder, when the bytes do not hold one of the classes.
+        Raised by the decoder when the bytes are not a valid message of one of the classes.
     """
     return msgspec.msgpack.Decoder(union)
--- a/src/passlane/messages/common.py
+++ b/src/passlane/messages/common.py
@@ -1,4 +1,4 @@
-"""Values that several kinds of messages share."""
+"""Value types and the error reply that several message modules share."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class Address(msgspec.Struct, frozen=True, order=True):
-    """An IP number and a port."""
+    """A host (an IP address) and a port."""
 
     host: str
     port: int
@@ -18,7 +18,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Return the address written as ``host:port``; raise ``ValueError`` otherwise."""
+        """Return the address given as ``host:port``; raise ``ValueError`` for other text."""
         host, separator, port = text.rpartition(":")
         if not separator or not host or not port.isdigit():
             raise ValueError(f"expected host:port, got {text!r}")
@@ -26,10 +26,10 @@
 
 
 class NotLeaderError(PasslaneError):
-    """The request must go to the leader; ``leader`` is its address as far as known.
+    """The receiver does not lead; ``leader`` is the leader's address, ``None`` if unknown.
 
-    ``verdict`` is other than ``not_run`` when a leader has lost its office with the request
-    under way.
+    ``verdict`` differs from ``not_run`` when the receiver lost its leadership while it
+    processed the request.
     """
 
     def __init__(
@@ -40,7 +40,10 @@
 
 
 def error_with_verdict(error: PasslaneError, verdict: Verdict) -> PasslaneError:
-    """Return the error; where it says ``not_run``, with ``verdict`` instead."""
+    """Return ``error`` with ``verdict`` in place of ``not_run``.
+
+    An error with another verdict than ``not_run`` is returned unchanged.
+    """
     if error.verdict is not Verdict.NOT_RUN or verdict is Verdict.NOT_RUN:
         return error
     if isinstance(error, NotLeaderError):
@@ -51,7 +54,7 @@
 
 
 class ErrorReply(Message, frozen=True):
-    """An error as it travels between processes; see ``passlane.errors``."""
+    """A ``PasslaneError`` as it is sent between processes."""
 
     code: ErrorCode
     message: str
@@ -60,7 +63,7 @@
     leader_hint: Address | None = None
 
     def to_exception(self) -> PasslaneError:
-        """Return the exception that this reply stands for."""
+        """Return the exception that this reply describes."""
         if self.code is ErrorCode.NOT_LEADER:
             return NotLeaderError(self.message, self.leader_hint, verdict=self.verdict)
         return PasslaneError(
@@ -72,7 +75,7 @@
 
     @classmethod
     def from_exception(cls, error: PasslaneError) -> "ErrorReply":
-        """Return the reply that stands for ``error``."""
+        """Return the reply that describes ``error``."""
         return cls(
             code=error.code,
             message=error.message,
@@ -83,7 +86,7 @@
 
 
 class Amounts(msgspec.Struct, frozen=True, gc=False):
-    """Countable things a program may spend.
+    """Amounts of the resources that a program's budget limits.
 
     Attributes
     ----------
@@ -100,7 +103,7 @@
     money_micros: int = 0
 
     def plus(self, other: "Amounts") -> "Amounts":
-        """Return the sum of both."""
+        """Return the sum of both amounts, part by part."""
         return Amounts(
             tokens=self.tokens + other.tokens,
             calls=self.calls + other.calls,
@@ -108,7 +111,7 @@
         )
 
     def minus(self, other: "Amounts") -> "Amounts":
-        """Return this less ``other``; parts may be negative."""
+        """Return the difference to ``other``, part by part; a part may be negative."""
         return Amounts(
             tokens=self.tokens - other.tokens,
             calls=self.calls - other.calls,
@@ -116,7 +119,7 @@
         )
 
     def fits_within(self, limit: "Amounts") -> bool:
-        """Return whether no part is larger than the same part of ``limit``."""
+        """Return whether no part exceeds the same part of ``limit``."""
         return (
             self.tokens <= limit.tokens
             and self.calls <= limit.calls
--- a/src/passlane/messages/control.py
+++ b/src/passlane/messages/control.py
@@ -1,8 +1,8 @@
 """Commands, queries and results of the control group (configuration).
 
-A change is *pending* once the group has recorded it, and *accepted* when each
-region has reported that all its members hold it or have lost their lease. Only an
-accepted revision is acted on, so it is in force everywhere and never reverts.
+A change is *pending* once the group has recorded it. It is *accepted* once each region has
+reported that each of its members has the change or has lost its lease. Nodes act on
+accepted revisions only, so a revision that is in force never reverts.
 """
 
 import msgspec
@@ -18,9 +18,9 @@
 class Document(msgspec.Struct, frozen=True):
     """One version of one configuration document.
 
-    ``version`` grows by 1 with each change of this document; it starts at 1, or higher
-    where a document of that name may have been deleted long ago. ``revision`` is the
-    number of the change over all documents. ``body`` is JSON; ``None`` marks a deletion.
+    ``version`` increases by 1 with each change of this document. It starts at 1, or higher
+    if a document of that name may have been deleted before. ``revision`` numbers the changes
+    of all documents. ``body`` is JSON; ``None`` marks a deletion.
     """
 
     kind: str
@@ -31,7 +31,7 @@
 
 
 class PutDocument(Message, frozen=True):
-    """Write a document if its version is still ``expected_version`` (0: must be new)."""
+    """Writes a document if its version is ``expected_version`` (0: it must not exist)."""
 
     kind: str
     name: str
@@ -41,35 +41,35 @@
 
 
 class WithdrawChange(Message, frozen=True):
-    """Take back a change that is still pending."""
+    """Withdraws a pending change."""
 
     revision: Revision
     idempotency_key: str
 
 
 class AcceptRevision(Message, frozen=True):
-    """Mark all changes up to ``revision`` as accepted; proposed by the control leader."""
+    """Marks all changes up to ``revision`` as accepted; proposed by the control leader."""
 
     revision: Revision
 
 
 class SetRegions(Message, frozen=True):
-    """Record which regions must report before a change is accepted."""
+    """Records which regions must report before a change is accepted."""
 
     regions: tuple[str, ...]
 
 
 class PutResult(Message, frozen=True):
-    """The change was recorded (now, or when the same key was first sent)."""
+    """The change is recorded, by this command or by an earlier one with the same key."""
 
     document: Document
 
 
 class VersionConflict(Message, frozen=True):
-    """Another change came first; ``current`` is the document as it stands.
+    """The document has another version than expected; ``current`` is its newest version.
 
-    ``current`` is left out when the refused change is sent again: what the document was
-    at the first time is not kept. ``accepted_revision`` is as of the first time.
+    When a refused change is sent again, ``current`` is ``None``, because the document as of
+    the first refusal is not stored. ``accepted_revision`` is as of the first refusal.
     """
 
     kind: str
@@ -91,7 +91,7 @@
 
 
 class ReadDocuments(Message, frozen=True):
-    """Query: documents by kind and name (``None``: all); answered by ``Documents``."""
+    """Query for documents by kind and name (``None``: any); answered by ``Documents``."""
 
     kind: str | None = None
     name: str | None = None
@@ -106,7 +106,7 @@
 
 
 class MemberVersion(msgspec.Struct, frozen=True):
-    """How far one node has come with the configuration."""
+    """The newest configuration revisions that one node has prepared and put in force."""
 
     node_id: NodeId
     prepared_revision: Revision
@@ -114,7 +114,7 @@
 
 
 class TargetInFlight(msgspec.Struct, frozen=True):
-    """Calls in flight at something that is being drained (kinds as in drain documents)."""
+    """Number of calls in flight at a drained target; kinds as in drain documents."""
 
     target_kind: str
     target: str
@@ -122,19 +122,23 @@
 
 
 class RegionReport(Message, frozen=True):
-    """Sent by each region's store leader to the control leader; answered by a delta.
+    """Sent by each region's store leader to the control leader.
+
+    The answer is a ``ConfigurationDelta``.
 
     Attributes
     ----------
+    held_revision
+        Newest revision that the store leader has.
     prepared_revision
-        Newest revision that every member with a lease holds.
+        Newest revision that every member with a lease has.
     laggards
-        Members that are behind ``prepared_revision`` of the others, at most a few.
+        A few of the members whose prepared revision is behind that of the others.
     held_floor
-        ``floor_revision`` of the snapshot that ``held_revision`` was built on.
+        ``floor_revision`` of the snapshot that ``held_revision`` is based on.
     in_flight
-        Calls in flight, summed over the members, at what is being drained; targets
-        without any are left out.
+        Calls in flight at drained targets, summed over the members; targets without calls
+        are left out.
     """
 
     region: str
@@ -151,10 +155,11 @@
 class ConfigurationDelta(Message, frozen=True):
     """Changes after ``from_revision`` up to ``to_revision``, in the order of revisions.
 
-    A long delta comes in parts: ``to_revision`` is then below the newest revision, and
-    the holder asks again from there. A holder acts on ``accepted_revision`` only once it
-    holds it. With ``is_snapshot`` the parts start over from nothing; the holder hands
-    ``floor_revision`` back when it asks for the next part.
+    A large delta is sent in parts: ``to_revision`` is then below the newest revision, and
+    the receiver requests the next part from there. The receiver acts on
+    ``accepted_revision`` once it has all changes up to it. With ``is_snapshot`` the parts
+    replace the whole configuration; the receiver returns ``floor_revision`` with its request
+    for the next part.
     """
 
     from_revision: Revision
@@ -166,15 +171,15 @@
 
 
 class ReadProgress(Message, frozen=True):
-    """Query: how far a revision has come; answered by ``Progress``."""
+    """Query for the progress of a revision; answered by ``Progress``."""
 
     revision: Revision
 
 
 class RegionProgress(msgspec.Struct, frozen=True):
-    """How far one region has come.
+    """Progress of one region.
 
-    ``report_age_s`` is the age of its last report in seconds; ``None`` before the first.
+    ``report_age_s`` is the age of its last report in seconds, ``None`` if there is none.
     """
 
     region: str
@@ -186,7 +191,7 @@
 
 
 class Progress(Message, frozen=True):
-    """Answer to ``ReadProgress``; ``in_flight`` sums what the regions have reported."""
+    """Answer to ``ReadProgress``; ``in_flight`` is summed over the reports of the regions."""
 
     accepted_revision: Revision
     in_force_everywhere: bool
@@ -195,7 +200,7 @@
 
 
 class PendingChange(msgspec.Struct, frozen=True):
-    """A change that is not accepted yet, as shown to operators."""
+    """A change that is not accepted yet, as operators see it."""
 
     kind: str
     name: str
@@ -205,11 +210,11 @@
 
 
 class ReadControlStatus(Message, frozen=True):
-    """Query: the state of the control group; answered by ``ControlStatus``."""
+    """Query for the state of the control group; answered by ``ControlStatus``."""
 
 
 class ControlStatus(Message, frozen=True):
-    """Answer to ``ReadControlStatus``; ``pending`` holds the oldest pending changes."""
+    """Answer to ``ReadControlStatus``; ``pending`` lists the oldest pending changes."""
 
     leader: Address | None
     term: int
--- a/src/passlane/messages/fleet.py
+++ b/src/passlane/messages/fleet.py
@@ -1,4 +1,9 @@
-"""How processes that know only a few seeds find the others and follow the configuration."""
+"""Discovery of the fleet's processes, and retirement of store replicas.
+
+A process is configured with a few seed addresses. It sends heartbeats to the leader of the
+control group and receives the addresses of the others, the route configuration and the list
+of backends.
+"""
 
 import enum
 
@@ -9,7 +14,7 @@
 
 
 class FleetRole(enum.StrEnum):
-    """What a process of the fleet does."""
+    """Role of a process in the fleet."""
 
     NODE = "node"
     CONTROL = "control"
@@ -24,9 +29,9 @@
 
 
 class Announce(Message, frozen=True, kw_only=True):
-    """A heartbeat: sent again and again by every process to the leader of the control group.
+    """A heartbeat, sent by every process to the leader of the control group.
 
-    Elsewhere it is called a heartbeat; the class keeps its name, under which it is sent.
+    Other modules call it a heartbeat; the class name is the tag on the wire.
 
     Attributes
     ----------
@@ -35,19 +40,19 @@
     replica_name
         Name of the process among the replicas of its group.
     may_found
-        Whether the process is a store replica whose disk never held anything.
+        Whether the process is a store replica whose disk has never had any data.
     group_members
-        Replicas of the store group, told by the one that leads it; else empty.
+        Replicas of the store group, if the sender leads it; else empty.
     configuration_version
         Version in force at the sender; 0 for none.
     view_number
-        Number of the view that the sender holds.
+        Number of the sender's ``FleetView``.
     backends_number
-        Number of the list of back ends that the sender holds; 0 for none.
+        Number of the sender's list of backends; 0 for none.
     reads_backends
-        Whether the sender believes that it is to read that list for all.
+        Whether the sender reads the platform's list of backends on behalf of all nodes.
     wait_s
-        The answer is held for this long unless there is something new.
+        Maximum time for which the answer is delayed until there is an update.
     """
 
     name: str
@@ -65,18 +70,18 @@
 
 
 class FleetAddresses(msgspec.Struct, frozen=True):
-    """Where replicas are reached.
+    """Addresses of the replicas.
 
     Attributes
     ----------
     controls
         Control replicas that send heartbeats.
     stores
-        Members of the store group as its leader told them last; empty before.
+        Members of the store group in its leader's latest report; empty before the first.
     store_founders
-        The initial members of the store group, under the name that is sent.
+        The initial members of the store group; the attribute's name is part of the message.
     retired_replicas
-        Names of store replicas that are never to join again.
+        Names of store replicas that must not join again.
     """
 
     controls: tuple[NamedAddress, ...] = ()
@@ -86,16 +91,30 @@
 
 
 class FleetView(Message, frozen=True, kw_only=True):
-    """What the leader of the control group knows of the fleet.
-
-    ``configuration`` (packed, see ``fleet.state.packed_configuration``) is set only for nodes,
-    and when it is newer than what the receiver holds. ``number`` changes with any of the
-    ``addresses``, which are set only if the receiver holds others. ``has_store_leader`` is
-    true once the leader of the store group has sent a heartbeat. ``backends_update`` (see
-    ``fleet.state.listing_updates``) is set only when the receiver holds another list than that
-    of ``backends_number``; it goes on from the list of ``backends_since``, 0 for none;
-    ``backends_age_s`` tells how long ago it was last known to be right, ``None`` if there is
-    no list. ``reads_backends`` tells the receiver to read it for all nodes.
+    """Answer to ``Announce``: the fleet as the leader of the control group sees it.
+
+    Attributes
+    ----------
+    number
+        Changes with every change of ``addresses``.
+    addresses
+        ``None`` if the receiver has the current ones.
+    has_store_leader
+        Whether the leader of the store group has sent a heartbeat.
+    configuration
+        Packed configuration (see ``fleet.state.packed_configuration``); set only for nodes,
+        if it is newer than the receiver's.
+    backends_number
+        Number of the current list of backends; 0 for none.
+    backends_since
+        Number of the list that ``backends_update`` is based on; 0 for none.
+    backends_update
+        Update to the current list (see ``fleet.state.listing_updates``); ``None`` if the
+        receiver has it.
+    backends_age_s
+        Seconds since the list was last confirmed; ``None`` if there is no list.
+    reads_backends
+        Whether the receiver is to read the list on behalf of all nodes.
     """
 
     number: int
@@ -112,26 +131,26 @@
 
 
 class FoundStoreGroup(Message, frozen=True):
-    """Settles the initial members of the store group; only the first such command counts."""
+    """Sets the initial members of the store group; only the first such command has effect."""
 
     members: tuple[NamedAddress, ...]
 
 
 class StoreGroupFounded(Message, frozen=True):
-    """Answers ``FoundStoreGroup`` with the members that count."""
+    """Answers ``FoundStoreGroup`` with the recorded initial members."""
 
     members: tuple[NamedAddress, ...]
 
 
 class RetirementState(enum.StrEnum):
-    """How far the retirement of a store machine is: completed once its replica is no member."""
+    """Progress of a store machine's retirement; completed once its replica is not a member."""
 
     RUNNING = "running"
     COMPLETED = "completed"
 
 
 class RetireStore(Message, frozen=True):
-    """Asks that the store machine of this name be retired."""
+    """Requests the retirement of the store machine of this name."""
 
     name: str
 
@@ -144,13 +163,13 @@
 
 
 class ReadRetirement(Message, frozen=True):
-    """Asks how far the retirement of a store machine is."""
+    """Query for the progress of a store machine's retirement."""
 
     name: str
 
 
 class ForbidReplica(Message, frozen=True):
-    """Records that the machine of this name is retired and its replica never joins again."""
+    """Records that the machine of this name is retired and its replica must not join again."""
 
     name: str
     replica_name: str
@@ -163,12 +182,15 @@
 
 
 class RemoveReplica(Message, frozen=True):
-    """Asks the leader of the store group to replace a replica and remove it for good."""
+    """Requests that the leader of the store group replace a replica and remove it for good."""
 
     replica_name: str
 
 
 class ReplicaRemoved(Message, frozen=True):
-    """Answers ``RemoveReplica`` once its leader knows; the members tell when it is done."""
+    """Answers ``RemoveReplica`` once the leader has received it.
+
+    The removal is complete when the replica is no longer a member of the group.
+    """
 
     replica_name: str
--- a/src/passlane/messages/listing.py
+++ b/src/passlane/messages/listing.py
@@ -1,4 +1,4 @@
-"""The back ends that the platform lists, as nodes tell one another."""
+"""The platform's list of backends, as it is sent between nodes and the control group."""
 
 import enum
 from typing import NewType
@@ -9,25 +9,25 @@
 from passlane.messages.common import Address
 
 IncarnationId = NewType("IncarnationId", str)
-"""One start of a back end: its id, and behind ``@`` the Unix time of its start in ms if the
-platform tells it. Compared whole; not the id that back ends are addressed by."""
+"""Identifies one start of a backend: its instance id, followed by ``@`` and the Unix time of
+the start in ms if the platform reports it. Requests are not addressed by it."""
 
 
 class BackendState(enum.StrEnum):
-    """Whether a back end takes new requests."""
+    """Whether a backend accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
 
 
 class BackendRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A back end as the platform lists it.
+    """A backend as the platform lists it.
 
     Attributes
     ----------
     born_ms
-        Unix time at which it started, in ms; ``None`` where the platform doesn't tell, and each
-        start has an ``instance_id`` of its own.
+        Unix time of its start, in ms; ``None`` if the platform does not report it. Each start
+        then has its own ``instance_id``.
     """
 
     instance_id: str
@@ -40,25 +40,25 @@
 
     @property
     def incarnation(self) -> IncarnationId:
-        """Names this start of the back end; what is known of it is known of this start alone."""
+        """Identifies this start of the backend; observations of another start do not apply."""
         if self.born_ms is None:
             return IncarnationId(self.instance_id)
         return IncarnationId(f"{self.instance_id}@{self.born_ms}")
 
     def is_older_than(self, other: "BackendRecord") -> bool:
-        """Whether this tells of an earlier start of the same back end."""
+        """Return whether this is an earlier start of the same backend."""
         if self.instance_id != other.instance_id or self.born_ms is None or other.born_ms is None:
             return False
         return self.born_ms < other.born_ms
 
 
 class BackendChanges(msgspec.Struct, frozen=True):
-    """How a list of back ends differs from an earlier one.
+    """Difference of a list of backends to an earlier one.
 
     Attributes
     ----------
     changed
-        Back ends that are new or are listed otherwise.
+        Backends that are new or whose record has changed.
     gone
         Instances that are no longer listed.
     """
@@ -68,16 +68,16 @@
 
 
 class ReportBackends(Message, frozen=True, kw_only=True):
-    """Tells the leader of the control group what the platform lists now.
+    """Reports the platform's current list to the leader of the control group.
 
     Attributes
     ----------
     name
         Name of the node that read the list.
     number
-        Number under which the leader holds the same list; 0 for none.
+        Number under which the leader has stored the same list; 0 for none.
     records
-        The list; ``None`` if it is the one of that number.
+        The list; ``None`` if it equals the list of that number.
     """
 
     name: str
@@ -86,10 +86,10 @@
 
 
 class BackendsReported(Message, frozen=True):
-    """Answers ``ReportBackends`` with the number of the list that is held now.
+    """Answers ``ReportBackends`` with the number of the leader's current list.
 
-    Another number than that of a report without records means that the report had no
-    effect and the whole list is wanted.
+    If the report had no records and this number differs from the report's, the report had no
+    effect and the sender must send the whole list.
     """
 
     number: int
--- a/src/passlane/messages/membership.py
+++ b/src/passlane/messages/membership.py
@@ -1,8 +1,7 @@
-"""Heartbeats of nodes to their region's store group, and what they get back.
+"""Heartbeats of nodes to their region's store group, and the replies.
 
-A node speaks only to its regional store leader. The reply renews its lease and
-carries what has changed since the versions the node named, so that a quiet
-heartbeat stays small.
+A node sends heartbeats only to the leader of its region's store group. The reply renews the
+node's lease. To stay small, it has only the changes since the versions that the node reported.
 """
 
 import msgspec
@@ -15,14 +14,14 @@
 
 
 class PartitionRelease(msgspec.Struct, frozen=True):
-    """A node has stopped leading a partition in an epoch and will not take it up again."""
+    """A node has stopped leading a partition in an epoch and will not resume in that epoch."""
 
     partition: Partition
     epoch: Epoch
 
 
 class HandoverOrder(msgspec.Struct, frozen=True):
-    """A node shall finish its calls of a partition and release it to another node."""
+    """Tells a node to finish its calls of a partition and release it to another node."""
 
     partition: Partition
     epoch: Epoch
@@ -33,11 +32,21 @@
 class NodeHeartbeat(Message, frozen=True):
     """Sent by a node at each heartbeat interval.
 
-    ``incarnation`` differs for each start of the process. ``prepared_revision`` is the
-    newest configuration the node holds, ``revision_in_force`` the one it acts on.
-    ``configuration_floor`` is the ``floor_revision`` of the snapshot that it began with.
-    ``released`` is repeated until the table names another epoch for the partition.
-    ``in_flight`` counts the node's calls at what is being drained, as of the same moment.
+    Attributes
+    ----------
+    incarnation
+        Differs for each start of the process.
+    prepared_revision
+        Newest configuration revision that the node has.
+    revision_in_force
+        Configuration revision that the node acts on.
+    released
+        Partitions that the node has released; each is repeated until the partition table has
+        another epoch for it.
+    configuration_floor
+        ``floor_revision`` of the snapshot that the node's configuration is based on.
+    in_flight
+        Number of the node's calls at drained targets, at the time of this heartbeat.
     """
 
     node_id: NodeId
@@ -67,23 +76,30 @@
 
 
 class ReadMembers(Message, frozen=True):
-    """Query to the store leader: the nodes of its region; answered by ``Members``."""
+    """Query for the nodes of the store leader's region; answered by ``Members``."""
 
 
 class Members(Message, frozen=True):
-    """Answer to ``ReadMembers``, by name of the node."""
+    """Answer to ``ReadMembers``; the nodes are ordered by name."""
 
     nodes: tuple[NodeView, ...]
 
 
 class HeartbeatReply(Message, frozen=True):
-    """Renews the lease and brings what is new.
-
-    The lease lasts ``lease_s`` seconds counted from when the node sent the heartbeat; 0
-    means that the node has no lease (yet). ``handovers`` are repeated while they stand.
-    ``table`` holds the assignments that changed since the node's ``table_version``, and
-    is ``None`` when that is current. The node acts on ``accepted_revision`` as soon as it
-    holds it.
+    """Renews the lease and carries updates.
+
+    Attributes
+    ----------
+    lease_s
+        Duration of the lease from the time at which the node sent the heartbeat; 0 if the
+        node has no lease.
+    accepted_revision
+        Revision that the node acts on as soon as it has it.
+    table
+        Assignments that changed since the node's ``table_version``; ``None`` if there are
+        none.
+    handovers
+        Handovers in progress; each is repeated until it ends.
     """
 
     lease_s: float
--- a/src/passlane/messages/node.py
+++ b/src/passlane/messages/node.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: a call forwarded to its program's leader, and its events."""
+"""Messages between nodes: requests forwarded to a program's leader, events and notices."""
 
 import enum
 
@@ -10,28 +10,28 @@
 
 
 class CallRequest(Message, frozen=True):
-    """A call as a caller asked for it; forwarded to the leader of its program.
+    """A call as a caller requested it; forwarded to the leader of its program.
 
     Attributes
     ----------
     sequence
-        The caller's own count of the program's calls from 0; ``None`` when not given.
+        Number of the call in its program, from 0; ``None`` if the caller did not give it.
     idempotency_key
-        The caller's name for this call; a repeat gets the recorded outcome.
+        The caller's key for this call; a repeat gets the recorded outcome.
     turns
-        New messages of a model call, without the history that passlane keeps.
+        New messages of a model call, without the history that passlane stores.
     arguments
         JSON arguments of a tool call.
     timeout_s
-        Seconds the caller is ready to wait from now.
+        Maximum time that the caller waits, from now.
     resume_from, resume_text
-        Tokens the caller already has of this answer and their text; set when the
-        request is sent again after its leader was lost.
+        Number of tokens of this answer that the caller has received, and their text; set
+        when the request is sent again after its leader was lost.
     is_named
-        Whether the caller itself named the call (by key or sequence) and so can ask for
-        its outcome again; a call that nobody can ask for is cancelled with its caller.
+        Whether the caller identified the call by a key or a sequence number, so that it can
+        request the outcome again. Any other call is cancelled when its caller disconnects.
     is_resent
-        Whether a node sends the request again after an earlier sending may have run it.
+        Whether the request is sent again after an earlier attempt that may have run.
     """
 
     request_id: str
@@ -52,9 +52,9 @@
 
 
 class CreateProgramRequest(Message, frozen=True):
-    """A caller's wish to start a program; answered by ``store.ProgramResult``.
+    """A caller's request to start a program; answered by ``store.ProgramResult``.
 
-    An empty ``budget`` leaves it open: the tenant's default, or for a sub-agent its parent's.
+    An empty ``budget`` selects the tenant's default, or for a sub-agent its parent's budget.
     """
 
     request_id: str
@@ -66,7 +66,7 @@
 
 
 class EndProgramRequest(Message, frozen=True):
-    """A caller's wish to end a program; answered by ``store.StoreDone``."""
+    """A caller's request to end a program; answered by ``store.StoreDone``."""
 
     request_id: str
     tenant_id: TenantId
@@ -74,7 +74,7 @@
 
 
 class ReadProgramRequest(Message, frozen=True):
-    """A caller's wish to see a program; answered by ``store.ProgramResult``."""
+    """A caller's request to read a program; answered by ``store.ProgramResult``."""
 
     request_id: str
     tenant_id: TenantId
@@ -82,7 +82,10 @@
 
 
 class TextChunk(Message, frozen=True):
-    """Part of a generated answer: ``tokens`` tokens, the first at ``position`` from 0."""
+    """Part of a generated answer: ``tokens`` tokens, the first of them at ``position``.
+
+    Positions count from 0.
+    """
 
     position: int
     text: str
@@ -90,7 +93,7 @@
 
 
 class CallAnswered(Message, frozen=True):
-    """Last event of a call that has an outcome, which is durable by then."""
+    """Last event of a call that has an outcome; the outcome is already durable."""
 
     sequence: int
     verdict: Verdict
@@ -114,7 +117,7 @@
 
 
 class HandoverStage(enum.StrEnum):
-    """How far a partition is on its way to its next leader."""
+    """Stage of the handover of a partition to its next leader."""
 
     BEGUN = "begun"
     RELEASED = "released"
@@ -122,10 +125,10 @@
 
 
 class HandoverNotice(Message, frozen=True):
-    """The leader of a partition tells the next one how far the handover is.
+    """Sent by the leader of a partition to the next leader, with the stage of the handover.
 
-    Nothing depends on its arrival but the time that calls have to wait: the next leader
-    leads only once the partition table says so. ``epoch`` is the old leader's.
+    The next leader starts to lead only when the partition table names it, so a lost notice
+    only makes calls wait longer. ``epoch`` is that of the current leader.
     """
 
     partition: Partition
@@ -134,13 +137,13 @@
 
 
 class ProgramEndedNotice(Message, frozen=True):
-    """Tells the leader of a sub-agent's partition that it ended with its parent."""
+    """Tells the leader of a sub-agent's partition that the sub-agent ended with its parent."""
 
     program_id: ProgramId
 
 
 class ExplainProgram(Message, frozen=True):
-    """An operator's question why a program's last call ran where and when it did."""
+    """Query for the reason why a program's last call ran where and when it did."""
 
     program_id: ProgramId
 
@@ -148,8 +151,8 @@
 class ProgramExplanation(Message, frozen=True):
     """Answer to ``ExplainProgram``.
 
-    ``placement`` is the scheduler's reason for the last model call, empty if there was none
-    at this leader; ``policy`` says which policy governs the program and what it decides.
+    ``placement`` is the scheduler's reason for the last model call, empty if this leader has
+    run none. ``policy`` names the policy that applies to the program and its decisions.
     """
 
     program_id: ProgramId
--- a/src/passlane/messages/placement.py
+++ b/src/passlane/messages/placement.py
@@ -1,4 +1,4 @@
-"""What a turn tells of itself so that the store group's leader can order and place it."""
+"""What a node reports of a turn so that the store group's leader can order and place it."""
 
 import msgspec
 
@@ -6,26 +6,29 @@
 
 
 class TurnDemand(msgspec.Struct, frozen=True, kw_only=True):
-    """What decides when and where a turn runs; goes with its reservation, not replicated.
+    """Inputs to the ordering and placement of a turn.
+
+    Sent with the turn's reservation; not replicated.
 
     Attributes
     ----------
     service, route
         Names in the configuration.
     tenant
-        On whose behalf it comes; empty without a tenant.
+        Tenant of the request; empty without one.
     urgency
-        Rank of its requests; 0 goes first.
+        Priority of its requests; 0 is the most urgent.
     zone
-        Zone of the node that asks.
+        Zone of the requesting node.
     prompt_tokens
         Tokens of the whole prompt, history included; 0 if unknown.
     shared_part, shared_tokens
-        The part that its prompt begins with and shares with others; empty without one.
+        Identifier and length of the prefix that its prompt shares with other prompts; empty
+        and 0 without one.
     time_left_s
-        Until the request itself is given up.
+        Time until the request itself times out.
     program_time_left_s
-        Until its program should be over; ``None`` if unknown.
+        Time until its program's deadline; ``None`` if unknown.
     memory_tokens
         Memory of one engine of the service, in tokens; 0 if unknown.
     """
@@ -44,21 +47,23 @@
 
 
 class TurnOutcome(msgspec.Struct, frozen=True, kw_only=True):
-    """How a turn went at engines; goes with its settlement, not replicated.
+    """Result of a turn's attempts at engines.
+
+    Sent with the turn's settlement; not replicated.
 
     Attributes
     ----------
     engine_s
-        From its sending to the engine that served it until the end of the answer; 0 if none
-        answered whole.
+        Time from sending the turn to the engine that served it until the end of the answer;
+        0 if no engine gave a complete answer.
     first_part_s
-        The same until the first part of the answer.
+        Time from the same start until the first part of the answer.
     events
-        Events of the answer.
+        Number of events of the answer.
     failed_at
         Instances that broke off or gave no answer.
     full_at
-        Instances that refused it for want of room.
+        Instances that refused the turn because they had no free slot.
     """
 
     engine_s: float = 0.0
@@ -69,10 +74,16 @@
 
 
 class TurnRefused(Message, frozen=True, kw_only=True):
-    """A program cannot begin now; its turn has not run and nothing is reserved for it.
+    """A program cannot start now; its turn has not run and nothing is reserved for it.
 
-    ``retry_after_s`` is when room is expected for it, ``waiting`` how many programs are
-    before it.
+    Attributes
+    ----------
+    retry_after_s
+        Time until capacity for it is expected.
+    waiting
+        Number of programs that wait ahead of it.
+    busy_share
+        Share of the service's slots that are in use.
     """
 
     retry_after_s: float
--- a/src/passlane/messages/quotas.py
+++ b/src/passlane/messages/quotas.py
@@ -1,4 +1,8 @@
-"""What a node asks of the one that grants tenants' requests, and what it is told."""
+"""Requests of nodes for the quota of tenants, the answers, and replicated usage.
+
+The leader of the store group grants the requests of all nodes and reports the granted usage to
+the other replicas.
+"""
 
 import enum
 
@@ -8,18 +12,18 @@
 
 
 class QuotaUse(enum.StrEnum):
-    """What a request means to the program that it belongs to."""
+    """Relation of a request to the program that it belongs to."""
 
     BEGIN_PROGRAM = "begin_program"
-    """The first of a program: more will follow if it is granted."""
+    """The first request of a program: more requests follow if it is granted."""
     CONTINUE_PROGRAM = "continue_program"
-    """One of a program under way: without it all that was done is lost."""
+    """A further request of a running program, whose work is lost if it is refused."""
     ALONE = "alone"
-    """It belongs to no program."""
+    """The request belongs to no program."""
 
 
 class QuotaLimit(msgspec.Struct, frozen=True, kw_only=True):
-    """A tenant's limit over all nodes, as of one version of the configuration."""
+    """A tenant's rate limit over all nodes, as of one version of the configuration."""
 
     tenant: str
     rate_per_s: float
@@ -28,16 +32,16 @@
 
 
 class QuotaDraw(msgspec.Struct, frozen=True, kw_only=True):
-    """Asks for a request now, or for requests that are expected to follow.
+    """Requests quota for a request now, or for requests that are expected to follow.
 
     Attributes
     ----------
     use
-        What the request is for; ``None`` if there is no request now.
+        Relation of the request to its program; ``None`` if there is no request now.
     route
         Name of the route of a turn; empty for other requests.
     ahead
-        Requests wanted for the next moment, beyond that.
+        Number of further requests that are expected soon.
     """
 
     limit: QuotaLimit
@@ -47,13 +51,17 @@
 
 
 class TenantUsage(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Requests that were granted to a tenant; the last of them for ``last_in_s`` from now.
+    """Requests that were granted to a tenant.
 
     Attributes
     ----------
+    granted
+        Number of requests.
+    last_in_s
+        Time from now until the last of them may be sent.
     moved
-        Requests that were told of earlier, or are told of here, and are sent only now: they count
-        from now on. A build that doesn't know it counts them from the moment of their grant.
+        Number of requests, reported here or earlier, that are sent only now and so count from
+        now on. Builds without this attribute count them from the time of their grant.
     """
 
     tenant: str
@@ -63,21 +71,23 @@
 
 
 class NotedUsage(msgspec.Struct, frozen=True):
-    """What replicas were told of grants at ``group_s`` on the group's clock."""
+    """Usage that was reported to the replicas at ``group_s`` on the group's clock."""
 
     usage: TenantUsage
     group_s: float
 
 
 class UsageSnapshot(msgspec.Struct, frozen=True):
-    """What a replica knows of the grants of the last window, as it stands in a snapshot.
+    """A replica's record of the grants of the last window, as stored in a snapshot.
 
     Attributes
     ----------
+    noted
+        Usage reports, oldest first.
     newest_s
-        The newest moment heard of, on the group's clock.
+        The newest reported time on the group's clock.
     shift_s
-        By how much moments that leaders tell are moved on.
+        Offset that is added to the times that leaders report.
     """
 
     noted: tuple[NotedUsage, ...]
@@ -86,15 +96,16 @@
 
 
 class DrawQuota(Message, frozen=True):
-    """Carries a draw that goes with no turn."""
+    """Requests quota apart from a turn's reservation or settlement."""
 
     draw: QuotaDraw
 
 
 class QuotaGranted(Message, frozen=True):
-    """The request may be sent ``start_after_s`` from now, and ``ahead`` more soon.
+    """The request may be sent ``start_after_s`` from now.
 
-    Those ahead may be sent within ``quotas.allowances.AHEAD_VALID_S``.
+    ``ahead`` further requests may be sent within
+    ``decisions.limits.allowances.AHEAD_VALID_S``.
     """
 
     start_after_s: float = 0.0
@@ -102,10 +113,18 @@
 
 
 class QuotaRefused(Message, frozen=True, kw_only=True):
-    """The tenant's limit does not hold the request.
+    """The request would exceed the tenant's limit.
 
-    Of the ``capacity`` of a window, by the limit of the configuration's ``version``, so much
-    is ``used``.
+    Attributes
+    ----------
+    retry_after_s
+        Time until the request is expected to be granted.
+    used
+        Requests that count against the current window.
+    capacity
+        Maximum requests in a window.
+    version
+        Version of the configuration that sets the limit.
     """
 
     retry_after_s: float
--- a/src/passlane/messages/raft.py
+++ b/src/passlane/messages/raft.py
@@ -1,6 +1,6 @@
 """Messages between the replicas of one Raft group.
 
-Every message names its group, so that one connection carries several groups.
+Each message names its group, so that several groups can share a connection.
 """
 
 import enum
@@ -13,7 +13,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What a log entry holds."""
+    """Kind of a log entry's data."""
 
     NO_OPERATION = 0
     COMMAND = 1
@@ -32,7 +32,7 @@
 class GroupMember(msgspec.Struct, frozen=True):
     """A replica of the group; a learner receives the log but does not vote.
 
-    ``zone`` is where it runs, empty if that is not told.
+    ``zone`` is the zone where it runs; empty if unknown.
     """
 
     replica_id: ReplicaId
@@ -48,9 +48,10 @@
 
 
 class RaftMessage(Message, frozen=True, kw_only=True):
-    """Common part: group, sender, receiver and the sender's term.
+    """Base of Raft messages: group, sender, receiver and the sender's term.
 
-    ``sender_address`` lets a replica answer that does not know the membership yet.
+    ``sender_address`` is where to send the answer if the receiver does not have the
+    membership yet.
     """
 
     group: str
@@ -61,7 +62,7 @@
 
 
 class VoteRequest(RaftMessage, frozen=True):
-    """Asks for a vote; with ``is_pre_vote`` only asks whether it would be given."""
+    """Requests a vote; with ``is_pre_vote`` only asks whether it would be granted."""
 
     last_index: int
     last_term: int
@@ -77,7 +78,7 @@
 
 
 class AppendRequest(RaftMessage, frozen=True):
-    """Entries after ``previous_index``; empty as a heartbeat."""
+    """Log entries after ``previous_index``; a heartbeat has none."""
 
     previous_index: int
     previous_term: int
@@ -87,10 +88,11 @@
 
 
 class AppendReply(RaftMessage, frozen=True):
-    """Answer: entries up to ``synced_index`` match and are durable, or a hint where to retry.
+    """Answer to ``AppendRequest``.
 
-    A refusal names the entry that differs or lacks, ``refused_index``, and the first one
-    that may differ, ``conflict_index``.
+    On success, the entries up to ``synced_index`` match and are durable. A refusal has the
+    index of the entry that differs or is missing, ``refused_index``, and that of the first
+    entry that may differ, ``conflict_index``, from which the leader retries.
     """
 
     success: bool
@@ -112,7 +114,10 @@
 
 
 class SnapshotReply(RaftMessage, frozen=True):
-    """Answer: next offset wanted, or the whole snapshot is durable."""
+    """Answer to ``SnapshotRequest``: the next offset to send.
+
+    ``installed`` is true once the whole snapshot is durable.
+    """
 
     last_index: int
     next_offset: int
@@ -120,7 +125,7 @@
 
 
 class TimeoutNow(RaftMessage, frozen=True):
-    """Asks the receiver to start an election at once (leadership transfer)."""
+    """Tells the receiver to start an election at once (leadership transfer)."""
 
 
 AnyRaftMessage = (
--- a/src/passlane/messages/registry.py
+++ b/src/passlane/messages/registry.py
@@ -1,11 +1,9 @@
-"""The one decoder that knows all message classes which this process has imported.
-
-A process can only handle messages of classes that it imports, so no list of them is kept:
-every class derived from ``Message`` in an imported module of this package is found by
-itself. The decoder is made when it is first used, and made anew when a message of an
-unknown class arrives after further modules were imported. So a process that starts pays
-for no message that it never sees. The class name is the tag on the wire; two classes with
-one name are refused.
+"""The decoder for all message classes that this process has imported.
+
+The classes are those derived from ``Message`` in the imported modules of this package. The
+decoder is built on first use, to keep the start of a process fast. It is rebuilt when a message
+of an unknown class arrives after further modules were imported. The class name is the tag on
+the wire, so two classes with the same name are an error.
 """
 
 import functools
@@ -25,23 +23,23 @@
 
 
 class MessageRegistry:
-    """Message classes of the modules imported so far, and their decoder."""
+    """The message classes of the imported modules, and their decoder."""
 
     def __init__(self) -> None:
         self._modules: frozenset[str] = frozenset()
         self._decoder = message_decoder(RaftMessage)
 
     def decode(self, body: bytes) -> Any:
-        """Return the message that ``body`` holds; see ``decode_any_message``."""
+        """Return the message encoded in ``body``; see ``decode_any_message``."""
         try:
             return self._decoder.decode(body)
         except msgspec.ValidationError:
-            if not self._take_in_new_modules():
+            if not self._load_new_modules():
                 raise
         return self._decoder.decode(body)
 
-    def _take_in_new_modules(self) -> bool:
-        """Make the decoder anew if modules were imported since; return whether it was."""
+    def _load_new_modules(self) -> bool:
+        """Rebuild the decoder if more modules were imported; return whether it was rebuilt."""
         modules = frozenset(name for name in sys.modules if name.startswith(_PREFIX))
         if modules == self._modules:
             return False
@@ -52,7 +50,7 @@
 
 
 def _classes_in(module: ModuleType) -> list[type[Message]]:
-    """Return the message classes that ``module`` itself defines."""
+    """Return the message classes that are defined in ``module``."""
     return [
         value
         for value in vars(module).values()
@@ -67,11 +65,11 @@
 
 
 def decode_any_message(body: bytes) -> Any:
-    """Return the message that ``body`` holds, of whichever imported class.
+    """Return the message encoded in ``body``, which may be of any imported class.
 
     Raises
     ------
     msgspec.ValidationError, msgspec.DecodeError
-        When the bytes hold no known message.
+        When the bytes are not a valid message of an imported class.
     """
     return _registry.decode(body)
--- a/src/passlane/messages/replication.py
+++ b/src/passlane/messages/replication.py
@@ -1,7 +1,7 @@
-"""Messages by which the replicas of a group find, found and join it.
+"""Messages with which replicas discover a group, bootstrap it and join it.
 
-They are sent between the addresses of the group's settings, before the receiver's
-replica identity is known, so they are no Raft messages.
+They are sent between the addresses in the group's settings, before the receiver's replica
+identity is known, so they are not Raft messages.
 """
 
 from passlane.identifiers import ReplicaId
@@ -11,17 +11,16 @@
 
 
 class GroupStatusRequest(Message, frozen=True):
-    """Asks a replica what its disk says about a group; answered by ``GroupStatus``."""
+    """Query for a replica's stored state of a group; answered by ``GroupStatus``."""
 
     group: str
 
 
 class GroupStatus(Message, frozen=True):
-    """What a replica's disk says about a group.
+    """A replica's stored state of a group.
 
-    ``may_found`` is true while the disk has never held anything of the group;
-    ``founders`` is set once the first members are settled; ``zone`` is where the replica
-    runs.
+    ``may_found`` is true as long as the disk has never had data of the group. ``founders``
+    is set once the initial members are decided. ``zone`` is the zone where the replica runs.
     """
 
     replica_id: ReplicaId
@@ -32,10 +31,11 @@
 
 
 class JoinRequest(Message, frozen=True):
-    """Asks the leader to take in a replica, or its new address; sent until it votes.
+    """Asks the leader to add a replica or to update its address; repeated until it votes.
 
-    ``is_known`` is true for a replica that kept its identity and only moved; ``zone`` is
-    where it runs. In a group with bounded voters this is an offer that may never be taken.
+    ``is_known`` is true for a replica that kept its identity and only has a new address.
+    ``zone`` is the zone where it runs. A group with a maximum number of voters may never
+    add the replica.
     """
 
     group: str
@@ -46,10 +46,10 @@
 
 
 class JoinReply(Message, frozen=True):
-    """How far the replica's joining has come.
+    """Answer to ``JoinRequest``.
 
-    ``is_replaced`` is true once no older identity of the same process, or at the same
-    address, is a member.
+    ``is_voter`` tells whether the replica votes. ``is_replaced`` is true once no earlier
+    identity of the same process or at the same address is a member.
     """
 
     is_voter: bool
--- a/src/passlane/messages/routes.py
+++ b/src/passlane/messages/routes.py
@@ -1,7 +1,8 @@
-"""The table of routes: which requests go to which services, and within which limits.
+"""The route configuration: which requests go to which services, and within which limits.
 
-A configuration is replaced as a whole. Its version only rises; the document that an
-operator sent is kept beside the parsed form, so that a read gives it back unchanged.
+A configuration is always replaced as a whole, and its version only increases. The document
+that the operator sent is stored together with the parsed form, so that a read returns it
+unchanged.
 """
 
 import enum
@@ -20,37 +21,37 @@
 
 
 class ServiceShare(msgspec.Struct, frozen=True):
-    """A service and its weight among those that share a route."""
+    """A service of a route, and its weight among the services of that route."""
 
     service: str
     weight: int
 
 
 class Route(msgspec.Struct, frozen=True, kw_only=True):
-    """Requests of one host whose path begins with a prefix.
+    """Rules for the requests of one host whose path has a given prefix.
 
     Attributes
     ----------
     timeout_s
-        Longest time a request is held.
+        Maximum time until a request is answered.
     target_latency_s
-        Time within which an answer (of a stream: its first event) counts in full.
+        Maximum latency of an answer (of a stream: of its first event) that meets the target.
     priority
-        Rank among routes; 0 is the most urgent.
+        Priority among the routes; 0 is the most urgent.
     max_attempts
-        Most back ends that one request may run on.
+        Maximum number of backends that one request may run on.
     keeps_turns
-        Whether a request brings only its new input and the history is kept here.
+        Whether requests contain only their new input, and passlane stores the history.
     retention_s
-        Seconds for which a turn is kept.
+        Time for which a turn is stored.
     is_resumable
-        Whether a broken stream may go on at another engine.
+        Whether a broken stream may be resumed at another engine.
     target_gap_s
-        Longest pause between events that counts in full; 0 if there is none.
+        Maximum pause between events that meets the target; 0 without a target.
     is_public
-        Whether a request needs no key, where there are tenants.
+        Whether requests need no API key although there are tenants.
     is_sticky
-        Whether a back end does work faster on an object that it has worked on lately.
+        Whether a backend is faster with an object that it has processed recently.
     """
 
     name: str
@@ -76,10 +77,14 @@
 
 
 class RoutedService(msgspec.Struct, frozen=True, kw_only=True):
-    """A group of back ends that answer the same requests.
+    """A group of backends that serve the same requests.
 
-    ``tokens_per_event`` is 0 for services that are no model engines; ``memory_tokens`` is what
-    one engine holds, 0 if unknown.
+    Attributes
+    ----------
+    tokens_per_event
+        Tokens in one event of a stream; 0 for a service whose backends are not engines.
+    memory_tokens
+        Memory of one engine, in tokens; 0 if unknown.
     """
 
     name: str
@@ -91,7 +96,7 @@
 
 
 class RequestLimits(msgspec.Struct, frozen=True, kw_only=True):
-    """What a client may send, and how long it may take."""
+    """Limits on the size and the duration of a client's request."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -100,18 +105,18 @@
 
 
 class Tenant(msgspec.Struct, frozen=True, kw_only=True):
-    """A customer on whose behalf requests come.
+    """A customer whose requests are authenticated by API keys.
 
     Attributes
     ----------
     key_digests
         Digests of its API keys, see ``routes.tenants.digest_of_key``.
     priority
-        Rank of its requests in place of the route's; ``None`` leaves the route's.
+        Priority of its requests; ``None`` for the priority of the route.
     rate_per_s
-        Requests a second that it is allowed over all nodes together; 0 for no limit.
+        Maximum requests per second over all nodes; 0 for no limit.
     burst
-        Requests that may come at once on top of the rate.
+        Number of requests that may exceed the rate at once.
     """
 
     name: str
@@ -122,14 +127,15 @@
 
     @property
     def is_limited(self) -> bool:
-        """Whether its requests are counted against a rate."""
+        """Whether the tenant has a rate limit."""
         return self.rate_per_s > 0
 
 
 class RouteConfiguration(msgspec.Struct, frozen=True, kw_only=True):
-    """All routes and services under one version; ``source`` is the document as sent.
+    """All routes, services and tenants of one version.
 
-    Without ``tenants`` no request needs a key.
+    ``source`` is the document as the operator sent it. Without ``tenants``, requests need no
+    API key.
     """
 
     version: int
@@ -141,20 +147,23 @@
 
 
 class ReplaceConfiguration(Message, frozen=True):
-    """Puts a configuration in force if its version is above the one held."""
+    """Puts a configuration in force if its version is above the current one."""
 
     configuration: RouteConfiguration
 
 
 class ConfigurationReplaced(Message, frozen=True):
-    """Answers ``ReplaceConfiguration``; ``is_new`` is false for an older version."""
+    """Answers ``ReplaceConfiguration``.
+
+    ``is_new`` is false if the version was not above the current one.
+    """
 
     version: int
     is_new: bool
 
 
 class ReadConfiguration(Message, frozen=True):
-    """Asks the leader for the newest acknowledged configuration."""
+    """Query to the leader for the newest acknowledged configuration."""
 
 
 class CurrentConfiguration(Message, frozen=True):
--- a/src/passlane/messages/store.py
+++ b/src/passlane/messages/store.py
@@ -1,8 +1,8 @@
 """Commands, queries and results of the store group (program records).
 
-Every command is idempotent by its identifiers: sent again after a lost answer it
-returns the first result and changes nothing. Commands that write for a partition
-carry the leader's epoch; an older epoch than the recorded one is refused.
+Every command is idempotent by its identifiers: when it is sent again after a lost answer, it
+returns the first result and changes nothing. Commands that write for a partition carry the
+leader's epoch, and are refused if the recorded epoch is newer.
 """
 
 import enum
@@ -26,30 +26,30 @@
 
 
 class CallKind(enum.StrEnum):
-    """What a call asks for."""
+    """Kind of a call: a model's completion or a tool."""
 
     MODEL = "model"
     TOOL = "tool"
 
 
 class ProgramState(enum.StrEnum):
-    """Life of a program record."""
+    """State of a program record."""
 
     RUNNING = "running"
     ENDED = "ended"
 
 
 class CallState(enum.StrEnum):
-    """Life of a call record: its intent is durable, then its outcome."""
+    """State of a call record: ``BEGUN`` once its intent is durable, ``FINISHED`` its outcome."""
 
     BEGUN = "begun"
     FINISHED = "finished"
 
 
 class Turn(msgspec.Struct, frozen=True, gc=False):
-    """One message of a program's history, in the chat-completions sense.
+    """One message of a program's history, in the chat-completions format.
 
-    Holds strings only, so the garbage collector need not look at it.
+    It refers to strings only, so the garbage collector need not track it.
     """
 
     role: str
@@ -58,25 +58,25 @@
 
 
 class EngineHold(msgspec.Struct, frozen=True, gc=False):
-    """Memory that an engine holds for a program, valid for one life of the engine."""
+    """An engine's reservation of memory for a program, valid for one incarnation."""
 
     engine_id: EngineId
     incarnation: int
 
 
 class CallOutcome(msgspec.Struct, frozen=True, gc=False):
-    """How a call ended.
+    """Outcome of a call.
 
     Attributes
     ----------
     verdict
-        Whether it ran.
+        Whether the call ran.
     body
-        The answer given to the caller: generated text, or the tool's JSON answer.
+        The answer to the caller: generated text, or the tool's JSON answer.
     error_code
-        Set when the caller was answered with an error.
+        Set if the caller was answered with an error.
     spent
-        What the call used; never above its reservation.
+        Amounts that the call used; at most its reservation.
     """
 
     verdict: Verdict
@@ -87,10 +87,10 @@
 
 
 class CallRecord(msgspec.Struct, frozen=True, gc=False):
-    """A call as recorded; ``outcome`` is set once ``state`` is ``FINISHED``.
+    """The record of a call; ``outcome`` is set once ``state`` is ``FINISHED``.
 
-    Like all that a store keeps by the hundred thousand, it refers to nothing that could
-    refer back to it, so the garbage collector need not look at it.
+    Stores have very many call records. They cannot be part of a reference cycle, so the
+    garbage collector need not track them.
     """
 
     call_id: CallId
@@ -107,10 +107,10 @@
 
 
 class ProgramRecord(msgspec.Struct, frozen=True):
-    """All that is recorded of a program.
+    """The record of a program.
 
-    ``next_sequence`` is the sequence number that the next call must have (from 0).
-    ``budget_owner`` is the program whose budget is spent: a sub-agent's root.
+    ``next_sequence`` is the sequence number, from 0, that the next call must have.
+    ``budget_owner`` is the program whose budget is spent: for a sub-agent, its root program.
     """
 
     program_id: ProgramId
@@ -130,10 +130,11 @@
 
 
 class CreateProgram(Message, frozen=True):
-    """Record a new program; a sub-agent names its parent and spends its budget.
+    """Records a new program; a sub-agent names its parent and spends the parent's budget.
 
-    ``deadline_s`` bounds the program's life in seconds from its creation. A program that
-    is no sub-agent is refused while its tenant has ``max_programs`` of them under way.
+    ``deadline_s`` is the maximum duration of the program, from its creation. A program that
+    is not a sub-agent is refused if its tenant already has ``max_programs`` such programs
+    running.
     """
 
     program_id: ProgramId
@@ -147,15 +148,16 @@
 
 
 class BeginCall(Message, frozen=True):
-    """Record the intent of a call and reserve its budget, before anything is dispatched.
+    """Records the intent of a call and reserves its budget, before the call is dispatched.
 
-    ``sequence`` must equal the program's ``next_sequence``; ``turns`` are the caller's
-    new messages, appended to the history at once. ``want_history`` asks for the history
-    in the result, ``turns`` included; a leader that keeps it in memory does not ask.
+    ``sequence`` must equal the program's ``next_sequence``. ``turns`` are the caller's new
+    messages, which are appended to the history at once. ``want_history`` requests the history
+    in the result, ``turns`` included; a leader that has the history in memory does not
+    request it.
 
-    Sent again in the same epoch it changes nothing. Sent again by a later leader for a
-    repeatable call that has no outcome, it counts the old reservation as spent and
-    reserves anew, because the call is about to run a second time.
+    When it is sent again in the same epoch, it changes nothing. When a later leader sends it
+    again for a repeatable call without an outcome, the call is about to run a second time:
+    the earlier reservation is counted as spent and a new one is made.
     """
 
     program_id: ProgramId
@@ -174,7 +176,7 @@
 
 
 class FinishCall(Message, frozen=True):
-    """Record the outcome of a call, settle its reservation and append its turns."""
+    """Records the outcome of a call, settles its reservation and appends its turns."""
 
     program_id: ProgramId
     partition: Partition
@@ -186,9 +188,9 @@
 
 
 class EndProgram(Message, frozen=True):
-    """Record the end of a program and of its sub-agents; their holds are to be released.
+    """Records the end of a program and of its sub-agents; their holds must be released.
 
-    A call in flight may still record its outcome afterwards; no new call may begin.
+    A call in flight may still record its outcome afterwards. New calls are refused.
     """
 
     program_id: ProgramId
@@ -197,7 +199,7 @@
 
 
 class RecordHold(Message, frozen=True):
-    """Record that an engine is about to hold memory for a program."""
+    """Records that an engine is about to hold memory for a program."""
 
     program_id: ProgramId
     partition: Partition
@@ -206,7 +208,7 @@
 
 
 class RecordRelease(Message, frozen=True):
-    """Record that an engine no longer holds memory for a program."""
+    """Records that an engine no longer holds memory for a program."""
 
     program_id: ProgramId
     partition: Partition
@@ -215,16 +217,16 @@
 
 
 class RemoveEndedPrograms(Message, frozen=True):
-    """Remove the records of ended programs whose retention has passed."""
+    """Removes the records of ended programs whose retention time has passed."""
 
     program_ids: tuple[ProgramId, ...]
 
 
 class PartitionAssignment(msgspec.Struct, frozen=True):
-    """Which node leads a partition, in which epoch.
+    """The node that leads a partition, and the epoch.
 
-    ``incarnation`` is the life of the node's process that was meant: a restarted process
-    does not lead what an earlier life led, for it has another incarnation.
+    The assignment applies only to the ``incarnation`` of the node's process: after a restart
+    the process has another one and no longer leads the partition.
     """
 
     partition: Partition
@@ -235,16 +237,16 @@
 
 
 class AssignPartitions(Message, frozen=True):
-    """Give partitions to nodes; each epoch must be the recorded one plus one."""
+    """Assigns partitions to nodes; each epoch must be the recorded one plus 1."""
 
     assignments: tuple[PartitionAssignment, ...]
 
 
 class RecordConfiguration(Message, frozen=True):
-    """Keep configuration fetched from the control group, for the nodes of this region.
+    """Stores configuration from the control group for the nodes of this region.
 
-    Replicated so that the region can start nodes and change its store leader while it
-    is cut off from the control group. A delta that does not join on to what is held
+    It is replicated so that the region can start nodes and change its store leader while the
+    control group is unreachable. A delta that leaves a gap to the stored configuration
     changes nothing.
     """
 
@@ -252,17 +254,17 @@
 
 
 class StoreDone(Message, frozen=True):
-    """The command took effect (now, or when it was first sent)."""
+    """The command took effect, now or when it was first sent."""
 
 
 class ProgramResult(Message, frozen=True):
-    """The program's record after a create, or as read."""
+    """The program's record, as created or as read."""
 
     record: ProgramRecord
 
 
 class BeginCallResult(Message, frozen=True):
-    """The call's record; ``already_recorded`` when the same call was begun before."""
+    """The call's record; ``already_recorded`` tells that the same call was begun before."""
 
     call: CallRecord
     already_recorded: bool
@@ -270,10 +272,10 @@
 
 
 class EndProgramResult(Message, frozen=True):
-    """What engines still hold for the ended program.
+    """The holds that engines still have for the ended program.
 
-    ``ended_children`` are the sub-agents, at any depth, that ended with it just now; the
-    leaders of their partitions release what they hold.
+    ``ended_children`` are the sub-agents, at any depth, that this command ended as well. The
+    leaders of their partitions release their holds.
     """
 
     holds: tuple[EngineHold, ...]
@@ -288,16 +290,16 @@
 
 
 class ReadProgram(Message, frozen=True):
-    """Query: the record of one program; answered by ``ProgramResult``."""
+    """Query for the record of one program; answered by ``ProgramResult``."""
 
     program_id: ProgramId
 
 
 class ListPrograms(Message, frozen=True):
-    """Query: identifiers in a partition (or all); answered by ``ProgramList``.
+    """Query for the programs of a partition (``None``: all); answered by ``ProgramList``.
 
-    With ``unsettled_only`` just programs with unfinished calls or with holds left
-    after their end, which a new leader must look after.
+    ``unsettled_only`` selects the programs that a new leader must process: those with
+    unfinished calls, and ended ones with holds.
     """
 
     partition: Partition | None = None
@@ -305,7 +307,7 @@
 
 
 class ProgramSummary(msgspec.Struct, frozen=True):
-    """A line about a program for lists."""
+    """Summary of a program in a list."""
 
     program_id: ProgramId
     tenant_id: TenantId
@@ -323,11 +325,11 @@
 
 
 class ReadAssignments(Message, frozen=True):
-    """Query: the partition table; answered by ``Assignments``."""
+    """Query for the partition table; answered by ``Assignments``."""
 
 
 class Assignments(Message, frozen=True):
-    """The partition table as recorded."""
+    """The recorded partition table."""
 
     assignments: tuple[PartitionAssignment, ...]
 
--- a/src/passlane/messages/traces.py
+++ b/src/passlane/messages/traces.py
@@ -1,8 +1,7 @@
-"""Lines of a recorded trace: what callers did, what failed, and the outcomes stated.
+"""Lines of a recorded trace: actions of callers, injected faults and expected outcomes.
 
-A trace is a file of JSON lines (see docs/design/traces.md). Times are seconds from the
-trace's start. A call starts at its time or when its program's earlier call has its
-outcome, whichever is later.
+A trace is a file of JSON lines. Times are seconds from the start of the trace. A call starts
+at its time or when the previous call of its program has its outcome, whichever is later.
 """
 
 import enum
@@ -18,11 +17,11 @@
 
 
 class _Line(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True, tag=True):
-    """Base of a trace's lines: ``type`` holds the class name, unknown keys are errors."""
+    """Base of the lines of a trace: ``type`` holds the class name; unknown keys are errors."""
 
 
 class TraceStart(_Line, frozen=True):
-    """First line: the format's version and the deployment that the trace belongs to."""
+    """First line: the version of the format and the deployment that the trace is for."""
 
     format: int
     name: str
@@ -31,7 +30,7 @@
 
 
 class ProgramCreated(_Line, frozen=True):
-    """A caller started a program, perhaps as a sub-agent of another."""
+    """A caller started a program, possibly as a sub-agent of another one."""
 
     at_s: float
     tenant: TenantId
@@ -41,10 +40,10 @@
 
 
 class CallMade(_Line, frozen=True):
-    """A caller made a call; a redacted recording keeps the length of contents only.
+    """A caller made a call; a redacted recording preserves only the length of contents.
 
-    ``repeats`` says whether the caller comes back when it is told to; one that does not
-    takes the first refusal as its outcome.
+    ``repeats`` tells whether the caller retries when the answer asks it to. For a caller
+    that does not retry, the first refusal is the outcome.
     """
 
     at_s: float
@@ -67,12 +66,12 @@
 
 
 class ToolBehaviour(enum.StrEnum):
-    """What an application does with one request.
+    """How an application processes one request.
 
-    ``SLOW`` is late; ``HANG`` never runs nor answers, ``HANG_AFTER`` runs and never
-    answers; ``REFUSE`` proves that nothing ran; ``FAIL_BEFORE`` and ``FAIL_AFTER`` break
-    the connection before or after the operation ran; ``ANSWER_TWICE`` sends the answer
-    two times.
+    ``SLOW`` answers with a delay. ``HANG`` neither runs the operation nor answers;
+    ``HANG_AFTER`` runs it and does not answer. ``REFUSE`` answers that the operation did not
+    run. ``FAIL_BEFORE`` and ``FAIL_AFTER`` break the connection before or after the operation
+    runs. ``ANSWER_TWICE`` sends the answer twice.
     """
 
     NORMAL = "normal"
@@ -86,7 +85,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """Failures that a trace may hold."""
+    """Kinds of faults in a trace."""
 
     KILL_LEADER = "kill_leader"
     RESTART_ENGINES = "restart_engines"
@@ -95,16 +94,16 @@
 
 
 class FaultInjected(_Line, frozen=True):
-    """Something failed.
+    """A fault to inject.
 
-    ``KILL_LEADER`` ends the node that leads ``program`` and starts it again after
-    ``restart_after_s``; ``RESTART_ENGINES`` ends all engines' streams and lets them lose
-    their memory. ``DISTURB_TOOL`` lets the next request for the tool ``target`` (of
-    ``program``, if given) go wrong as ``behaviour`` says. ``ENGINE_LEAVES`` lets the
-    platform list the engine ``target`` as leaving.
+    ``KILL_LEADER`` kills the node that leads ``program`` and starts it again after
+    ``restart_after_s``. ``RESTART_ENGINES`` ends the streams of all engines and clears their
+    memory. ``DISTURB_TOOL`` applies ``behaviour`` to the next request for the tool ``target``
+    (of ``program``, if given). ``ENGINE_LEAVES`` makes the platform list the engine
+    ``target`` as leaving.
 
-    With ``during_call`` it happens as long after the program's call of that sequence number
-    was made as the recorded times say, however late that call is in a replay.
+    With ``during_call``, the time of the fault is relative to the program's call of that
+    sequence number: a replay that makes the call later also delays the fault.
     """
 
     at_s: float
@@ -117,10 +116,10 @@
 
 
 class CallOutcomeStated(_Line, frozen=True):
-    """The outcome that a call must have; ``None`` leaves a point open.
+    """The expected outcome of a call; an attribute that is ``None`` is not checked.
 
-    ``idempotency_key`` tells calls of one sequence number apart, for example one that was
-    refused from the one that took its place.
+    ``idempotency_key`` distinguishes calls with the same sequence number, for example a
+    refused call from the one that replaced it.
     """
 
     program: ProgramId
@@ -132,7 +131,7 @@
 
 
 class LedgerStated(_Line, frozen=True):
-    """How often an operation must have run, found by its tool and arguments."""
+    """The expected number of runs of the operation with this tool and these arguments."""
 
     tool: str
     arguments: str
@@ -140,7 +139,11 @@
 
 
 class HistoryStated(_Line, frozen=True):
-    """The roles of a program's turns, in order, and texts that they must hold or must not."""
+    """The expected history of a program.
+
+    ``roles`` are the roles of its turns, in order. The history must include the texts in
+    ``contains`` and none of those in ``lacks``.
+    """
 
     program: ProgramId
     roles: tuple[str, ...]
@@ -149,15 +152,15 @@
 
 
 class MemoryStated(_Line, frozen=True):
-    """For how many programs the engines may hold memory after the last call."""
+    """The number of programs for which engines may hold memory after the last call."""
 
     held_programs: int
 
 
 class EngineQuietStated(_Line, frozen=True):
-    """An engine must get no request later than ``within_s`` after it was listed as leaving.
+    """An engine must not get requests later than ``within_s`` after it is listed as leaving.
 
-    It must have had requests before, so that the statement says something.
+    It must have had requests before; otherwise the check would pass without any traffic.
     """
 
     engine: str
@@ -165,7 +168,7 @@
 
 
 class SpentStated(_Line, frozen=True):
-    """What a program must have spent in the end; never above its budget."""
+    """The expected final spending of a program, which must be within its budget."""
 
     program: ProgramId
     calls: int
--- a/src/passlane/messages/turns.py
+++ b/src/passlane/messages/turns.py
@@ -1,4 +1,8 @@
-"""Turns of programs as the store group keeps them: budgets, reservations, histories."""
+"""Commands, queries and results of the store group for turns of programs.
+
+They cover the reservation and settlement of turns, stored histories, token budgets and the
+replicated usage of tenants.
+"""
 
 import msgspec
 
@@ -8,9 +12,9 @@
 
 
 class KeptTurn(msgspec.Struct, frozen=True, kw_only=True):
-    """One turn that ended whole; ``previous`` is the turn that it goes on from.
+    """A stored turn, whose answer was complete; ``previous`` is the turn that it continues.
 
-    ``content`` is what the turn adds to a prompt: its input, then its output.
+    ``content`` is the turn's part of a prompt: its input, followed by its output.
     """
 
     turn_id: str
@@ -20,13 +24,22 @@
 
 
 class ReserveTurn(Message, frozen=True, kw_only=True):
-    """Reserves the most that a turn may generate, before it is sent to an engine.
-
-    ``budget_tokens`` is what all turns of the program may generate; ``None`` for no limit.
-    Repeating it for the same attempt reserves nothing more; a further run of the same turn has an
-    ``attempt_id`` of its own (``decisions.limits.turn_runs``). ``quota`` counts the turn against
-    its tenant's limit, ``None`` if there is none. ``demand`` asks for a place at an engine,
-    ``None`` if the node chooses one itself. Neither is replicated.
+    """Reserves the maximum tokens that a turn may generate, before it is sent to an engine.
+
+    Repeating the command for the same attempt reserves nothing more. A further run of the same
+    turn has its own ``attempt_id`` (``decisions.limits.turn_runs``).
+
+    Attributes
+    ----------
+    most_tokens
+        Maximum tokens that the turn may generate.
+    budget_tokens
+        Maximum tokens that all turns of the program may generate; ``None`` for no limit.
+    quota
+        Counts the turn against its tenant's limit; ``None`` without a limit. Not replicated.
+    demand
+        Requests a slot at an engine; ``None`` if the node chooses the engine itself. Not
+        replicated.
     """
 
     program_id: str
@@ -40,12 +53,22 @@
 
 
 class TurnReserved(Message, frozen=True):
-    """The turn may run; ``history`` goes before its new input.
-
-    ``used_last`` is the engine instance that the program used last; empty if unknown.
-    ``start_after_s`` is how long its tenant's limit lets it wait before it is sent. ``engine``
-    is the instance where it has a place, empty if the node is to choose one; it waited
-    ``place_wait_s`` for that, after ``limit_wait_s`` for its tenant's limit.
+    """The turn may run.
+
+    Attributes
+    ----------
+    history
+        The part of the prompt before the turn's new input.
+    used_last
+        Engine instance that the program used last; empty if unknown.
+    start_after_s
+        Time until the tenant's limit allows the turn to be sent.
+    engine
+        Engine instance where the turn has a slot; empty if the node must choose one.
+    place_wait_s
+        Time that the turn waited for the slot.
+    limit_wait_s
+        Time that it waited before that for its tenant's limit.
     """
 
     history: bytes = b""
@@ -57,24 +80,31 @@
 
 
 class BudgetSpent(Message, frozen=True):
-    """The program's budget cannot hold the turn; it has not run and never will."""
+    """The turn would exceed the program's budget; it has not run and will not run."""
 
     spent_tokens: int
     reserved_tokens: int
 
 
 class TurnUnknown(Message, frozen=True):
-    """No turn of that id is kept."""
+    """No turn with this id is stored."""
 
     turn_id: str
 
 
 class SettleTurn(Message, frozen=True, kw_only=True):
-    """Ends a reservation with the tokens that count for it; keeps a turn that ended whole.
-
-    ``served_by`` is the engine instance that holds what the turn has read; empty if none.
-    ``quota`` asks for the tool calls that are expected to follow, ``outcome`` tells how the
-    turn went; neither is replicated.
+    """Settles a reservation with the tokens that count against the budget.
+
+    Attributes
+    ----------
+    turn
+        Turn to store, if its answer was complete; else ``None``.
+    served_by
+        Engine instance that has the turn's prompt in its cache; empty if none.
+    quota
+        Requests quota for the tool calls that are expected to follow. Not replicated.
+    outcome
+        Result of the turn's attempts at engines. Not replicated.
     """
 
     program_id: str
@@ -89,38 +119,38 @@
 class TurnSettled(Message, frozen=True):
     """Answers ``SettleTurn`` once it is durable.
 
-    ``ahead`` more requests of the tenant were granted, see ``QuotaGranted``.
+    ``ahead`` further requests of the tenant were granted; see ``QuotaGranted``.
     """
 
     ahead: int = 0
 
 
 class AdvanceAge(Message, frozen=True):
-    """Tells that some seconds have passed at the leader; what is too old is forgotten."""
+    """Advances the state's age by ``seconds`` of the leader's clock; removes expired data."""
 
     seconds: float
 
 
 class AgeAdvanced(Message, frozen=True):
-    """Answers ``AdvanceAge``."""
+    """Answers ``AdvanceAge`` with the state's new age."""
 
     age_s: float
 
 
 class FindTurnStore(Message, frozen=True):
-    """Asks whether the receiver leads the store group; others answer as for a command."""
+    """Asks whether the receiver leads the store group; other replicas answer as for a command."""
 
 
 class TurnStoreFound(Message, frozen=True):
-    """Answers ``FindTurnStore`` by the leader, with the term that it leads in."""
+    """The leader's answer to ``FindTurnStore``, with its term."""
 
     term: int = 0
 
 
 class NoteUsage(Message, frozen=True, kw_only=True):
-    """Tells all replicas what the leader has granted to tenants since it told last.
+    """Reports to all replicas what the leader granted to tenants since its previous report.
 
-    ``group_s`` is the moment on the group's clock, see ``quotas.usage_history``.
+    ``group_s`` is the time on the group's clock; see ``decisions.limits.usage_history``.
     """
 
     usages: tuple[TenantUsage, ...]
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages survive their codec, and foreign bytes are refused."""
+"""The message codec: round trips, the registry of classes, and refusal of invalid bytes."""
 
 import importlib
 import pkgutil
@@ -22,7 +22,7 @@
 
 
 class CodecTest(unittest.TestCase):
-    def test_command_survives_encoding(self) -> None:
+    def test_decoded_command_equals_the_encoded_one(self) -> None:
         command = FinishCall(
             program_id=ProgramId("p"),
             partition=Partition(3),
@@ -39,7 +39,7 @@
         with self.assertRaises(msgspec.ValidationError):
             message_decoder(StoreCommand).decode(encode_message(reply))
 
-    def test_an_error_reply_keeps_its_verdict_and_the_leader(self) -> None:
+    def test_error_reply_keeps_the_verdict_and_the_leader(self) -> None:
         leader = Address("10.0.0.1", 7000)
         for verdict in Verdict:
             error = NotLeaderError("moved", leader, verdict=verdict)
@@ -59,15 +59,15 @@
 
 
 class RegistryTest(unittest.TestCase):
-    def test_every_message_class_of_the_package_has_a_name_of_its_own_and_is_found(self) -> None:
+    def test_every_message_class_of_the_package_has_a_unique_name_and_is_registered(self) -> None:
         for entry in pkgutil.iter_modules(passlane.messages.__path__):
             importlib.import_module(f"{passlane.messages.__name__}.{entry.name}")
-        # Making the decoder fails where two classes have one name.
+        # Building the decoder fails if two classes have the same name.
         registry = MessageRegistry()
         for message in (FindTurnStore(), ReadRetirement("a")):
             self.assertEqual(registry.decode(encode_message(message)), message)
 
-    def test_classes_that_are_imported_later_are_taken_in(self) -> None:
+    def test_classes_that_are_imported_later_are_registered(self) -> None:
         script = """
 from passlane.messages.registry import decode_any_message
 from passlane.messages.base import encode_message
@@ -79,7 +79,7 @@
 """
         subprocess.run([sys.executable, "-c", script], check=True)
 
-    def test_bytes_that_hold_no_known_message_are_refused(self) -> None:
+    def test_bytes_without_a_registered_message_are_refused(self) -> None:
         registry = MessageRegistry()
         for body in (b"", b"\xc1", msgspec.msgpack.encode({"type": "NoSuchMessage"})):
             with self.subTest(body=body), self.assertRaises(msgspec.DecodeError):
