--- a/src/passlane/configuration/__init__.py
+++ b/src/passlane/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Documents that operators submit, and the view of them that is in force."""
+"""Configuration documents of operators: parsing, references, replication and lookups."""
--- a/src/passlane/configuration/catch_up.py
+++ b/src/passlane/configuration/catch_up.py
@@ -1,31 +1,33 @@
-"""Which deltas a holder of the configuration may take in.
+"""Rules for which deltas a copy of the configuration may apply.
 
-A holder that fell far behind starts over with a snapshot in parts. Deletions up to the
-snapshot's floor stand in none of its parts, so parts of different snapshots never mix:
-a late part of an older one could bring back a document that has been deleted since.
+A copy that is too far behind is replaced by a snapshot, which is sent in parts. The parts do
+not include deletions up to the snapshot's floor revision. Parts of different snapshots must
+therefore not be mixed: a stale part could restore a document that has since been deleted.
 """
 
 from passlane.identifiers import Revision
 from passlane.messages.control import ConfigurationDelta
 
 
-def starts_over(
+def requires_reset(
     held_revision: Revision, floor_revision: Revision, delta: ConfigurationDelta
 ) -> bool:
-    """Return whether a holder must forget what it holds before it takes in ``delta``."""
+    """Return whether the copy must be cleared before ``delta`` is applied."""
     return delta.is_snapshot and max(held_revision, floor_revision) < delta.floor_revision
 
 
-def continues(held_revision: Revision, floor_revision: Revision, delta: ConfigurationDelta) -> bool:
-    """Return whether ``delta`` leaves no gap and is no part of another snapshot.
+def is_applicable(
+    held_revision: Revision, floor_revision: Revision, delta: ConfigurationDelta
+) -> bool:
+    """Return whether ``delta`` leaves no gap and is not part of another snapshot.
 
     Parameters
     ----------
     held_revision
-        Newest revision that the holder holds, after it has started over if it must.
+        Newest revision of the copy, after a required reset.
     floor_revision
-        Floor of the snapshot that the holder began with. Once ``held_revision`` has come
-        as far as both floors, no deletion below them can be missed any more.
+        Floor revision of the snapshot that the copy is based on. Once ``held_revision`` has
+        reached the floors of the copy and of the delta, no deletion below them is missing.
     """
     if delta.from_revision > held_revision:
         return False
--- a/src/passlane/configuration/documents.py
+++ b/src/passlane/configuration/documents.py
@@ -1,7 +1,7 @@
 """Bodies of the documents that operators submit, by kind.
 
-A document file is TOML with ``kind``, ``name`` and the fields of the body below.
-Units stand in the field names.
+A document file is TOML with ``kind``, ``name`` and the fields of the body. Field names
+include the unit.
 """
 
 import enum
@@ -24,16 +24,16 @@
 
 
 Count = Annotated[int, msgspec.Meta(ge=1)]
-"""A whole number from 1."""
+"""An integer of at least 1."""
 
 Seconds = Annotated[float, msgspec.Meta(gt=0)]
-"""A time in seconds, above 0."""
+"""A duration in seconds, above 0."""
 
 Rate = Annotated[float, msgspec.Meta(gt=0)]
-"""Events a second, above 0."""
+"""Events per second, above 0."""
 
 Money = Annotated[int, msgspec.Meta(ge=0)]
-"""Money in millionths of the tenant's currency unit."""
+"""An amount of money in millionths of the tenant's currency unit."""
 
 
 class _Body(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
@@ -41,7 +41,7 @@
 
 
 class ServiceBody(_Body, frozen=True):
-    """A service: the models and tools it may use and the policy that governs it."""
+    """A service: the models and tools that it may use, and its policy."""
 
     models: tuple[str, ...] = ()
     tools: tuple[str, ...] = ()
@@ -49,7 +49,7 @@
 
 
 class EngineBody(_Body, frozen=True):
-    """A model engine and what it can do.
+    """A model engine: its address, zone, models and capacity.
 
     ``cache_tokens`` is the size of its prefix cache in tokens.
     """
@@ -64,8 +64,8 @@
 class ToolBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """A tool of an application.
 
-    ``repeatable`` tools may be sent again after a doubtful failure; others run at
-    most once. ``price_micros`` is reserved from the program's budget.
+    Calls of a ``repeatable`` tool are retried when their outcome is unknown; calls of other
+    tools run at most once. ``price_micros`` is reserved from the program's budget.
     """
 
     name: str
@@ -87,7 +87,7 @@
 class TenantBody(_Body, frozen=True):
     """A tenant: its service and limits.
 
-    ``max_programs`` counts programs under way in one region, sub-agents left out.
+    ``max_programs`` limits the running programs in one region, sub-agents not counted.
     """
 
     service: str
@@ -99,14 +99,14 @@
 
 
 class PolicyBody(_Body, frozen=True):
-    """A Starlark policy; see docs/design/policies.md for the functions it may define."""
+    """A Starlark policy; ``max_steps`` limits the steps of one evaluation."""
 
     source: str
     max_steps: Count = 20_000
 
 
 class DrainKind(enum.StrEnum):
-    """Kinds of things that can be drained."""
+    """Kinds of targets that can be drained."""
 
     ENGINE = "engine"
     APPLICATION = "application"
@@ -114,7 +114,7 @@
 
 
 class DrainBody(_Body, frozen=True):
-    """Marks an engine, application or node as leaving: it receives no new work."""
+    """Drains an engine, application or node: it receives no new work."""
 
     target_kind: DrainKind
     target: str
--- a/src/passlane/configuration/files.py
+++ b/src/passlane/configuration/files.py
@@ -1,8 +1,8 @@
 """Reads document files: TOML with one document, or several as ``[[document]]``.
 
-Each document has ``kind``, ``name`` and the fields of its body; an optional ``version``
-is the version that the change is based on. A policy's source may stand in a file of its
-own, named by ``source_file`` relative to the document file.
+Each document has ``kind``, ``name`` and the fields of its body. An optional ``version`` is
+the version that the change is based on. A policy's source may be in a separate file, whose
+path relative to the document file is ``source_file``.
 """
 
 import re
@@ -18,8 +18,8 @@
 DOCUMENT_TABLE = "document"
 SOURCE_FILE_KEY = "source_file"
 
-# A document comes after those that it refers to.
-_ORDER = {
+# A document is sorted after those that it refers to.
+_KIND_ORDER = {
     DocumentKind.ENGINE: 0,
     DocumentKind.APPLICATION: 1,
     DocumentKind.POLICY: 2,
@@ -31,17 +31,18 @@
 
 
 class DocumentFileError(PasslaneError):
-    """A document file that can't be used; the message names file, place and key."""
+    """A document file is invalid; the message names the file, the document and the key."""
 
-    def __init__(self, path: Path, place: str, message: str) -> None:
-        super().__init__(ErrorCode.INVALID_DOCUMENT, f"{path}: {place}{message}")
+    def __init__(self, path: Path, location: str, message: str) -> None:
+        super().__init__(ErrorCode.INVALID_DOCUMENT, f"{path}: {location}{message}")
 
 
 @dataclass(frozen=True)
 class DocumentDraft:
-    """A document as it stands in a file. ``body`` is JSON in the recorded form.
+    """A document of a file.
 
-    ``version`` is the version that the file says it was based on, if it says so.
+    ``body`` is JSON as it is recorded. ``version`` is the version that the document is based
+    on, ``None`` if the file does not give it.
     """
 
     kind: DocumentKind
@@ -58,15 +59,15 @@
     Raises
     ------
     DocumentFileError
-        When a file cannot be read or holds a document that is not valid, or when a
-        document stands there twice.
+        When a file cannot be read or has no document, when a document is invalid, or when
+        two documents have the same kind and name.
     """
     files = sorted(path.glob("*.toml")) if path.is_dir() else [path]
     drafts = [draft for file in files for draft in _load_file(file)]
     if not drafts:
-        raise DocumentFileError(path, "", "holds no document")
+        raise DocumentFileError(path, "", "has no document")
     _check_unique(path, drafts)
-    return sorted(drafts, key=lambda draft: _ORDER[draft.kind])
+    return sorted(drafts, key=lambda draft: _KIND_ORDER[draft.kind])
 
 
 def _check_unique(path: Path, drafts: list[DocumentDraft]) -> None:
@@ -99,38 +100,38 @@
     if data:
         raise DocumentFileError(path, "", f"unknown key {next(iter(data))!r}")
     if not isinstance(tables, list):
-        raise DocumentFileError(path, "", "write [[document]], with two brackets")
+        raise DocumentFileError(path, "", "document: expected an array of tables, [[document]]")
     return tables
 
 
-def _to_draft(path: Path, place: str, table: dict[str, Any]) -> DocumentDraft:
+def _to_draft(path: Path, location: str, table: dict[str, Any]) -> DocumentDraft:
     fields = dict(table)
     try:
-        kind = parse_kind(_take_text(fields, "kind"))
-        name = _take_text(fields, "name")
+        kind = parse_kind(_pop_string(fields, "kind"))
+        name = _pop_string(fields, "name")
         check_name(name)
-        version = _take_version(fields)
+        version = _pop_version(fields)
         if kind is DocumentKind.POLICY:
             _read_source(path, fields)
         body = encode_body(parse_fields(kind, fields))
     except PasslaneError as error:
         key = _KEY_IN_MESSAGE.search(error.message)
-        named = f"{key.group(1)}: " if key and key.group(1) else ""
-        raise DocumentFileError(path, f"{place}{named}", error.message) from error
+        key_prefix = f"{key.group(1)}: " if key and key.group(1) else ""
+        raise DocumentFileError(path, f"{location}{key_prefix}", error.message) from error
     return DocumentDraft(kind=kind, name=name, body=body, version=version)
 
 
-def _take_text(fields: dict[str, Any], key: str) -> str:
+def _pop_string(fields: dict[str, Any], key: str) -> str:
     value = fields.pop(key, None)
     if not isinstance(value, str):
-        raise PasslaneError(ErrorCode.INVALID_DOCUMENT, f"{key}: a text is needed")
+        raise PasslaneError(ErrorCode.INVALID_DOCUMENT, f"{key}: expected a string")
     return value
 
 
-def _take_version(fields: dict[str, Any]) -> int | None:
+def _pop_version(fields: dict[str, Any]) -> int | None:
     version = fields.pop("version", None)
     if version is not None and (not isinstance(version, int) or version < 0):
-        raise PasslaneError(ErrorCode.INVALID_DOCUMENT, "version: a whole number from 0 is needed")
+        raise PasslaneError(ErrorCode.INVALID_DOCUMENT, "version: expected an integer from 0")
     return version
 
 
@@ -140,7 +141,7 @@
         return
     if "source" in fields:
         raise PasslaneError(
-            ErrorCode.INVALID_DOCUMENT, f"{SOURCE_FILE_KEY}: stands beside 'source'; keep one"
+            ErrorCode.INVALID_DOCUMENT, f"{SOURCE_FILE_KEY}: not allowed together with 'source'"
         )
     try:
         fields["source"] = (path.parent / str(name)).read_text(encoding="utf-8")
--- a/src/passlane/configuration/in_flight.py
+++ b/src/passlane/configuration/in_flight.py
@@ -1,4 +1,4 @@
-"""Sums of the calls in flight at what is being drained."""
+"""Sums of the calls in flight at drained targets."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -7,7 +7,7 @@
 
 
 def sum_in_flight(entries: Iterable[TargetInFlight]) -> tuple[TargetInFlight, ...]:
-    """Return one entry for each target, in the order of kinds and names."""
+    """Return one entry with the sum of calls for each target, sorted by kind and name."""
     calls: Counter[tuple[str, str]] = Counter()
     for entry in entries:
         calls[entry.target_kind, entry.target] += entry.calls
--- a/src/passlane/configuration/ledger.py
+++ b/src/passlane/configuration/ledger.py
@@ -1,18 +1,15 @@
-"""The documents that a process holds: accepted ones, and changes still pending.
+"""The accepted documents and the pending changes of the configuration.
 
-The control group keeps its configuration in a ledger and each region's store leader
-holds a copy. A ledger answers "what has changed since revision N". It keeps the newest
-accepted version of each document and every pending change, so an answer never grows
-beyond the configuration itself, however many changes were missed.
-
-Deletions stay as documents without a body, so that a holder learns of them. Only the
-newest ``MAX_TOMBSTONES`` of them are kept. A holder older than the newest deletion that
-was dropped (``floor_revision``) is given everything from the start instead.
+The control group stores its configuration in a ledger, and each region's store leader has a
+copy. A ledger has only the newest accepted version of each document and the pending changes,
+which bounds the size of a delta. Deletions are stored as documents without a body
+(tombstones), at most ``MAX_TOMBSTONES``. A copy older than the newest removed tombstone
+(``floor_revision``) gets a full snapshot.
 """
 
 from collections.abc import Iterable, Iterator
 
-from passlane.configuration.catch_up import continues, starts_over
+from passlane.configuration.catch_up import is_applicable, requires_reset
 from passlane.identifiers import Revision
 from passlane.messages.control import NO_REVISION, ConfigurationDelta, Document
 
@@ -34,7 +31,7 @@
 
     def __init__(self, max_tombstones: int = MAX_TOMBSTONES) -> None:
         self._max_tombstones = max_tombstones
-        # In the order of revisions: a document that changes moves to the end.
+        # In the order of revisions: a changed document moves to the end.
         self._accepted: dict[DocumentKey, Document] = {}
         self._tombstones: dict[DocumentKey, Revision] = {}
         self._pending: dict[Revision, Document] = {}
@@ -49,12 +46,12 @@
         return len(self._pending)
 
     def newest(self, kind: str, name: str) -> Document | None:
-        """Return the newest version, pending or not; a deletion has no body."""
+        """Return a document's newest version, pending or accepted; a deletion has no body."""
         key = (kind, name)
         return self._newest_pending.get(key) or self._accepted.get(key)
 
     def newest_documents(self, kind: str | None = None, name: str | None = None) -> list[Document]:
-        """Return the newest versions that are not deletions, by kind and name."""
+        """Return the newest versions that are not deletions, sorted by kind and name."""
         newest = {**self._accepted, **self._newest_pending}
         found = [
             document
@@ -66,7 +63,7 @@
         return sorted(found, key=key_of)
 
     def pending_change(self, revision: Revision) -> Document | None:
-        """Return the pending change of that number, if it is pending."""
+        """Return the pending change with this revision; ``None`` if it is not pending."""
         return self._pending.get(revision)
 
     def pending_changes(self) -> list[Document]:
@@ -82,24 +79,24 @@
         return self._accepted.get((kind, name))
 
     def accepted_of(self, kind: str) -> Iterator[Document]:
-        """Yield the accepted documents of a kind, deletions too."""
+        """Yield the accepted documents of a kind, including deletions."""
         return (document for document in self._accepted.values() if document.kind == kind)
 
     def append(self, change: Document) -> None:
-        """Add the next pending change; its revision must be the next one."""
+        """Add a pending change; its revision must follow ``held_revision``."""
         if change.revision != self.held_revision + 1:
-            raise ValueError("revisions are consecutive")
-        self._hold(change)
+            raise ValueError("the revision must be 1 above the newest revision")
+        self._store_pending(change)
         self.held_revision = change.revision
 
     def accept(self, revision: Revision) -> None:
-        """Mark the changes up to ``revision`` as accepted; an older one does nothing."""
+        """Mark the changes up to ``revision`` as accepted; an older revision has no effect."""
         if revision <= self.accepted_revision:
             return
         self.accepted_revision = revision
         for number in [number for number in self._pending if number <= revision]:
             self._store_accepted(self._pending.pop(number))
-        self._drop_old_tombstones()
+        self._remove_excess_tombstones()
 
     def delta_since(
         self,
@@ -107,34 +104,36 @@
         held_floor: Revision = NO_REVISION,
         max_bytes: int = MAX_DELTA_BYTES,
     ) -> ConfigurationDelta:
-        """Return what a holder of ``held_revision`` lacks, or the first part of it.
+        """Return the changes after ``held_revision``, or the first part of them.
 
         Parameters
         ----------
+        held_revision
+            Newest revision of the receiver's copy.
         held_floor
-            The ``floor_revision`` of the snapshot that the holder began with; it may
-            still be in the middle of receiving it.
+            ``floor_revision`` of the snapshot that the copy is based on; the receiver may
+            not have received all parts of that snapshot yet.
         max_bytes
-            Rough size at which the answer is cut; the holder asks again for the rest.
+            Approximate maximum size of the delta; the receiver requests the rest.
         """
         if self.accepted_revision < held_floor:
-            return self._nothing_for(held_revision, held_floor)
-        restart = max(held_revision, held_floor) < self.floor_revision
-        since = NO_REVISION if restart else held_revision
-        documents = self._first_documents(self._after(since), max_bytes)
-        whole = not documents or documents[-1].revision >= self._last_revision()
-        reached = self.held_revision if whole else documents[-1].revision
+            return self._empty_delta(held_revision, held_floor)
+        is_snapshot = max(held_revision, held_floor) < self.floor_revision
+        since = NO_REVISION if is_snapshot else held_revision
+        documents = self._limit_size(self._documents_after(since), max_bytes)
+        is_complete = not documents or documents[-1].revision >= self._last_revision()
+        last_sent = self.held_revision if is_complete else documents[-1].revision
         return ConfigurationDelta(
             from_revision=since,
-            to_revision=max(since, reached),
+            to_revision=max(since, last_sent),
             accepted_revision=self.accepted_revision,
             documents=tuple(documents),
-            is_snapshot=restart,
-            floor_revision=self.floor_revision if restart else held_floor,
+            is_snapshot=is_snapshot,
+            floor_revision=self.floor_revision if is_snapshot else held_floor,
         )
 
-    def _nothing_for(self, held_revision: Revision, held_floor: Revision) -> ConfigurationDelta:
-        """Return the answer to a holder whose snapshot is newer than this ledger."""
+    def _empty_delta(self, held_revision: Revision, held_floor: Revision) -> ConfigurationDelta:
+        """Return the delta for a copy that is based on a snapshot newer than this ledger."""
         return ConfigurationDelta(
             from_revision=held_revision,
             to_revision=held_revision,
@@ -143,22 +142,22 @@
         )
 
     def apply_delta(self, delta: ConfigurationDelta) -> None:
-        """Take in a delta; one that is old, leaves a gap or mixes snapshots changes nothing.
+        """Apply a delta; one that is stale, leaves a gap or mixes snapshots changes nothing.
 
-        A snapshot starts over, except for the accepted revision, which never goes back.
+        A snapshot replaces everything except the accepted revision, which never decreases.
         """
-        if starts_over(self.held_revision, self.floor_revision, delta):
+        if requires_reset(self.held_revision, self.floor_revision, delta):
             self._clear(delta.floor_revision)
-        if not continues(self.held_revision, self.floor_revision, delta):
+        if not is_applicable(self.held_revision, self.floor_revision, delta):
             return
         for document in delta.documents:
             if document.revision > self.held_revision:
-                self._take_in(document)
+                self._store(document)
         self.held_revision = max(self.held_revision, delta.to_revision)
         self.accept(delta.accepted_revision)
 
     def dump(self) -> tuple[tuple[Document, ...], tuple[Document, ...]]:
-        """Return accepted documents (deletions too) and pending changes, for a snapshot."""
+        """Return the accepted documents, including deletions, and the pending changes."""
         return tuple(self._accepted.values()), tuple(self._pending.values())
 
     def load(
@@ -169,12 +168,12 @@
         accepted_revision: Revision,
         floor_revision: Revision,
     ) -> None:
-        """Replace everything by what ``dump`` returned."""
+        """Replace the whole ledger with the documents and changes that ``dump`` returned."""
         self._clear(floor_revision)
         for document in accepted:
             self._store_accepted(document)
         for change in pending:
-            self._hold(change)
+            self._store_pending(change)
         self.held_revision = held_revision
         self.accepted_revision = accepted_revision
 
@@ -186,13 +185,13 @@
         self.held_revision = NO_REVISION
         self.floor_revision = floor_revision
 
-    def _take_in(self, document: Document) -> None:
+    def _store(self, document: Document) -> None:
         if document.revision <= self.accepted_revision:
             self._store_accepted(document)
         else:
-            self._hold(document)
+            self._store_pending(document)
 
-    def _hold(self, change: Document) -> None:
+    def _store_pending(self, change: Document) -> None:
         self._pending[change.revision] = change
         self._newest_pending[key_of(change)] = change
 
@@ -207,7 +206,7 @@
         if newest is not None and newest.revision <= document.revision:
             del self._newest_pending[key]
 
-    def _drop_old_tombstones(self) -> None:
+    def _remove_excess_tombstones(self) -> None:
         while len(self._tombstones) > self._max_tombstones:
             key = next(iter(self._tombstones))
             self.floor_revision = max(self.floor_revision, self._tombstones.pop(key))
@@ -220,7 +219,7 @@
             return next(reversed(self._accepted.values())).revision
         return NO_REVISION
 
-    def _after(self, revision: Revision) -> Iterator[Document]:
+    def _documents_after(self, revision: Revision) -> Iterator[Document]:
         recent: list[Document] = []
         for document in reversed(self._accepted.values()):
             if document.revision <= revision:
@@ -232,12 +231,12 @@
                 yield change
 
     @staticmethod
-    def _first_documents(documents: Iterable[Document], max_bytes: int) -> list[Document]:
-        chosen: list[Document] = []
+    def _limit_size(documents: Iterable[Document], max_bytes: int) -> list[Document]:
+        selected: list[Document] = []
         size = 0
         for document in documents:
             size += len(document.body or "") + len(document.name) + DOCUMENT_OVERHEAD_BYTES
-            if chosen and size > max_bytes:
+            if selected and size > max_bytes:
                 break
-            chosen.append(document)
-        return chosen
+            selected.append(document)
+        return selected
--- a/src/passlane/configuration/parsing.py
+++ b/src/passlane/configuration/parsing.py
@@ -1,4 +1,4 @@
-"""Parses document bodies into their structs, with errors that name the place."""
+"""Parses document bodies into their structs; errors name the invalid key."""
 
 from typing import Any
 
@@ -19,16 +19,16 @@
 
 
 def parse_kind(kind: str) -> DocumentKind:
-    """Return the kind of that name; raise ``INVALID_DOCUMENT`` if there is none."""
+    """Return the kind with this name; raise ``INVALID_DOCUMENT`` if there is none."""
     try:
         return DocumentKind(kind)
     except ValueError:
-        known = ", ".join(member.value for member in DocumentKind)
-        raise _invalid(f"unknown kind {kind!r}; kinds are {known}") from None
+        kinds = ", ".join(member.value for member in DocumentKind)
+        raise _invalid(f"unknown kind {kind!r}; kinds are {kinds}") from None
 
 
 def check_name(name: str) -> None:
-    """Raise ``INVALID_DOCUMENT`` unless ``name`` can name a document."""
+    """Raise ``INVALID_DOCUMENT`` unless ``name`` is a valid name of a document."""
     if not name or len(name) > MAX_NAME_LENGTH:
         raise _invalid(f"a name has 1 to {MAX_NAME_LENGTH} characters")
     if "/" in name or not name.isprintable() or name != name.strip():
@@ -36,12 +36,12 @@
 
 
 def parse_body(kind: DocumentKind, body: str) -> DocumentBody:
-    """Return the struct that a recorded body (JSON) stands for.
+    """Return the struct for a recorded body (JSON).
 
     Raises
     ------
     PasslaneError
-        ``INVALID_DOCUMENT`` with the key that is wrong.
+        ``INVALID_DOCUMENT``, with the key that is invalid.
     """
     if len(body) > MAX_BODY_CHARACTERS:
         raise _invalid(f"a body has {MAX_BODY_CHARACTERS} characters at most")
@@ -54,38 +54,38 @@
 def parse_recorded(document: Document) -> DocumentBody | None:
     """Return the body of a recorded document; ``None`` if it is deleted or cannot be parsed.
 
-    The control group checks documents before it records them; one that it let through all
-    the same must not stop those that act on the others.
+    The control group checks documents before it records them. If it has recorded an invalid
+    document nevertheless, the other documents must still be usable.
     """
     if document.body is None:
         return None
     try:
         return parse_body(parse_kind(document.kind), document.body)
     except PasslaneError:
-        # Whoever acts on the document counts it among the unreadable ones.
+        # ConfigurationView.unreadable lists such documents.
         return None
 
 
 def parse_fields(kind: DocumentKind, fields: dict[str, Any]) -> DocumentBody:
-    """Return the struct for fields as people write them, ``address = "host:port"``.
+    """Return the struct for the fields of a document file, with ``address = "host:port"``.
 
     Raises
     ------
     PasslaneError
-        ``INVALID_DOCUMENT`` with the key that is wrong.
+        ``INVALID_DOCUMENT``, with the key that is invalid.
     """
     try:
-        return msgspec.convert(_with_address(fields), BODY_TYPES[kind])
+        return msgspec.convert(_with_parsed_address(fields), BODY_TYPES[kind])
     except (ValueError, msgspec.MsgspecError) as error:
         raise _invalid(str(error)) from error
 
 
 def encode_body(body: DocumentBody) -> str:
-    """Return the JSON that is recorded: every field, defaults too, in a fixed order."""
+    """Return the JSON to record: all fields, including defaults, in a fixed order."""
     return _encoder.encode(body).decode()
 
 
-def _with_address(fields: dict[str, Any]) -> dict[str, Any]:
+def _with_parsed_address(fields: dict[str, Any]) -> dict[str, Any]:
     address = fields.get("address")
     if not isinstance(address, str):
         return fields
--- a/src/passlane/configuration/references.py
+++ b/src/passlane/configuration/references.py
@@ -1,4 +1,7 @@
-"""Cross references between documents: what a document needs and what it provides."""
+"""References between documents: what a document requires and what it provides.
+
+The index of references decides whether a change would break a reference.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -20,7 +23,7 @@
 
 
 class Reference(NamedTuple):
-    """A thing that documents name: a service, a policy, a model or a tool."""
+    """Target of a reference: a model, a tool, or a document by its kind and name."""
 
     kind: str
     name: str
@@ -29,53 +32,53 @@
 MODEL = "model"
 TOOL = "tool"
 
-# Engines and applications are machines that may vanish anyway, so taking the last one
-# away from a model or tool is allowed; a service or policy in use is only ever an error.
-KEPT_WHILE_IN_USE = frozenset({DocumentKind.SERVICE.value, DocumentKind.POLICY.value})
+# Engines and applications may fail at any time, so deleting the last one with a model or tool
+# is allowed. Deleting a service or policy in use is an error.
+PROTECTED_KINDS = frozenset({DocumentKind.SERVICE.value, DocumentKind.POLICY.value})
 
 
-# Nothing refers to these, and tenants are by far the most numerous documents.
-NEVER_REFERRED_TO = frozenset({DocumentKind.TENANT, DocumentKind.DRAIN})
+# No document refers to these. Skipping them saves memory, because there are many tenants.
+UNREFERENCED_KINDS = frozenset({DocumentKind.TENANT, DocumentKind.DRAIN})
 
-NOTHING: frozenset[Reference] = frozenset()
+NO_REFERENCES: frozenset[Reference] = frozenset()
 
 
-def needs_of(body: DocumentBody) -> frozenset[Reference]:
+def required_references(body: DocumentBody) -> frozenset[Reference]:
     """Return what a document refers to."""
     if isinstance(body, TenantBody):
         return frozenset({Reference(DocumentKind.SERVICE.value, body.service)})
     if isinstance(body, ServiceBody):
-        needs = {Reference(MODEL, model) for model in body.models}
-        needs |= {Reference(TOOL, tool) for tool in body.tools}
+        required = {Reference(MODEL, model) for model in body.models}
+        required |= {Reference(TOOL, tool) for tool in body.tools}
         if body.policy is not None:
-            needs.add(Reference(DocumentKind.POLICY.value, body.policy))
-        return frozenset(needs)
+            required.add(Reference(DocumentKind.POLICY.value, body.policy))
+        return frozenset(required)
     if isinstance(body, DrainBody) and body.target_kind is not DrainKind.NODE:
         return frozenset({Reference(body.target_kind.value, body.target)})
-    return NOTHING
+    return NO_REFERENCES
 
 
-def provisions_of(kind: DocumentKind, name: str, body: DocumentBody) -> frozenset[Reference]:
-    """Return what a document lets others refer to."""
-    if kind in NEVER_REFERRED_TO:
-        return NOTHING
-    provisions = {Reference(kind.value, name)}
+def provided_references(kind: DocumentKind, name: str, body: DocumentBody) -> frozenset[Reference]:
+    """Return what other documents may refer to if this document exists."""
+    if kind in UNREFERENCED_KINDS:
+        return NO_REFERENCES
+    provided = {Reference(kind.value, name)}
     if isinstance(body, EngineBody):
-        provisions |= {Reference(MODEL, model) for model in body.models}
+        provided |= {Reference(MODEL, model) for model in body.models}
     if isinstance(body, ApplicationBody):
-        provisions |= {Reference(TOOL, tool.name) for tool in body.tools}
-    return frozenset(provisions)
+        provided |= {Reference(TOOL, tool.name) for tool in body.tools}
+    return frozenset(provided)
 
 
 class ReferenceIndex:
-    """Counts needs and provisions over the newest version of each document."""
+    """Counts required and provided references over the newest version of each document."""
 
     def __init__(self) -> None:
-        self._needs: dict[DocumentKey, frozenset[Reference]] = {}
-        self._provisions: dict[DocumentKey, frozenset[Reference]] = {}
-        self._needed: Counter[Reference] = Counter()
-        self._provided: Counter[Reference] = Counter()
-        self._shared: dict[frozenset[Reference], frozenset[Reference]] = {}
+        self._required_by_document: dict[DocumentKey, frozenset[Reference]] = {}
+        self._provided_by_document: dict[DocumentKey, frozenset[Reference]] = {}
+        self._required_counts: Counter[Reference] = Counter()
+        self._provided_counts: Counter[Reference] = Counter()
+        self._interned: dict[frozenset[Reference], frozenset[Reference]] = {}
 
     @classmethod
     def of(cls, documents: Iterable[Document]) -> "ReferenceIndex":
@@ -88,51 +91,57 @@
         return index
 
     def problem_with(self, kind: str, name: str, body: DocumentBody | None) -> str | None:
-        """Return why a change would break a reference, or ``None`` if it breaks none."""
-        needs = NOTHING if body is None else needs_of(body)
-        missing = [reference for reference in needs if self._provided[reference] == 0]
+        """Return why a change would break a reference; ``None`` if it breaks none.
+
+        1. Every required reference must be provided by some document.
+        2. A service or policy that other documents require must still be provided.
+        """
+        required = NO_REFERENCES if body is None else required_references(body)
+        missing = [reference for reference in required if self._provided_counts[reference] == 0]
         if missing:
-            return f"there is no {_names(missing)}"
-        kept = NOTHING if body is None else provisions_of(DocumentKind(kind), name, body)
-        lost = self._provisions.get((kind, name), NOTHING) - kept
+            return f"there is no {_describe(missing)}"
+        still_provided = (
+            NO_REFERENCES if body is None else provided_references(DocumentKind(kind), name, body)
+        )
+        removed = self._provided_by_document.get((kind, name), NO_REFERENCES) - still_provided
         in_use = [
             reference
-            for reference in lost
-            if reference.kind in KEPT_WHILE_IN_USE and self._needed[reference] > 0
+            for reference in removed
+            if reference.kind in PROTECTED_KINDS and self._required_counts[reference] > 0
         ]
-        return f"other documents use {_names(in_use)}" if in_use else None
+        return f"other documents use {_describe(in_use)}" if in_use else None
 
     def put(self, kind: str, name: str, body: DocumentBody | None) -> None:
         """Record a change; ``None`` deletes the document."""
         key = (kind, name)
-        _take_off(self._needed, self._needs.pop(key, NOTHING))
-        _take_off(self._provided, self._provisions.pop(key, NOTHING))
+        _subtract(self._required_counts, self._required_by_document.pop(key, NO_REFERENCES))
+        _subtract(self._provided_counts, self._provided_by_document.pop(key, NO_REFERENCES))
         if body is None:
             return
-        self._add(self._needs, self._needed, key, needs_of(body))
-        provisions = provisions_of(DocumentKind(kind), name, body)
-        self._add(self._provisions, self._provided, key, provisions)
+        self._add(self._required_by_document, self._required_counts, key, required_references(body))
+        provided = provided_references(DocumentKind(kind), name, body)
+        self._add(self._provided_by_document, self._provided_counts, key, provided)
 
     def _add(
         self,
-        references_of: dict[DocumentKey, frozenset[Reference]],
+        references_by_document: dict[DocumentKey, frozenset[Reference]],
         counts: Counter[Reference],
         key: DocumentKey,
         references: frozenset[Reference],
     ) -> None:
         if not references:
             return
-        # Thousands of tenants need the same service: they share one set.
-        references_of[key] = self._shared.setdefault(references, references)
+        # Tenants of the same service share one set, to save memory.
+        references_by_document[key] = self._interned.setdefault(references, references)
         counts.update(references)
 
 
-def _take_off(counts: Counter[Reference], references: Iterable[Reference]) -> None:
+def _subtract(counts: Counter[Reference], references: Iterable[Reference]) -> None:
     for reference in references:
         counts[reference] -= 1
         if counts[reference] == 0:
             del counts[reference]
 
 
-def _names(references: Iterable[Reference]) -> str:
+def _describe(references: Iterable[Reference]) -> str:
     return ", ".join(sorted(f"{reference.kind} {reference.name!r}" for reference in references))
--- a/src/passlane/configuration/view.py
+++ b/src/passlane/configuration/view.py
@@ -1,15 +1,15 @@
-"""The configuration as a node acts on it: immutable, parsed, with lookups.
+"""The configuration that a node acts on: immutable, parsed, with lookups.
 
-A view also holds the changes that are not accepted yet. They show up in
-``held_revision``, which the node reports as prepared, and take effect together once
-their revision is accepted. A view never goes back to an older revision.
+A view also has the changes that are not accepted yet. The node reports their revision,
+``held_revision``, as prepared. They take effect together once their revision is accepted. A
+view never returns to an older revision.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field, replace
 from typing import Any
 
-from passlane.configuration.catch_up import continues, starts_over
+from passlane.configuration.catch_up import is_applicable, requires_reset
 from passlane.configuration.documents import (
     ApplicationBody,
     DocumentBody,
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True)
 class ToolOffer:
-    """A tool as one application offers it."""
+    """A tool of one application."""
 
     application_id: ApplicationId
     application: ApplicationBody
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class DrainTarget:
-    """An engine, application or node that receives no new work, by its name."""
+    """An engine, application or node that receives no new work; identified by its name."""
 
     kind: DrainKind
     name: str
@@ -47,21 +47,22 @@
 
 @dataclass(frozen=True)
 class ConfigurationView:
-    """Bodies of the accepted documents by name, and the changes still pending.
+    """Bodies of the accepted documents by name, and the pending changes.
 
     Attributes
     ----------
     held_revision
-        Newest revision held, pending or accepted; a node reports it as prepared.
+        Newest revision received, pending or accepted; a node reports it as prepared.
     revision_in_force
-        The accepted revision that the mappings stand for.
+        The accepted revision that the mappings represent.
     accepted_revision
-        Newest revision known to be accepted; ahead of ``revision_in_force`` only while
-        parts of a delta are missing.
+        Newest revision reported as accepted; ahead of ``revision_in_force`` only while parts
+        of a delta are missing.
     floor_revision
-        Sent back when asking for the next part of a snapshot.
+        Floor revision of the snapshot that the view is based on; returned when requesting
+        the next part.
     unreadable
-        Documents whose bodies this version of the program can't parse, as ``kind/name``.
+        Documents that this build cannot parse, as ``kind/name``.
     """
 
     held_revision: Revision = NO_REVISION
@@ -78,51 +79,51 @@
     draining: frozenset[DrainTarget] = frozenset()
     unreadable: frozenset[str] = frozenset()
     _pending: tuple[Document, ...] = ()
-    _starts_over: bool = False
+    _is_resetting: bool = False
 
     def apply_delta(self, delta: ConfigurationDelta) -> "ConfigurationView":
-        """Return the view with a delta taken in.
+        """Return the view with a delta applied.
 
-        One that is old, leaves a gap or mixes snapshots changes nothing.
+        A delta that is stale, leaves a gap or mixes snapshots changes nothing.
         """
         view = self
-        if starts_over(self.held_revision, self.floor_revision, delta):
+        if requires_reset(self.held_revision, self.floor_revision, delta):
             view = replace(
                 view,
                 held_revision=NO_REVISION,
                 floor_revision=delta.floor_revision,
                 _pending=(),
-                _starts_over=True,
+                _is_resetting=True,
             )
-        if not continues(view.held_revision, view.floor_revision, delta):
+        if not is_applicable(view.held_revision, view.floor_revision, delta):
             return self
-        fresh = tuple(
+        new_documents = tuple(
             document for document in delta.documents if document.revision > view.held_revision
         )
         view = replace(
             view,
             held_revision=max(view.held_revision, delta.to_revision),
-            _pending=view._pending + fresh,
+            _pending=view._pending + new_documents,
         )
         return view.accept(delta.accepted_revision)
 
     def accept(self, revision: Revision) -> "ConfigurationView":
-        """Return the view that acts on ``revision`` if it is newer and all of it is held."""
-        known = max(self.accepted_revision, revision)
-        view = self if known == self.accepted_revision else replace(self, accepted_revision=known)
-        if known <= self.revision_in_force or self.held_revision < known:
+        """Return the view that acts on ``revision`` if it is newer and completely received."""
+        newest = max(self.accepted_revision, revision)
+        view = self if newest == self.accepted_revision else replace(self, accepted_revision=newest)
+        if newest <= self.revision_in_force or self.held_revision < newest:
             return view
-        accepted = [change for change in self._pending if change.revision <= known]
-        rest = tuple(change for change in self._pending if change.revision > known)
-        view = replace(view, revision_in_force=known, _pending=rest, _starts_over=False)
-        return _with_documents(view, accepted, start_over=self._starts_over)
+        accepted = [change for change in self._pending if change.revision <= newest]
+        pending = tuple(change for change in self._pending if change.revision > newest)
+        view = replace(view, revision_in_force=newest, _pending=pending, _is_resetting=False)
+        return _with_documents(view, accepted, reset=self._is_resetting)
 
     def tool_offers(self, tool_name: str) -> tuple[ToolOffer, ...]:
-        """Return the applications that offer a tool, in the order of their names."""
+        """Return the applications that offer a tool, sorted by name."""
         return self.tools.get(tool_name, ())
 
     def engines_with(self, model: str) -> dict[EngineId, EngineBody]:
-        """Return the engines that serve a model and aren't being drained."""
+        """Return the engines that serve a model and are not being drained."""
         return {
             engine_id: body
             for engine_id, body in self.engines.items()
@@ -130,7 +131,7 @@
         }
 
     def service_of(self, tenant_id: TenantId) -> ServiceBody | None:
-        """Return the service that a tenant uses, if both exist."""
+        """Return the service of a tenant; ``None`` if either does not exist."""
         tenant = self.tenants.get(tenant_id)
         return None if tenant is None else self.services.get(tenant.service)
 
@@ -139,7 +140,7 @@
         return DrainTarget(target_kind, target) in self.draining
 
     def draining_nodes(self) -> frozenset[NodeId]:
-        """Return the nodes that are marked as leaving."""
+        """Return the nodes that are being drained."""
         return frozenset(
             NodeId(target.name) for target in self.draining if target.kind is DrainKind.NODE
         )
@@ -147,7 +148,7 @@
 
 @dataclass(frozen=True)
 class _Changes:
-    """Parsed changes by kind and name (``None``: deleted), and what could not be parsed."""
+    """Parsed changes by kind and name (``None``: deleted), and which could not be parsed."""
 
     bodies: Mapping[DocumentKind, Mapping[str, DocumentBody | None]]
     unreadable: frozenset[str]
@@ -155,16 +156,16 @@
 
 
 def _with_documents(
-    view: ConfigurationView, documents: Iterable[Document], *, start_over: bool
+    view: ConfigurationView, documents: Iterable[Document], *, reset: bool
 ) -> ConfigurationView:
     changes = _parse_all(documents)
 
     def merged(kind: DocumentKind, mapping: Mapping[Any, Any]) -> Mapping[Any, Any]:
-        return _merge(mapping, changes.bodies[kind], start_over=start_over)
+        return _merge(mapping, changes.bodies[kind], reset=reset)
 
     applications = merged(DocumentKind.APPLICATION, view.applications)
     drains = merged(DocumentKind.DRAIN, view.drains)
-    unreadable = frozenset() if start_over else view.unreadable
+    unreadable = frozenset() if reset else view.unreadable
     return replace(
         view,
         engines=merged(DocumentKind.ENGINE, view.engines),
@@ -198,11 +199,11 @@
 
 
 def _merge(
-    mapping: Mapping[Any, Any], changed: Mapping[str, DocumentBody | None], *, start_over: bool
+    mapping: Mapping[Any, Any], changed: Mapping[str, DocumentBody | None], *, reset: bool
 ) -> Mapping[Any, Any]:
-    if not changed and not start_over:
+    if not changed and not reset:
         return mapping
-    merged = {} if start_over else dict(mapping)
+    merged = {} if reset else dict(mapping)
     for name, body in changed.items():
         if body is None:
             merged.pop(name, None)
--- a/tests/configuration/test_references.py
+++ b/tests/configuration/test_references.py
@@ -1,4 +1,4 @@
-"""References between documents: what may change, and that a rebuilt index says the same."""
+"""References between documents: refused changes, and equality of a rebuilt index."""
 
 import unittest
 
@@ -34,7 +34,7 @@
 
 
 def rebuilt(documents):
-    """Return the index that a replica has after a restart."""
+    """Return the index that a replica builds after a restart."""
     return ReferenceIndex.of(
         Document(kind, name, 1, Revision(1), encode_body(body))
         for (kind, name), body in documents.items()
@@ -44,7 +44,7 @@
 class ReferencesTest(unittest.TestCase):
     @settings(max_examples=150, derandomize=True, database=None, deadline=None)
     @given(st.lists(CHANGES, max_size=25))
-    def test_a_rebuilt_index_decides_as_the_one_that_saw_every_change(self, changes):
+    def test_rebuilt_index_decides_like_the_one_updated_with_each_change(self, changes):
         index = ReferenceIndex()
         documents = {}
         for kind, name, body in changes:
@@ -57,17 +57,17 @@
                 documents.pop((kind, name), None)
             else:
                 documents[kind, name] = body
-            self.assert_kept(documents)
+            self.assert_references_exist(documents)
 
-    def assert_kept(self, documents):
-        """Services and policies that others refer to exist."""
+    def assert_references_exist(self, documents):
+        """Check that the services and policies that others refer to exist."""
         for body in documents.values():
             if isinstance(body, TenantBody):
                 self.assertIn((DocumentKind.SERVICE, body.service), documents)
             if isinstance(body, ServiceBody) and body.policy is not None:
                 self.assertIn((DocumentKind.POLICY, body.policy), documents)
 
-    def test_a_service_in_use_stays_and_a_machine_may_go(self):
+    def test_service_in_use_cannot_be_deleted_but_an_engine_can(self):
         index = ReferenceIndex()
         engine = EngineBody(address=Address("h", 1), zone="z", models=("m",))
         index.put("engine", "e", engine)
