--- a/src/passlane/api/__init__.py
+++ b/src/passlane/api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP applications (ASGI) for callers and operators."""
+"""ASGI applications of the HTTP interfaces for callers and operators."""
--- a/src/passlane/api/answers.py
+++ b/src/passlane/api/answers.py
@@ -1,4 +1,4 @@
-"""How the events of a call become an HTTP answer, streamed or whole."""
+"""Turns the events of a call into an HTTP response, streamed or as one body."""
 
 from collections.abc import Awaitable, Callable
 from typing import Protocol
@@ -19,33 +19,33 @@
 
 
 class Answer(Protocol):
-    """Takes the events of one call."""
+    """Receives the events of one call."""
 
     async def emit(self, event: CallEvent) -> None:
-        """Take one event; raise ``PasslaneError`` for a refusal that has not been sent."""
+        """Process one event; raise ``PasslaneError`` for a refusal."""
         ...
 
     async def fail(self, error: PasslaneError) -> None:
-        """Tell the caller of an error, or raise it if it can still be the whole answer."""
+        """Send the error to the caller, or raise it if the response has not begun."""
         ...
 
 
 class WholeAnswer:
-    """Keeps the last event for an answer in one body."""
+    """Keeps the last event, for a response with one body."""
 
     def __init__(self) -> None:
         self._answered: CallAnswered | None = None
 
     async def emit(self, event: CallEvent) -> None:
-        """Take one event."""
+        """Process one event; raise ``PasslaneError`` for a refusal."""
         match event:
             case CallAnswered():
                 self._answered = event
             case CallRefused():
-                raise error_of_refusal(event)
+                raise error_from_refusal(event)
 
     async def fail(self, error: PasslaneError) -> None:
-        """Raise the error: nothing was sent."""
+        """Raise the error, because nothing has been sent."""
         raise error
 
     def answered(self) -> CallAnswered:
@@ -53,23 +53,23 @@
         if self._answered is None:
             raise PasslaneError(
                 ErrorCode.CONNECTION_LOST,
-                "the caller left before the answer",
+                "the caller disconnected before the answer",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
         return self._answered
 
 
 class ErrorEvent(msgspec.Struct, frozen=True):
-    """The event that tells of an error after the answer has begun."""
+    """The event for an error after the response has begun."""
 
     error: Problem
 
 
 class StreamedAnswer:
-    """Sends each token as a server-sent event as it comes.
+    """Sends each part of the answer as a server-sent event at once.
 
-    The head is sent with the first token, so that a refusal before it is a plain problem
-    with its own status.
+    The response head is sent with the first part, so that an earlier error is a response with
+    its own status.
     """
 
     def __init__(self, send: Send, writer: CompletionWriter) -> None:
@@ -79,14 +79,14 @@
         self._is_started = False
 
     async def emit(self, event: CallEvent) -> None:
-        """Take one event and send it on."""
+        """Send one event to the caller; raise ``PasslaneError`` for a refusal."""
         match event:
             case TextChunk(text=text):
                 await self._send_text(text)
             case CallAnswered():
                 await self._send_end(event)
             case CallRefused():
-                raise error_of_refusal(event)
+                raise error_from_refusal(event)
 
     async def _send_text(self, text: str) -> None:
         if not text:
@@ -100,12 +100,12 @@
         await send_chunk(self._send, data)
 
     async def _send_end(self, answered: CallAnswered) -> None:
-        """Send what is missing of the text, as for a recorded answer, and the end."""
+        """Send the rest of the text, which is all of it for a recorded answer, and the end."""
         sent = "".join(self._texts)
         if not answered.body.startswith(sent):
             raise PasslaneError(
                 ErrorCode.INTERNAL,
-                "the recorded answer differs from what was sent",
+                "the recorded answer differs from the text already sent",
                 verdict=answered.verdict,
             )
         await self._send_text(answered.body[len(sent) :])
@@ -115,15 +115,15 @@
         await send_chunk(self._send, data, last=True)
 
     async def fail(self, error: PasslaneError) -> None:
-        """Send the error as an event if the answer has begun, else raise it."""
+        """Send the error as an event if the response has begun, else raise it."""
         if not self._is_started:
             raise error
         data = sse_event(ErrorEvent(problem_of(error))) + DONE_EVENT
         await send_chunk(self._send, data, last=True)
 
 
-def error_of_refusal(refused: CallRefused) -> PasslaneError:
-    """Return the error that a refusal stands for."""
+def error_from_refusal(refused: CallRefused) -> PasslaneError:
+    """Return the error that a refusal describes."""
     return PasslaneError(
         refused.code,
         refused.message,
@@ -132,19 +132,19 @@
     )
 
 
-async def run_until_gone(
+async def run_until_disconnect(
     run_call: RunCall, request: CallRequest, answer: Answer, receive: Receive
 ) -> None:
-    """Run a call until it is answered or its caller has gone.
+    """Run a call until it is answered; cancel it when its caller disconnects.
 
     Raises
     ------
     PasslaneError
-        When the call failed and the error can be the whole HTTP answer.
+        When the call failed before the response has begun.
     """
     failure: PasslaneError | None = None
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(_cancel_when_gone, receive, tasks.cancel_scope)
+        tasks.start_soon(_cancel_on_disconnect, receive, tasks.cancel_scope)
         try:
             await run_call(request, answer.emit)
         except PasslaneError as error:
@@ -154,8 +154,8 @@
         await answer.fail(failure)
 
 
-async def _cancel_when_gone(receive: Receive, scope: anyio.CancelScope) -> None:
-    """Cancel ``scope`` when the caller's connection is lost."""
+async def _cancel_on_disconnect(receive: Receive, scope: anyio.CancelScope) -> None:
+    """Cancel ``scope`` when the caller disconnects."""
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
--- a/src/passlane/api/asgi.py
+++ b/src/passlane/api/asgi.py
@@ -1,8 +1,8 @@
-"""Whole requests and answers on top of ASGI, and streamed answers in chunks.
+"""HTTP requests and responses on top of ASGI.
 
-An application reads its request with ``read_request``, finds the handler with a
-``routing.PathRouter`` and answers with ``send_response``. Streams of events are sent by the
-caller's own code with ``start_stream`` and ``send_chunk``.
+An application reads a request with ``read_request``, finds its handler with a
+``routing.PathRouter`` and responds with ``send_response``. Streamed responses are sent with
+``start_stream`` and ``send_chunk``.
 """
 
 from collections.abc import Awaitable, Callable, Mapping, MutableMapping
@@ -25,7 +25,7 @@
 
 
 class Request(msgspec.Struct, frozen=True):
-    """A whole HTTP request. Header names are in lower case, the path is already percent-decoded."""
+    """A complete HTTP request; header names are in lower case, the path is percent-encoded."""
 
     method: str
     path: str
@@ -35,7 +35,7 @@
 
 
 class Response(msgspec.Struct, frozen=True):
-    """A whole HTTP answer."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes = b""
@@ -44,21 +44,21 @@
 
 
 def json_response(status: int, value: Any, headers: Mapping[str, str] | None = None) -> Response:
-    """Return an answer that holds ``value`` (structs and plain values) as JSON."""
+    """Return a response with ``value`` (structs and plain values) as JSON."""
     return Response(status=status, body=_json_encoder.encode(value), headers=headers or {})
 
 
 def request_headers(scope: Scope) -> dict[str, str]:
-    """Return the headers of a request, names in lower case; the last of a name wins."""
+    """Return the headers of a request, names in lower case; the last value of a name is used."""
     return {
         name.decode("latin-1").lower(): value.decode("latin-1") for name, value in scope["headers"]
     }
 
 
 def request_path(scope: Scope) -> str:
-    """Return the path as the client sent it: its parts are still percent-encoded.
+    """Return the path as the client sent it, percent-encoded.
 
-    The decoded path of the scope can't tell a slash inside a part from one between parts.
+    In the decoded path of the scope, an encoded slash cannot be distinguished from a separator.
     """
     raw_path = scope.get("raw_path")
     return quote(scope["path"]) if raw_path is None else raw_path.decode("latin-1")
@@ -70,15 +70,15 @@
     Raises
     ------
     PasslaneError
-        ``BODY_TOO_LARGE`` beyond ``max_bytes``; ``CONNECTION_LOST`` when the client
-        went away before the body was whole.
+        ``BODY_TOO_LARGE`` above ``max_bytes``; ``CONNECTION_LOST`` when the client
+        disconnected before the end of the body.
     """
     parts: list[bytes] = []
     size = 0
     while True:
         event = await receive()
         if event["type"] == "http.disconnect":
-            raise PasslaneError(ErrorCode.CONNECTION_LOST, "the client went away")
+            raise PasslaneError(ErrorCode.CONNECTION_LOST, "the client disconnected")
         part: bytes = event.get("body", b"")
         size += len(part)
         if size > max_bytes:
@@ -91,12 +91,12 @@
 
 
 def check_declared_length(headers: Mapping[str, str], max_bytes: int) -> None:
-    """Refuse a body by its declared length, before any of it is waited for.
+    """Check the declared length of a body, before the body is read.
 
     Raises
     ------
     PasslaneError
-        ``BODY_TOO_LARGE`` beyond ``max_bytes``.
+        ``BODY_TOO_LARGE`` above ``max_bytes``.
     """
     declared = headers.get("content-length", "")
     if declared.isdecimal() and int(declared) > max_bytes:
@@ -106,7 +106,7 @@
 
 
 async def read_request(scope: Scope, receive: Receive, max_bytes: int) -> Request:
-    """Return the whole request; raise as ``read_body`` does."""
+    """Return the complete request; raises the same errors as ``read_body``."""
     headers = request_headers(scope)
     check_declared_length(headers, max_bytes)
     return Request(
@@ -121,7 +121,7 @@
 async def start_stream(
     send: Send, status: int, content_type: str, headers: Mapping[str, str] | None = None
 ) -> None:
-    """Send the head of an answer; its body follows in chunks."""
+    """Send the status and the headers of a response; its body follows in chunks."""
     pairs = [(b"content-type", content_type.encode("latin-1"))]
     for name, value in (headers or {}).items():
         pairs.append((name.lower().encode("latin-1"), value.encode("latin-1")))
@@ -129,12 +129,12 @@
 
 
 async def send_chunk(send: Send, data: bytes, *, last: bool = False) -> None:
-    """Send part of an answer's body; ``last`` ends the answer."""
+    """Send a part of a response's body; ``last`` ends the response."""
     await send({"type": "http.response.body", "body": data, "more_body": not last})
 
 
 async def send_response(send: Send, response: Response) -> None:
-    """Send a whole answer."""
+    """Send a complete response."""
     headers = {**response.headers, "content-length": str(len(response.body))}
     await start_stream(send, response.status, response.content_type, headers)
     await send_chunk(send, response.body, last=True)
--- a/src/passlane/api/caller_input.py
+++ b/src/passlane/api/caller_input.py
@@ -1,4 +1,4 @@
-"""What callers send: bodies and headers, checked and turned into requests."""
+"""Parsing and validation of the bodies and headers of callers' requests."""
 
 import math
 from collections.abc import Mapping
@@ -27,7 +27,7 @@
 
 
 class TextPart(msgspec.Struct, frozen=True):
-    """A part of a message's content; only text is known."""
+    """A part of a message's content; only text is supported."""
 
     type: str
     text: str
@@ -50,7 +50,7 @@
 
 
 class ChatBody(msgspec.Struct, frozen=True):
-    """Body of ``POST /v1/chat/completions``; fields not named here are ignored."""
+    """Body of ``POST /v1/chat/completions``; other fields are ignored."""
 
     model: str
     messages: tuple[ChatMessage, ...]
@@ -60,9 +60,9 @@
 
     @property
     def token_limit(self) -> int:
-        """Most tokens to generate, in whichever field it was given."""
-        given = self.max_completion_tokens or self.max_tokens
-        return DEFAULT_MAX_TOKENS if given is None else given
+        """Maximum number of tokens to generate, from either of the two fields."""
+        requested = self.max_completion_tokens or self.max_tokens
+        return DEFAULT_MAX_TOKENS if requested is None else requested
 
 
 class ProgramBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -74,17 +74,23 @@
 
 
 def decode_body(body: bytes, body_type: type[BodyType]) -> BodyType:
-    """Return the JSON body as ``body_type``; raise ``BAD_REQUEST``."""
+    """Return the JSON body as ``body_type``; raise ``BAD_REQUEST`` if it is invalid."""
     try:
         return msgspec.json.decode(body, type=body_type)
     except (msgspec.MsgspecError, UnicodeError) as error:
-        raise bad_request(f"the body is not what is expected here: {error}") from error
+        raise bad_request(f"the request body is invalid: {error}") from error
     except RecursionError as error:
         raise bad_request("the body is nested too deeply") from error
 
 
 def checked_json(body: bytes) -> str:
-    """Return a body that holds any JSON as text; an empty one stands for ``{}``."""
+    """Return a body with any JSON value as text, an empty body as ``{}``.
+
+    Raises
+    ------
+    PasslaneError
+        ``BAD_REQUEST`` when the body is not JSON.
+    """
     text = body.strip() or b"{}"
     decode_body(text, object)
     return text.decode()
@@ -108,8 +114,8 @@
         raise bad_request("a budget must not be negative")
 
 
-def program_of(headers: Mapping[str, str]) -> ProgramId:
-    """Return the program that a call belongs to; raise ``BAD_REQUEST`` without one."""
+def parse_program_header(headers: Mapping[str, str]) -> ProgramId:
+    """Return the program of a call; raise ``BAD_REQUEST`` if it is missing or invalid."""
     value = headers.get(PROGRAM_HEADER, "")
     if not value:
         raise bad_request("the header Passlane-Program is missing")
@@ -117,14 +123,14 @@
 
 
 def checked_program_id(value: str) -> ProgramId:
-    """Return a program's id as given; raise ``BAD_REQUEST`` when it cannot be one."""
+    """Return ``value`` as a program id; raise ``BAD_REQUEST`` if it is invalid."""
     if len(value) > MAX_IDENTIFIER_LENGTH or not value.isprintable():
         raise bad_request("the program's id is too long or has control characters")
     return ProgramId(value)
 
 
-def sequence_of(headers: Mapping[str, str]) -> int | None:
-    """Return the call's sequence number if given; raise ``BAD_REQUEST``."""
+def parse_sequence_header(headers: Mapping[str, str]) -> int | None:
+    """Return the call's sequence number, if any; raise ``BAD_REQUEST`` if it is invalid."""
     value = headers.get(SEQUENCE_HEADER)
     if value is None:
         return None
@@ -133,34 +139,40 @@
     return int(value)
 
 
-def key_of(headers: Mapping[str, str]) -> str | None:
-    """Return the idempotency key if given; raise ``BAD_REQUEST``."""
+def parse_key_header(headers: Mapping[str, str]) -> str | None:
+    """Return the idempotency key, if any; raise ``BAD_REQUEST`` if it is invalid."""
     value = headers.get(KEY_HEADER)
     if value is not None and not 1 <= len(value) <= MAX_KEY_LENGTH:
         raise bad_request(f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} characters")
     return value
 
 
-def timeout_of(headers: Mapping[str, str], longest_s: float) -> float:
-    """Return how many seconds the caller waits, ``longest_s`` at most; raise ``BAD_REQUEST``."""
+def parse_timeout_header(headers: Mapping[str, str], max_timeout_s: float) -> float:
+    """Return the caller's timeout in seconds, at most ``max_timeout_s``.
+
+    Raises
+    ------
+    PasslaneError
+        ``BAD_REQUEST`` when the header is not a positive number.
+    """
     value = headers.get(TIMEOUT_HEADER)
     if value is None:
-        return longest_s
+        return max_timeout_s
     try:
         seconds = float(value)
     except ValueError as error:
         raise bad_request("Passlane-Timeout must be a number of seconds") from error
     if not 0 < seconds < math.inf:
         raise bad_request("Passlane-Timeout must be a positive number of seconds")
-    return min(seconds, longest_s)
+    return min(seconds, max_timeout_s)
 
 
-def program_id_of_key(tenant_id: TenantId, key: str) -> ProgramId:
-    """Return the id of the program that a tenant's key names, the same at each repeat."""
+def program_id_from_key(tenant_id: TenantId, key: str) -> ProgramId:
+    """Return the program id for a tenant's idempotency key; repeats get the same id."""
     digest = xxhash.xxh3_128_hexdigest(msgspec.msgpack.encode((tenant_id, key)))
     return ProgramId(f"p-{digest}")
 
 
 def bad_request(message: str) -> PasslaneError:
-    """Return the error for input that is wrong in itself."""
+    """Return the ``BAD_REQUEST`` error for invalid input."""
     return PasslaneError(ErrorCode.BAD_REQUEST, message)
--- a/src/passlane/api/caller_output.py
+++ b/src/passlane/api/caller_output.py
@@ -1,4 +1,4 @@
-"""What callers get: JSON bodies of programs, completions, stream chunks and tool results."""
+"""Response bodies for callers: programs, completions, stream chunks and tool results (JSON)."""
 
 from typing import Any
 
@@ -36,7 +36,7 @@
 
 
 def program_view(record: ProgramRecord) -> ProgramView:
-    """Return what a caller sees of a program's record."""
+    """Return the caller's view of a program's record."""
     calls = tuple(
         CallView(
             sequence=call.sequence,
@@ -61,7 +61,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Token counts in the chat-completions format, with those found in the cache."""
+    """Token counts in the chat-completions format, with the cached prompt tokens."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -70,7 +70,7 @@
 
 
 class CallInfo(msgspec.Struct, frozen=True):
-    """What passlane adds to an answer: the call's place in its program and its verdict."""
+    """Passlane's addition to an answer: the call's program, sequence, verdict and attempts."""
 
     program_id: ProgramId
     sequence: int
@@ -79,14 +79,14 @@
 
 
 class AnswerMessage(msgspec.Struct, frozen=True):
-    """The generated message."""
+    """The generated message of a completion."""
 
     role: str
     content: str
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The one choice of a completion."""
+    """The only choice of a completion."""
 
     index: int
     message: AnswerMessage
@@ -94,9 +94,9 @@
 
 
 class Completion(msgspec.Struct, frozen=True):
-    """A whole answer in the chat-completions format.
+    """A complete answer in the chat-completions format.
 
-    ``created`` is always 0: the system keeps no wall clock.
+    ``created`` is always 0, because passlane uses no wall clock.
     """
 
     id: str
@@ -109,14 +109,14 @@
 
 
 class Delta(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a chunk adds to the answer."""
+    """The part of the answer in one chunk."""
 
     role: str | None = None
     content: str | None = None
 
 
 class ChunkChoice(msgspec.Struct, frozen=True):
-    """The one choice of a chunk."""
+    """The only choice of a chunk."""
 
     index: int
     delta: Delta
@@ -124,7 +124,7 @@
 
 
 class CompletionChunk(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One event of a streamed answer; the last one has usage and call information."""
+    """One event of a streamed answer; the last event has the usage and call information."""
 
     id: str
     object: str
@@ -136,7 +136,7 @@
 
 
 class ToolResult(msgspec.Struct, frozen=True):
-    """Answer to ``POST /v1/tools/{tool}``; ``result`` is JSON as the application gave it."""
+    """Answer to ``POST /v1/tools/{tool}``; ``result`` is the application's JSON."""
 
     result: Any
     passlane: CallInfo
@@ -154,7 +154,7 @@
 
 
 class CompletionWriter:
-    """Writes one answer in the chat-completions format."""
+    """Builds one answer in the chat-completions format, streamed or as one body."""
 
     def __init__(self, request_id: str, model: str, program_id: ProgramId, max_tokens: int) -> None:
         self._id = f"chatcmpl-{request_id}"
@@ -163,15 +163,15 @@
         self._max_tokens = max_tokens
 
     def first_chunk(self) -> bytes:
-        """Return the event that opens the answer."""
+        """Return the first event of the answer, which has the role."""
         return self._chunk(Delta(role=ANSWER_ROLE))
 
     def text_chunk(self, text: str) -> bytes:
-        """Return the event with a further piece of text."""
+        """Return an event with further text of the answer."""
         return self._chunk(Delta(content=text))
 
     def last_chunk(self, answered: CallAnswered) -> bytes:
-        """Return the event that ends the answer."""
+        """Return the last event of the answer."""
         choice = ChunkChoice(0, Delta(), self._finish_reason(answered))
         chunk = CompletionChunk(
             id=self._id,
@@ -184,8 +184,8 @@
         )
         return sse_event(chunk)
 
-    def whole(self, answered: CallAnswered) -> Completion:
-        """Return the whole answer in one body."""
+    def completion(self, answered: CallAnswered) -> Completion:
+        """Return the complete answer as one body."""
         message = AnswerMessage(role=ANSWER_ROLE, content=answered.body)
         return Completion(
             id=self._id,
@@ -222,12 +222,12 @@
 
 
 def call_info(program_id: ProgramId, answered: CallAnswered) -> CallInfo:
-    """Return what passlane adds to an answer."""
+    """Return passlane's addition to an answer."""
     return CallInfo(program_id, answered.sequence, answered.verdict, answered.attempts)
 
 
 def tool_result(program_id: ProgramId, answered: CallAnswered) -> ToolResult:
-    """Return the answer to a tool call; a result that is no JSON is given as a string."""
+    """Return the answer to a tool call; a result that is not JSON becomes a string."""
     try:
         result = msgspec.json.decode(answered.body)
     except (msgspec.MsgspecError, RecursionError):
--- a/src/passlane/api/callers.py
+++ b/src/passlane/api/callers.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from passlane.api.answers import Emit, StreamedAnswer, WholeAnswer, run_until_gone
+from passlane.api.answers import Emit, StreamedAnswer, WholeAnswer, run_until_disconnect
 from passlane.api.asgi import (
     Receive,
     Request,
@@ -25,11 +25,11 @@
     checked_json,
     checked_program_id,
     decode_body,
-    key_of,
-    program_id_of_key,
-    program_of,
-    sequence_of,
-    timeout_of,
+    parse_key_header,
+    parse_program_header,
+    parse_sequence_header,
+    parse_timeout_header,
+    program_id_from_key,
 )
 from passlane.api.caller_output import CompletionWriter, program_view, tool_result
 from passlane.api.problems import problem_response
@@ -53,14 +53,14 @@
 
 
 class NodeApi(Protocol):
-    """What the callers' interface needs of the node's service."""
+    """The part of the node's service that the callers' interface uses."""
 
     def new_identifier(self) -> str:
-        """Return a new identifier that nobody can guess."""
+        """Return a new identifier that cannot be guessed."""
         ...
 
     async def run_call(self, request: CallRequest, emit: Emit) -> None:
-        """Run a call and give its events to ``emit``; raise ``PasslaneError``."""
+        """Run a call and pass its events to ``emit``; raise ``PasslaneError``."""
         ...
 
     async def create_program(self, request: CreateProgramRequest) -> ProgramRecord:
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True)
 class Exchange:
-    """One request of a known tenant, and the ASGI callables to answer it."""
+    """One request of an authenticated tenant, and the ASGI callables to answer it."""
 
     tenant_id: TenantId
     request: Request
@@ -91,12 +91,12 @@
 
 
 def build_caller_application(service: NodeApi, settings: Settings) -> AsgiApplication:
-    """Return the ASGI application that callers speak to."""
+    """Return the ASGI application of the callers' interface."""
     return CallerApplication(service, settings)
 
 
 class CallerApplication:
-    """Routes requests, checks tokens, and turns every error into a problem."""
+    """Routes requests, checks tokens, and turns errors into problem responses."""
 
     def __init__(self, service: NodeApi, settings: Settings) -> None:
         self._service = service
@@ -109,7 +109,7 @@
         self._router.add("POST", "/v1/tools/{tool}", self._run_tool)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one ASGI connection; only HTTP is known."""
+        """Serve one ASGI connection; only HTTP is supported."""
         if scope["type"] != "http":
             return
         try:
@@ -117,16 +117,18 @@
         except PasslaneError as error:
             response = problem_response(error)
         except Exception:
-            # The verdict must be the careful one: nothing is known of how far it came.
+            # The outcome of the request is unknown, so it may have run.
             _log.exception("request failed by a fault", path=scope["path"])
-            message = "the request was stopped by an internal fault"
-            fault = PasslaneError(ErrorCode.INTERNAL, message, verdict=Verdict.MAY_HAVE_RUN)
-            response = problem_response(fault)
+            message = "the request failed with an internal error"
+            internal_error = PasslaneError(
+                ErrorCode.INTERNAL, message, verdict=Verdict.MAY_HAVE_RUN
+            )
+            response = problem_response(internal_error)
         if response is not None:
             await send_response(send, response)
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> Response | None:
-        """Serve a request; return what is still to be sent."""
+        """Serve a request; return the response if it has not been sent yet."""
         match = self._router.find(scope["method"], request_path(scope))
         token = require_token(request_headers(scope), self._settings.security.callers)
         if token.tenant is None:
@@ -140,12 +142,12 @@
     async def _create_program(self, exchange: Exchange) -> Response:
         body = decode_body(exchange.request.body or b"{}", ProgramBody)
         check_program(body)
-        key = key_of(exchange.request.headers)
+        key = parse_key_header(exchange.request.headers)
         tenant_id = exchange.tenant_id
         if key is None:
             program_id = ProgramId(f"p-{self._service.new_identifier()}")
         else:
-            program_id = program_id_of_key(tenant_id, key)
+            program_id = program_id_from_key(tenant_id, key)
         request = CreateProgramRequest(
             request_id=self._service.new_identifier(),
             tenant_id=tenant_id,
@@ -192,11 +194,11 @@
         )
         if body.stream:
             answer = StreamedAnswer(exchange.send, writer)
-            await run_until_gone(self._service.run_call, request, answer, exchange.receive)
+            await run_until_disconnect(self._service.run_call, request, answer, exchange.receive)
             return None
-        whole = WholeAnswer()
-        await run_until_gone(self._service.run_call, request, whole, exchange.receive)
-        return json_response(200, writer.whole(whole.answered()))
+        buffered = WholeAnswer()
+        await run_until_disconnect(self._service.run_call, request, buffered, exchange.receive)
+        return json_response(200, writer.completion(buffered.answered()))
 
     async def _run_tool(self, exchange: Exchange) -> Response:
         request = self._call_request(
@@ -205,9 +207,9 @@
             target=exchange.parameters["tool"],
             arguments=checked_json(exchange.request.body),
         )
-        whole = WholeAnswer()
-        await run_until_gone(self._service.run_call, request, whole, exchange.receive)
-        return json_response(200, tool_result(request.program_id, whole.answered()))
+        buffered = WholeAnswer()
+        await run_until_disconnect(self._service.run_call, request, buffered, exchange.receive)
+        return json_response(200, tool_result(request.program_id, buffered.answered()))
 
     def _call_request(
         self,
@@ -220,12 +222,12 @@
         max_tokens: int = 0,
     ) -> CallRequest:
         headers = exchange.request.headers
-        sequence = sequence_of(headers)
-        key = key_of(headers)
+        sequence = parse_sequence_header(headers)
+        key = parse_key_header(headers)
         return CallRequest(
             request_id=self._service.new_identifier(),
             tenant_id=exchange.tenant_id,
-            program_id=program_of(headers),
+            program_id=parse_program_header(headers),
             kind=kind,
             target=target,
             turns=turns,
@@ -233,6 +235,6 @@
             max_tokens=max_tokens,
             sequence=sequence,
             idempotency_key=key,
-            timeout_s=timeout_of(headers, self._settings.node.call_timeout_s),
+            timeout_s=parse_timeout_header(headers, self._settings.node.call_timeout_s),
             is_named=sequence is not None or key is not None,
         )
--- a/src/passlane/api/document_routes.py
+++ b/src/passlane/api/document_routes.py
@@ -1,8 +1,8 @@
-"""Operators' routes for documents and changes; they go to the control group.
+"""Operators' routes for documents and changes, which are executed by the control group.
 
-Versions are shown as ``ETag``. A change names the version it was based on by
-``If-Match``, or ``If-None-Match: *`` for a new document. An ``Idempotency-Key`` lets a
-change be sent again after a lost answer.
+The version of a document is its ``ETag``. A change names the version that it is based on in
+``If-Match``, or has ``If-None-Match: *`` for a new document. With an ``Idempotency-Key``, a
+change can be sent again after a lost response.
 """
 
 import random as random_module
@@ -40,20 +40,22 @@
 
 
 class Handler(Protocol):
-    """Answers requests of one route."""
+    """Handles the requests of one route."""
 
     async def __call__(self, request: Request, parameters: Mapping[str, str]) -> Response:
-        """Answer one request; ``parameters`` are the variable parts of its path."""
+        """Respond to one request; ``parameters`` are its path parameters by name."""
         ...
 
 
 class DocumentRoutes:
-    """Reads, writes and withdraws through the control group.
+    """Reads documents, and records and withdraws changes, through the control group.
 
     Parameters
     ----------
+    control
+        Client of the control group.
     random
-        Source of idempotency keys for changes that come without one.
+        Source of idempotency keys for changes without one.
     """
 
     def __init__(self, control: GroupExecutor, random: random_module.Random) -> None:
@@ -70,7 +72,7 @@
         router.add("POST", "/v1/withdraw/{revision}", self.withdraw)
 
     async def list_documents(self, request: Request, parameters: Mapping[str, str]) -> Response:
-        """Answer with all documents, or those of ``?kind=``."""
+        """Respond with all documents, or with those of the kind in ``?kind=``."""
         kind = request.query.get("kind")
         if kind is not None:
             parse_kind(kind)
@@ -87,7 +89,7 @@
         )
 
     async def read_document(self, request: Request, parameters: Mapping[str, str]) -> Response:
-        """Answer with the newest version of one document."""
+        """Respond with the newest version of one document."""
         kind, name = parameters["kind"], parameters["name"]
         parse_kind(kind)
         found = await self._read(ReadDocuments(kind=kind, name=name))
@@ -110,8 +112,8 @@
         return await self._change(request, parameters, None)
 
     async def read_progress(self, request: Request, parameters: Mapping[str, str]) -> Response:
-        """Answer with how far a revision has come."""
-        revision = _revision(parameters)
+        """Respond with the progress of a revision."""
+        revision = _parse_revision(parameters)
         progress = await self._control.execute(
             ReadProgress(revision=revision), Progress, timeout_s=REQUEST_TIMEOUT_S
         )
@@ -119,7 +121,9 @@
 
     async def withdraw(self, request: Request, parameters: Mapping[str, str]) -> Response:
         """Withdraw a pending change."""
-        command = WithdrawChange(revision=_revision(parameters), idempotency_key=self._key(request))
+        command = WithdrawChange(
+            revision=_parse_revision(parameters), idempotency_key=self._idempotency_key(request)
+        )
         return _change_response(await self._send(command), OK)
 
     async def _change(
@@ -130,7 +134,7 @@
             name=parameters["name"],
             body=body,
             expected_version=_expected_version(request),
-            idempotency_key=self._key(request),
+            idempotency_key=self._idempotency_key(request),
         )
         status = CREATED if command.expected_version == 0 else OK
         return _change_response(await self._send(command), status)
@@ -145,13 +149,13 @@
         )
         return found
 
-    def _key(self, request: Request) -> str:
+    def _idempotency_key(self, request: Request) -> str:
         key = request.headers.get("idempotency-key")
         if key is None:
             return f"{self._random.getrandbits(KEY_BITS):032x}"
         if not key or len(key) > MAX_KEY_LENGTH:
             raise PasslaneError(
-                ErrorCode.BAD_REQUEST, f"Idempotency-Key has 1 to {MAX_KEY_LENGTH} characters"
+                ErrorCode.BAD_REQUEST, f"Idempotency-Key must have 1 to {MAX_KEY_LENGTH} characters"
             )
         return key
 
@@ -164,7 +168,7 @@
         return conflict_response(reply)
     if isinstance(reply, ControlRefusal):
         raise PasslaneError(ErrorCode(reply.code), reply.message)
-    raise PasslaneError(ErrorCode.PROTOCOL_ERROR, "unexpected reply of the control group")
+    raise PasslaneError(ErrorCode.PROTOCOL_ERROR, "unexpected reply from the control group")
 
 
 def _json_object(body: bytes) -> dict[str, Any]:
@@ -172,7 +176,7 @@
         return msgspec.json.decode(body, type=dict[str, Any])
     except msgspec.MsgspecError as error:
         raise PasslaneError(
-            ErrorCode.BAD_REQUEST, f"the body is no JSON object: {error}"
+            ErrorCode.BAD_REQUEST, f"the body is not a JSON object: {error}"
         ) from error
 
 
@@ -187,16 +191,16 @@
     if tag is None:
         raise PasslaneError(
             ErrorCode.PRECONDITION_REQUIRED,
-            "If-Match with the document's version, or If-None-Match: * for a new one, is needed",
+            "If-Match with the document's version, or If-None-Match: * for a new one, is required",
         )
     version = tag.strip().strip('"')
     if not version.isdecimal():
-        raise PasslaneError(ErrorCode.BAD_REQUEST, "If-Match holds no version")
+        raise PasslaneError(ErrorCode.BAD_REQUEST, "If-Match must be a document version")
     return int(version)
 
 
-def _revision(parameters: Mapping[str, str]) -> Revision:
+def _parse_revision(parameters: Mapping[str, str]) -> Revision:
     text = parameters["revision"]
     if not text.isdecimal():
-        raise PasslaneError(ErrorCode.BAD_REQUEST, "a revision is a whole number")
+        raise PasslaneError(ErrorCode.BAD_REQUEST, "the revision must be a whole number")
     return Revision(int(text))
--- a/src/passlane/api/explanation_routes.py
+++ b/src/passlane/api/explanation_routes.py
@@ -1,4 +1,4 @@
-"""Operators' question why a program's last model call ran where and when it did."""
+"""Operators' route that explains where and when a program's last model call ran."""
 
 from collections.abc import Mapping
 
@@ -18,14 +18,14 @@
 
 
 class ExplanationRoutes:
-    """Asks the node that leads the program; only that one knows.
+    """Forwards the query to the node that leads the program, which has the explanation.
 
     Parameters
     ----------
     store
-        Client of the region's store group, which knows the leaders.
+        Client of the region's store group, which has the partition table.
     caller
-        Sends the question to the leader.
+        Sends the query to the leader.
     """
 
     def __init__(self, store: GroupExecutor, caller: Caller) -> None:
@@ -37,11 +37,11 @@
         router.add("GET", "/v1/programs/{id}/explanation", self.explain)
 
     async def explain(self, request: Request, parameters: Mapping[str, str]) -> Response:
-        """Answer with the leader's explanation."""
-        question = ExplainProgram(ProgramId(parameters["id"]))
-        leader = await self._leader_of(question.program_id)
+        """Respond with the leader's explanation."""
+        query = ExplainProgram(ProgramId(parameters["id"]))
+        leader = await self._leader_of(query.program_id)
         explanation = await self._caller.call(
-            leader, question, ProgramExplanation, timeout_s=TIMEOUT_S
+            leader, query, ProgramExplanation, timeout_s=TIMEOUT_S
         )
         return json_response(OK, explanation)
 
@@ -53,5 +53,5 @@
                 address: Address = assignment.address
                 return address
         raise PasslaneError(
-            ErrorCode.UNAVAILABLE, "no node leads the program now", retry_after_s=TIMEOUT_S
+            ErrorCode.UNAVAILABLE, "the program has no leader now", retry_after_s=TIMEOUT_S
         )
--- a/src/passlane/api/groups.py
+++ b/src/passlane/api/groups.py
@@ -1,11 +1,11 @@
-"""The replicated groups as the operators' interface reaches them."""
+"""Access of the operators' interface to the control group and the store group."""
 
 from typing import Any, Protocol
 
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.base import Message
 
-_NO_ANSWER = frozenset(
+_NO_LEADER_CODES = frozenset(
     {
         ErrorCode.UNAVAILABLE,
         ErrorCode.NOT_LEADER,
@@ -25,14 +25,14 @@
 
 
 class NamedGroup:
-    """Says which group it was when none of its replicas answers as leader.
+    """Adds the group's name to the error when no leader of the group answers.
 
     Parameters
     ----------
     name
-        For people, such as ``control group``.
+        Name in error messages, such as ``control group``.
     group
-        Carries out the requests.
+        Executes the requests.
     """
 
     def __init__(self, name: str, group: GroupExecutor) -> None:
@@ -40,11 +40,11 @@
         self._group = group
 
     async def execute(self, request: Message, reply: type[Any], *, timeout_s: float) -> Any:
-        """Return the leader's reply; raise as the group does."""
+        """Return the leader's reply; raise ``UNAVAILABLE`` when no leader answers."""
         try:
             return await self._group.execute(request, reply, timeout_s=timeout_s)
         except PasslaneError as error:
-            if error.code not in _NO_ANSWER:
+            if error.code not in _NO_LEADER_CODES:
                 raise
             raise PasslaneError(
                 ErrorCode.UNAVAILABLE,
--- a/src/passlane/api/operator_problems.py
+++ b/src/passlane/api/operator_problems.py
@@ -1,4 +1,4 @@
-"""Errors towards operators as ``application/problem+json`` (RFC 9457)."""
+"""Errors of the operators' interface as ``application/problem+json`` (RFC 9457)."""
 
 import http
 
@@ -10,33 +10,33 @@
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.control import VersionConflict
 
-# Where operators' HTTP differs: a version that was named in If-Match and is not the
-# current one is a failed precondition there, and no conflict of a caller's requests.
-_STATUS: dict[ErrorCode, int] = {
+# Statuses that differ from those of the callers' interface. Operators name a document's
+# version in If-Match, so another current version is a failed precondition.
+_STATUS_BY_CODE: dict[ErrorCode, int] = {
     ErrorCode.VERSION_CONFLICT: http.HTTPStatus.PRECONDITION_FAILED,
     ErrorCode.DISK_FULL: http.HTTPStatus.INSUFFICIENT_STORAGE,
 }
 
 DEFAULT_RETRY_AFTER_S = 1.0
-_RETRY_LATER = frozenset(
+_RETRYABLE_CODES = frozenset(
     {ErrorCode.NOT_LEADER, ErrorCode.UNAVAILABLE, ErrorCode.TIMEOUT, ErrorCode.QUEUE_FULL}
 )
 
 
 class OperatorProblem(Problem, frozen=True, omit_defaults=True):
-    """Body of an error; after a conflict ``current`` is the document as it stands."""
+    """Body of an error; after a conflict, ``current`` is the document's newest version."""
 
     current_version: int | None = None
     current: DocumentView | None = None
 
 
 def problem_response(error: PasslaneError) -> Response:
-    """Return the answer for an error."""
-    return _respond(_with_retry(error), None, None)
+    """Return the response for an error."""
+    return _respond(_with_retry_after(error), None, None)
 
 
 def conflict_response(conflict: VersionConflict) -> Response:
-    """Return the answer to a change that was based on another version."""
+    """Return the response to a change that was not based on the current version."""
     error = PasslaneError(
         ErrorCode.VERSION_CONFLICT,
         f"{conflict.kind} {conflict.name!r} is at version {conflict.current_version}",
@@ -46,8 +46,8 @@
     return _respond(error, conflict.current_version, view)
 
 
-def _with_retry(error: PasslaneError) -> PasslaneError:
-    if error.retry_after_s is not None or error.code not in _RETRY_LATER:
+def _with_retry_after(error: PasslaneError) -> PasslaneError:
+    if error.retry_after_s is not None or error.code not in _RETRYABLE_CODES:
         return error
     return PasslaneError(
         error.code, error.message, verdict=error.verdict, retry_after_s=DEFAULT_RETRY_AFTER_S
@@ -57,15 +57,15 @@
 def _respond(
     error: PasslaneError, current_version: int | None, current: DocumentView | None
 ) -> Response:
-    general = problem_of(error)
+    base = problem_of(error)
     problem = OperatorProblem(
-        type=general.type,
-        title=general.title,
-        status=int(_STATUS.get(error.code, general.status)),
-        detail=general.detail,
-        code=general.code,
-        verdict=general.verdict,
-        retry_after_s=general.retry_after_s,
+        type=base.type,
+        title=base.title,
+        status=int(_STATUS_BY_CODE.get(error.code, base.status)),
+        detail=base.detail,
+        code=base.code,
+        verdict=base.verdict,
+        retry_after_s=base.retry_after_s,
         current_version=current_version,
         current=current,
     )
--- a/src/passlane/api/operator_views.py
+++ b/src/passlane/api/operator_views.py
@@ -1,4 +1,4 @@
-"""JSON bodies of the operators' HTTP interface."""
+"""Response bodies (JSON) of the operators' HTTP interface."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class DocumentView(msgspec.Struct, frozen=True):
-    """A document; ``is_accepted`` is false while its newest version is pending."""
+    """A document's newest version; ``is_accepted`` is false while it is pending."""
 
     kind: str
     name: str
@@ -28,7 +28,7 @@
 
 
 class ChangeView(msgspec.Struct, frozen=True):
-    """A recorded change: its document as it stands now and the number to watch."""
+    """A recorded change; ``revision`` is the number whose progress can be read."""
 
     kind: str
     name: str
@@ -38,7 +38,7 @@
 
 
 class ReplicaView(msgspec.Struct, frozen=True):
-    """A replica of a group, as the settings name it."""
+    """A replica of a group, by its address in the settings."""
 
     address: Address
     is_leader: bool
@@ -47,9 +47,9 @@
 class SystemStatus(msgspec.Struct, frozen=True):
     """Answer to ``GET /v1/status``.
 
-    ``nodes`` are those of the process's region; ``calls_in_flight`` is always ``null``, kept
-    for readers of the answer. ``problems`` names the groups that did not answer; their parts
-    are empty then.
+    ``nodes`` are those of the process's region. ``calls_in_flight`` is always ``null``; the
+    field remains for existing clients. ``problems`` has an error for each group that did not
+    answer; the fields from that group are empty then.
     """
 
     process: str
@@ -69,7 +69,7 @@
 
 
 def document_view(document: Document, accepted_revision: Revision) -> DocumentView:
-    """Return a document as operators see it."""
+    """Return the operators' view of a document."""
     return DocumentView(
         kind=document.kind,
         name=document.name,
@@ -81,7 +81,7 @@
 
 
 def change_view(document: Document) -> ChangeView:
-    """Return what a change has written."""
+    """Return the operators' view of the change that wrote ``document``."""
     return ChangeView(
         kind=document.kind,
         name=document.name,
@@ -94,6 +94,6 @@
 def replica_views(
     addresses: tuple[Address, ...], status: ControlStatus | None
 ) -> tuple[ReplicaView, ...]:
-    """Return the control replicas, the leader marked if it is known."""
+    """Return the control replicas; none is marked as leader without a ``status``."""
     leader = None if status is None else status.leader
     return tuple(ReplicaView(address, address == leader) for address in addresses)
--- a/src/passlane/api/operators.py
+++ b/src/passlane/api/operators.py
@@ -1,7 +1,7 @@
 """The operators' HTTP interface, served by every process.
 
-What concerns the configuration goes to the control group, what concerns programs to the
-region's store group; the log and the process's own part of the status are local.
+Requests about the configuration go to the control group, and requests about programs to the
+region's store group. The log is that of the process.
 """
 
 import random as random_module
@@ -53,7 +53,7 @@
 
 
 class LogRing(Protocol):
-    """Newest log lines of the process; see ``observability.ring.RingLog``."""
+    """The newest log lines of the process; see ``observability.ring.RingLog``."""
 
     def lines(self, newest: int | None = None) -> list[bytes]:
         """Return the newest lines, oldest first, each as JSON."""
@@ -69,7 +69,7 @@
     random: random_module.Random,
     caller: Caller | None = None,
 ) -> "OperatorApplication":
-    """Return the ASGI application for operators.
+    """Return the ASGI application of the operators' interface.
 
     Parameters
     ----------
@@ -78,9 +78,9 @@
     ring
         The process's log.
     random
-        Source of idempotency keys for changes that come without one.
+        Source of idempotency keys for changes without one.
     caller
-        Connections to the nodes, which explain programs; without it nothing is explained.
+        Connections to the nodes, for explanations of programs; ``None`` leaves out that route.
     """
     control = NamedGroup("control group", control)
     store = NamedGroup("store group", store)
@@ -93,14 +93,14 @@
 
 
 class OperatorApplication:
-    """Checks the operator's token, finds the route, and turns errors into problems."""
+    """Checks operators' tokens, routes requests, and turns errors into problem responses."""
 
     def __init__(self, settings: Settings, router: PathRouter[Handler]) -> None:
         self._tokens = settings.security.operators
         self._router = router
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request."""
+        """Serve one ASGI connection; only HTTP is supported."""
         if scope["type"] != "http":
             return
         await send_response(send, await self._respond(scope, receive))
@@ -125,7 +125,7 @@
 
 
 class StatusRoutes:
-    """Reads programs, the log and the state of the whole."""
+    """Routes for programs, the log and the status of the system."""
 
     def __init__(
         self,
@@ -147,28 +147,28 @@
         router.add("GET", "/v1/log", self.read_log)
 
     async def list_programs(self, request: Request, parameters: Mapping[str, str]) -> Response:
-        """Answer with one line for each program of the region."""
-        return json_response(OK, await self._ask_store(ListPrograms(), ProgramList))
+        """Respond with a summary of each program of the region."""
+        return json_response(OK, await self._query_store(ListPrograms(), ProgramList))
 
     async def read_program(self, request: Request, parameters: Mapping[str, str]) -> Response:
-        """Answer with the whole record of a program."""
+        """Respond with the record of a program."""
         query = ReadProgram(program_id=ProgramId(parameters["id"]))
-        result = await self._ask_store(query, ProgramResult)
+        result = await self._query_store(query, ProgramResult)
         return json_response(OK, result.record)
 
     async def read_log(self, request: Request, parameters: Mapping[str, str]) -> Response:
-        """Answer with the newest lines of this process's log, oldest first."""
+        """Respond with the newest lines of this process's log, oldest first."""
         text = request.query.get("lines", str(DEFAULT_LOG_LINES))
         if not text.isdecimal():
-            raise PasslaneError(ErrorCode.BAD_REQUEST, "lines is a whole number")
+            raise PasslaneError(ErrorCode.BAD_REQUEST, "lines must be a whole number")
         lines = [msgspec.Raw(line) for line in self._ring.lines(int(text))]
         return json_response(OK, lines)
 
     async def read_status(self, request: Request, parameters: Mapping[str, str]) -> Response:
-        """Answer with regions, members, partitions and what is in flight.
+        """Respond with the state of the control group, the regions and the region's nodes.
 
-        A group that does not answer is named instead of failing the whole request:
-        the status is wanted most when something is down.
+        A group that does not answer is reported in ``problems`` instead of failing the
+        request, because the status is needed most during an outage.
         """
         problems: list[str] = []
         status: ControlStatus | None = None
@@ -207,10 +207,10 @@
             problems=tuple(problems),
         )
 
-    async def _ask_store(self, query: Message, reply: type[Any]) -> Any:
+    async def _query_store(self, query: Message, reply: type[Any]) -> Any:
         answer = await self._store.execute(query, Message, timeout_s=STORE_TIMEOUT_S)
         if isinstance(answer, StoreRefusal):
             raise PasslaneError(answer.code, answer.message)
         if not isinstance(answer, reply):
-            raise PasslaneError(ErrorCode.PROTOCOL_ERROR, "unexpected reply of the store group")
+            raise PasslaneError(ErrorCode.PROTOCOL_ERROR, "unexpected reply from the store group")
         return answer
--- a/src/passlane/api/problems.py
+++ b/src/passlane/api/problems.py
@@ -1,4 +1,4 @@
-"""Errors as ``application/problem+json`` (RFC 9457), with code, verdict and Retry-After."""
+"""Errors as ``application/problem+json`` (RFC 9457), with code, verdict and ``Retry-After``."""
 
 import math
 
@@ -7,7 +7,7 @@
 from passlane.api.asgi import PROBLEM_TYPE, Response
 from passlane.errors import ErrorCode, PasslaneError, Verdict
 
-STATUS_OF_CODE: dict[ErrorCode, int] = {
+STATUS_BY_CODE: dict[ErrorCode, int] = {
     ErrorCode.BAD_REQUEST: 400,
     ErrorCode.UNAUTHORIZED: 401,
     ErrorCode.FORBIDDEN: 403,
@@ -31,13 +31,13 @@
     ErrorCode.DEADLINE_EXCEEDED: 504,
     ErrorCode.TIMEOUT: 504,
 }
-"""HTTP status of each code; any other code is 503."""
+"""HTTP status of each code; other codes get ``DEFAULT_STATUS``."""
 
 DEFAULT_STATUS = 503
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The body of a problem. ``retry_after_s`` repeats the header with its fractions."""
+    """Body of an error response; ``retry_after_s`` is the unrounded ``Retry-After`` value."""
 
     type: str
     title: str
@@ -49,11 +49,11 @@
 
 
 def problem_of(error: PasslaneError) -> Problem:
-    """Return the body that stands for an error."""
+    """Return the response body for an error."""
     return Problem(
         type=f"urn:passlane:error:{error.code.value}",
         title=error.code.value.replace("_", " "),
-        status=STATUS_OF_CODE.get(error.code, DEFAULT_STATUS),
+        status=STATUS_BY_CODE.get(error.code, DEFAULT_STATUS),
         detail=error.message,
         code=error.code,
         verdict=error.verdict,
@@ -62,7 +62,7 @@
 
 
 def problem_response(error: PasslaneError) -> Response:
-    """Return the answer that stands for an error."""
+    """Return the response for an error."""
     problem = problem_of(error)
     return Response(
         status=problem.status,
@@ -73,10 +73,10 @@
 
 
 def problem_headers(error: PasslaneError) -> dict[str, str]:
-    """Return the headers that go with an error."""
+    """Return the response headers for an error."""
     headers: dict[str, str] = {}
     if error.retry_after_s is not None and math.isfinite(error.retry_after_s):
-        # The header holds whole seconds; rounding up never sends a caller back too early.
+        # The header has whole seconds; rounding up avoids retries that are too early.
         headers["retry-after"] = str(max(math.ceil(error.retry_after_s), 0))
     if error.code is ErrorCode.UNAUTHORIZED:
         headers["www-authenticate"] = "Bearer"
--- a/src/passlane/api/routing.py
+++ b/src/passlane/api/routing.py
@@ -1,4 +1,4 @@
-"""Finds the handler of a request by its method and path."""
+"""Routes requests to handlers by method and path."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -12,43 +12,47 @@
 
 @dataclass(frozen=True)
 class RouteMatch(Generic[HandlerType]):
-    """The handler of a request and the variable parts of its path, by name."""
+    """The handler of a request and its path parameters by name."""
 
     handler: HandlerType
     parameters: Mapping[str, str]
 
 
 class PathRouter(Generic[HandlerType]):
-    """Finds handlers by method and path. Patterns look like ``/v1/programs/{id}``."""
+    """Finds handlers by method and path.
+
+    A pattern such as ``/v1/programs/{id}`` has path parameters in braces.
+    """
 
     def __init__(self) -> None:
         self._routes: list[tuple[str, tuple[str, ...], HandlerType]] = []
 
     def add(self, method: str, pattern: str, handler: HandlerType) -> None:
-        """Route requests of ``method`` whose path fits ``pattern`` to ``handler``."""
+        """Route requests of ``method`` whose path matches ``pattern`` to ``handler``."""
         self._routes.append((method, _parts(pattern), handler))
 
     def find(self, method: str, path: str) -> RouteMatch[HandlerType]:
-        """Return the handler for a request whose ``path`` is as ``request_path`` gives it.
+        """Return the handler for a request; ``path`` is percent-encoded.
 
-        Parameters come decoded.
+        The path parameters of the result are decoded.
 
         Raises
         ------
         PasslaneError
-            ``NOT_FOUND`` for an unknown path, ``METHOD_NOT_ALLOWED`` for a known one.
+            ``NOT_FOUND`` if no pattern matches the path, ``METHOD_NOT_ALLOWED`` if a pattern
+            matches but only with other methods.
         """
-        path_is_known = False
+        path_matches = False
         for route_method, pattern, handler in self._routes:
             parameters = _match(pattern, _parts(path))
             if parameters is None:
                 continue
             if route_method == method:
                 return RouteMatch(handler=handler, parameters=parameters)
-            path_is_known = True
-        if path_is_known:
-            raise PasslaneError(ErrorCode.METHOD_NOT_ALLOWED, f"{method} is not offered here")
-        raise PasslaneError(ErrorCode.NOT_FOUND, "there is nothing at this path")
+            path_matches = True
+        if path_matches:
+            raise PasslaneError(ErrorCode.METHOD_NOT_ALLOWED, f"{method} is not allowed here")
+        raise PasslaneError(ErrorCode.NOT_FOUND, "no route matches this path")
 
 
 def _parts(path: str) -> tuple[str, ...]:
--- a/src/passlane/api/tokens.py
+++ b/src/passlane/api/tokens.py
@@ -1,4 +1,4 @@
-"""Bearer tokens of callers and operators."""
+"""Authentication of callers and operators by bearer tokens."""
 
 import hmac
 from collections.abc import Mapping, Sequence
@@ -8,29 +8,29 @@
 
 
 def bearer_token(headers: Mapping[str, str]) -> str | None:
-    """Return the token of an ``Authorization: Bearer`` header, if there is one."""
+    """Return the token of an ``Authorization: Bearer`` header; ``None`` without one."""
     scheme, _, token = headers.get("authorization", "").partition(" ")
     if scheme.lower() != "bearer" or not token.strip():
         return None
     return token.strip()
 
 
-def require_token(headers: Mapping[str, str], known: Sequence[TokenSettings]) -> TokenSettings:
+def require_token(headers: Mapping[str, str], accepted: Sequence[TokenSettings]) -> TokenSettings:
     """Return the settings of the request's bearer token.
 
-    Each known token is compared in constant time, and all of them are compared, so
-    that the time taken tells nothing about them.
+    The token is always compared with all accepted tokens, each in constant time, so that the
+    response time reveals nothing about them.
 
     Raises
     ------
     PasslaneError
-        ``UNAUTHORIZED`` when the token is missing or unknown.
+        ``UNAUTHORIZED`` when the token is missing or not accepted.
     """
-    given = (bearer_token(headers) or "").encode()
-    found: TokenSettings | None = None
-    for candidate in known:
-        if hmac.compare_digest(given, candidate.token.encode()):
-            found = candidate
-    if found is None or not given:
-        raise PasslaneError(ErrorCode.UNAUTHORIZED, "a known bearer token is needed")
-    return found
+    received = (bearer_token(headers) or "").encode()
+    matching: TokenSettings | None = None
+    for candidate in accepted:
+        if hmac.compare_digest(received, candidate.token.encode()):
+            matching = candidate
+    if matching is None or not received:
+        raise PasslaneError(ErrorCode.UNAUTHORIZED, "a valid bearer token is required")
+    return matching
--- a/tests/api/in_process_http.py
+++ b/tests/api/in_process_http.py
@@ -1,4 +1,4 @@
-"""An HTTP client that hands requests straight to an ASGI application."""
+"""An HTTP client that passes requests directly to an ASGI application."""
 
 from contextlib import asynccontextmanager
 from dataclasses import dataclass
@@ -17,7 +17,10 @@
 
 
 class InProcessHttp:
-    """Answers of the next ``lose_answers`` requests are lost after they ran."""
+    """Client of ``application``; the next ``lose_answers`` responses are lost.
+
+    A request whose response is lost has run.
+    """
 
     def __init__(self, application):
         self.application = application
--- a/tests/api/test_asgi.py
+++ b/tests/api/test_asgi.py
@@ -1,4 +1,4 @@
-"""Whole requests on top of ASGI."""
+"""Reading of requests: the limit on the declared length of a body."""
 
 import unittest
 
@@ -18,15 +18,15 @@
 
         async def receive():
             if not body:
-                raise AssertionError("the body was waited for")
+                raise AssertionError("the body was read")
             return {"type": "http.request", "body": body}
 
         return anyio.run(read_request, scope, receive, 100)
 
-    def test_a_body_that_is_too_long_by_its_own_word_is_refused_before_it_comes(self):
+    def test_body_with_too_large_declared_length_is_refused_before_it_is_read(self):
         with self.assertRaises(PasslaneError) as caught:
             self.read("1000000000")
         self.assertIs(caught.exception.code, ErrorCode.BODY_TOO_LARGE)
 
-    def test_a_body_within_the_limit_is_read(self):
+    def test_body_within_the_limit_is_read(self):
         self.assertEqual(self.read("4", b"body").body, b"body")
--- a/tests/api/test_callers.py
+++ b/tests/api/test_callers.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: formats, tokens, and input that is wrong in any way."""
+"""The callers' HTTP interface: formats, tokens, limits and invalid input."""
 
 import json
 import unittest
@@ -26,7 +26,7 @@
 
 
 class FleetApi:
-    """Node 0 of a fleet as the callers' interface sees it."""
+    """The ``NodeApi`` of node 0 of a fleet."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -68,7 +68,7 @@
 
 
 class Reply:
-    """What came back for one request."""
+    """The response to one request."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -122,7 +122,7 @@
 
 
 class CallerInterfaceTest(unittest.TestCase):
-    def test_program_of_a_chat_a_stream_a_charge_and_its_end(self) -> None:
+    def test_program_with_chat_stream_and_tool_call_until_its_end(self) -> None:
         async def scenario(fleet: Fleet, application: AsgiApplication) -> None:
             key = {**TOKEN, "idempotency-key": "one"}
             created = await ask(application, "POST", "/v1/programs", b"", key)
@@ -150,7 +150,7 @@
 
         with_application(scenario)
 
-    def test_wrong_requests_get_a_problem_that_names_the_fault(self) -> None:
+    def test_invalid_requests_get_a_problem_with_status_and_code(self) -> None:
         async def scenario(fleet: Fleet, application: AsgiApplication) -> None:
             p1 = {**TOKEN, "passlane-program": "p-1"}
             chat = "/v1/chat/completions"
@@ -199,7 +199,7 @@
 
         with_application(scenario)
 
-    def test_flood_of_a_tenant_is_refused_early_with_a_time_to_come_back(self) -> None:
+    def test_requests_above_a_tenants_limit_are_refused_with_retry_after(self) -> None:
         async def scenario(fleet: Fleet, application: AsgiApplication) -> None:
             program = {**TOKEN, "passlane-program": "p-1"}
             replies: list[Reply] = []
@@ -220,7 +220,7 @@
 
         with_application(scenario)
 
-    def test_malformed_bodies_by_the_thousand_lose_nothing(self) -> None:
+    def test_malformed_bodies_cause_no_server_error_and_no_unfinished_call(self) -> None:
         json_values = st.recursive(
             st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=20),
             lambda inner: (
@@ -232,10 +232,10 @@
         fields = st.fixed_dictionaries(
             {}, optional={"model": json_values, "messages": json_values, "max_tokens": json_values}
         )
-        # Turning one byte of a good body into another gives bodies that are nearly right.
-        good = json.dumps(chat_body()).encode()
-        damaged = st.tuples(st.integers(0, len(good) - 1), st.integers(0, 255)).map(
-            lambda change: good[: change[0]] + bytes([change[1]]) + good[change[0] + 1 :]
+        # Replacing one byte of a valid body gives bodies that are almost valid.
+        valid = json.dumps(chat_body()).encode()
+        damaged = st.tuples(st.integers(0, len(valid) - 1), st.integers(0, 255)).map(
+            lambda change: valid[: change[0]] + bytes([change[1]]) + valid[change[0] + 1 :]
         )
         bodies = (
             st.binary(max_size=200) | fields.map(lambda one: json.dumps(one).encode()) | damaged
--- a/tests/api/test_explanation.py
+++ b/tests/api/test_explanation.py
@@ -1,4 +1,4 @@
-"""The operators' question about a program, from the command line's client to its leader."""
+"""The explanation of a program, from the command line's client to the program's leader."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 from passlane.settings.model import SecuritySettings, TokenSettings
 
 TOKEN = "operator-secret"
-HERE = Address("127.0.0.1", 1)
+ADDRESS = Address("127.0.0.1", 1)
 
 
 def operator_client(fleet: Fleet) -> OperatorClient:
@@ -32,7 +32,7 @@
         random=random.Random(1),
         caller=fleet.network,  # type: ignore[arg-type]
     )
-    return OperatorClient(InProcessHttp(application), [HERE], TOKEN)
+    return OperatorClient(InProcessHttp(application), [ADDRESS], TOKEN)
 
 
 class ExplanationTest(unittest.TestCase):
@@ -46,7 +46,7 @@
 
         in_fleet(scenario, nodes=2)
 
-    def test_unknown_program_is_told_as_such(self) -> None:
+    def test_unknown_program_is_an_error(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             with self.assertRaises(PasslaneError) as raised:
                 await operator_client(fleet).explain_program("p-none")
--- a/tests/api/test_operators.py
+++ b/tests/api/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP interface and its client, over a replicated control group."""
+"""The operators' HTTP interface and its client, with a replicated control group."""
 
 import random
 import unittest
@@ -60,7 +60,7 @@
 
         run_simulation(main, 1)
 
-    def test_bad_requests_get_a_code_and_change_nothing(self):
+    def test_invalid_requests_get_a_code_and_change_nothing(self):
         new = {"if-none-match": "*"}
         invalid = b'{"source":"1","max_steps":0}'
         cases = [
@@ -92,7 +92,7 @@
 
         self.run_with_group(scenario)
 
-    def test_only_known_tokens_get_in_and_none_is_logged(self):
+    def test_only_valid_tokens_are_accepted_and_none_is_logged(self):
         async def scenario(cluster, http, client):
             for headers in ({}, {"authorization": "Bearer wrong"}, {"authorization": TOKEN}):
                 answer = await http.fetch("GET", "/v1/documents", headers)
@@ -103,7 +103,7 @@
 
         self.run_with_group(scenario)
 
-    def test_a_lost_answer_is_asked_for_again_and_changes_nothing_twice(self):
+    def test_change_with_lost_responses_is_retried_and_recorded_once(self):
         async def scenario(cluster, http, client):
             http.lose_answers = 2
             change = await client.put_document("policy", "p", BODY.decode(), 0)
@@ -112,7 +112,7 @@
 
         self.run_with_group(scenario)
 
-    def test_a_conflict_shows_the_document_as_it_stands(self):
+    def test_conflict_returns_the_current_document(self):
         async def scenario(cluster, http, client):
             await client.put_document("policy", "p", '{"source":"1"}', 0)
             await client.put_document("policy", "p", '{"source":"2"}', 1)
@@ -128,7 +128,7 @@
 
         self.run_with_group(scenario)
 
-    def test_waiting_names_the_region_that_holds_a_change_up(self):
+    def test_wait_for_progress_reports_the_region_that_delays_a_change(self):
         async def scenario(cluster, http, client):
             first = await client.put_document("policy", "p", '{"source":"1"}', 0)
             progress = await wait_for_progress(client, first.revision, 30.0, is_in_force)
