--- a/src/passlane/backends/__init__.py
+++ b/src/passlane/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of engines, applications, the platform list and the weights store."""
+"""HTTP clients of engines and applications."""
--- a/src/passlane/backends/engine_client.py
+++ b/src/passlane/backends/engine_client.py
@@ -1,4 +1,4 @@
-"""Client of a model engine: streams of tokens, load, cache events, fenced orders."""
+"""Client of a model engine: token streams, load reports, cache events and fenced orders."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,10 +9,10 @@
 
 from passlane.backends.failures import (
     BackendError,
-    error_of_connection,
-    error_of_response,
-    error_of_timeout,
-    read_whole,
+    error_from_connection,
+    error_from_response,
+    error_from_timeout,
+    read_body,
 )
 from passlane.errors import ErrorCode, Verdict
 from passlane.event_streams.event_data import EventLines
@@ -34,13 +34,15 @@
     HttpResponse,
 )
 
-END_OF_STREAM = b"[DONE]"
+STREAM_END = b"[DONE]"
 JSON_HEADERS = {"content-type": "application/json"}
 STALE_ORDER_STATUS = 409
 MAX_REPLY_BYTES = 16_000_000
 DEADLINE_STEP_S = 0.25
-END_OF_BODY_S = 0.1
-"""How long an engine may take to end the body after the answer; then it is cut off."""
+"""Steps in which the deadline of a stream is moved."""
+
+BODY_END_TIMEOUT_S = 0.1
+"""Maximum time from the last event of an answer to the end of the body."""
 
 _chunk_decoder = msgspec.json.Decoder(EngineChunk)
 
@@ -50,16 +52,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineTimeouts:
-    """How long an engine may stay silent, in seconds.
+    """Timeouts of requests to an engine, in seconds.
 
     Attributes
     ----------
     first_token_s
-        From the request to the first token; the engine may queue the request meanwhile.
+        Maximum time from the request to the first token, including the engine's queue.
     next_token_s
-        Between two tokens; longer means that the engine hangs.
+        Maximum time between two tokens; after it the engine is assumed to hang.
     control_s
-        For load reports, cache events, orders and cancels.
+        Timeout of load reports, cache requests, orders and cancels.
     """
 
     first_token_s: float = 30.0
@@ -68,12 +70,12 @@
 
 
 class _ChatReader:
-    """Takes the bytes of one answer's stream apart.
+    """Parses the bytes of one answer's stream into chunks.
 
     Attributes
     ----------
     final
-        The event that ended the answer, once it has come.
+        The last event of the answer; ``None`` before it is received.
     """
 
     def __init__(self, attempt_id: str, on_chunk: ChunkHandler) -> None:
@@ -83,15 +85,15 @@
         self._lines = EventLines()
 
     def feed(self, data: bytes) -> None:
-        """Take more bytes; raise ``BackendError`` when they can't be read."""
+        """Parse more bytes; raise ``BackendError`` when they are invalid."""
         try:
             for line in self._lines.feed(data):
-                if line != END_OF_STREAM:
-                    self._take(_chunk_decoder.decode(line))
+                if line != STREAM_END:
+                    self._process(_chunk_decoder.decode(line))
         except (ValueError, msgspec.MsgspecError) as error:
-            raise _unreadable(error) from error
+            raise _invalid_answer(error) from error
 
-    def _take(self, chunk: EngineChunk) -> None:
+    def _process(self, chunk: EngineChunk) -> None:
         if chunk.attempt_id != self._attempt_id or self.final is not None:
             return
         if chunk.finish_reason is not None:
@@ -101,9 +103,9 @@
 
 
 def _move_deadline(scope: anyio.CancelScope, limit_s: float) -> None:
-    """Let ``scope`` end after ``limit_s`` of silence, or up to ``DEADLINE_STEP_S`` later.
+    """Set the deadline of ``scope`` to ``limit_s`` from now, or up to ``DEADLINE_STEP_S`` later.
 
-    Setting a deadline costs more than reading a token, so it is moved in steps.
+    Setting a deadline is slower than reading a token, so it is moved in steps.
     """
     deadline = anyio.current_time() + limit_s
     if not deadline <= scope.deadline <= deadline + DEADLINE_STEP_S:
@@ -111,7 +113,7 @@
 
 
 class EngineClient:
-    """Speaks to one engine. Holds no connection itself: the HTTP client owns them."""
+    """Sends requests to one engine; the HTTP client owns the connections."""
 
     def __init__(
         self, http: HttpClient, address: Address, timeouts: EngineTimeouts | None = None
@@ -121,32 +123,32 @@
         self._timeouts = timeouts or EngineTimeouts()
 
     async def stream_chat(self, request: EngineChatRequest, on_chunk: ChunkHandler) -> EngineChunk:
-        """Run a chat request, give each token to ``on_chunk`` and return the last event.
+        """Run a chat request, pass each token to ``on_chunk`` and return the last event.
 
-        Chunks that carry another attempt's id are dropped. Leaving early, by an error or
-        by cancellation, closes the connection, which frees the engine's slot too.
+        Chunks with another attempt's id are ignored. An error or a cancellation closes the
+        connection, which also frees the engine's slot.
 
         Raises
         ------
         BackendError
-            With the verdict that the failure proves.
+            With the verdict that follows from the failure.
         """
         http_request = self._post("/v1/chat/completions", request)
         reader = _ChatReader(request.attempt_id, on_chunk)
-        silence_s = self._timeouts.first_token_s
+        timeout_s = self._timeouts.first_token_s
         try:
-            with anyio.move_on_after(silence_s) as silence:
+            with anyio.move_on_after(timeout_s) as scope:
                 async with self._http.exchange(http_request) as response:
                     if response.status != 200:
-                        raise await error_of_response(response)
-                    await self._read_stream(response, reader, silence)
+                        raise await error_from_response(response)
+                    await self._read_stream(response, reader, scope)
         except HttpConnectionError as error:
             if reader.final is None:
-                raise error_of_connection(error) from error
+                raise error_from_connection(error) from error
         if reader.final is not None:
             return reader.final
-        if silence.cancelled_caught:
-            raise error_of_timeout(silence_s)
+        if scope.cancelled_caught:
+            raise error_from_timeout(timeout_s)
         raise BackendError(
             ErrorCode.BACKEND_FAILED,
             "the engine's stream ended before the answer",
@@ -154,47 +156,47 @@
         )
 
     async def _read_stream(
-        self, response: HttpResponse, reader: "_ChatReader", silence: anyio.CancelScope
+        self, response: HttpResponse, reader: "_ChatReader", scope: anyio.CancelScope
     ) -> None:
-        """Read to the end of the body, so that the connection can be used again."""
+        """Read to the end of the body, so that the connection can be reused."""
         async for data in response.chunks():
             reader.feed(data)
-            limit_s = self._timeouts.next_token_s if reader.final is None else END_OF_BODY_S
-            _move_deadline(silence, limit_s)
+            limit_s = self._timeouts.next_token_s if reader.final is None else BODY_END_TIMEOUT_S
+            _move_deadline(scope, limit_s)
 
     async def cancel(self, attempt_id: str) -> None:
-        """Ask the engine to stop an attempt; raise ``BackendError`` if it cannot be asked."""
-        await self._exchange(self._post("/v1/cancel", EngineCancel(attempt_id)))
+        """Cancel an attempt at the engine; raise ``BackendError`` if the request fails."""
+        await self._fetch(self._post("/v1/cancel", EngineCancel(attempt_id)))
 
     async def read_load(self) -> EngineLoad:
         """Return the engine's load report; raise ``BackendError``."""
-        return _decode(await self._exchange(self._get("/v1/load")), EngineLoad)
+        return _decode(await self._fetch(self._get("/v1/load")), EngineLoad)
 
     async def read_cache_events(self, after: int) -> CacheEvents:
         """Return the cache events after number ``after``; raise ``BackendError``."""
-        body = await self._exchange(self._get(f"/v1/cache/events?after={after}"))
+        body = await self._fetch(self._get(f"/v1/cache/events?after={after}"))
         return _decode(body, CacheEvents)
 
     async def read_cache(self) -> CacheSnapshot:
-        """Return what the whole cache holds; raise ``BackendError``."""
-        return _decode(await self._exchange(self._get("/v1/cache")), CacheSnapshot)
+        """Return a snapshot of the engine's cache; raise ``BackendError``."""
+        return _decode(await self._fetch(self._get("/v1/cache")), CacheSnapshot)
 
     async def order(self, order: EngineOrder) -> OrderReply:
-        """Give a fenced order.
+        """Send a fenced order.
 
         Raises
         ------
         BackendError
-            ``STALE_FENCING_TOKEN`` when the engine has seen a higher token.
+            ``STALE_FENCING_TOKEN`` when the engine has received a higher token.
         """
         try:
-            body = await self._exchange(self._post("/v1/orders", order))
+            body = await self._fetch(self._post("/v1/orders", order))
         except BackendError as error:
             if error.status != STALE_ORDER_STATUS:
                 raise
             raise BackendError(
                 ErrorCode.STALE_FENCING_TOKEN,
-                "the engine has seen a newer fencing token",
+                "the engine has received a higher fencing token",
                 verdict=Verdict.NOT_RUN,
             ) from error
         return _decode(body, OrderReply)
@@ -211,29 +213,29 @@
             body=msgspec.json.encode(body),
         )
 
-    async def _exchange(self, request: HttpRequest) -> bytes:
-        return await exchange_whole(self._http, request, self._timeouts.control_s)
+    async def _fetch(self, request: HttpRequest) -> bytes:
+        return await fetch_body(self._http, request, self._timeouts.control_s)
 
 
-async def exchange_whole(http: HttpClient, request: HttpRequest, timeout_s: float) -> bytes:
-    """Send a request and return the body of its successful answer.
+async def fetch_body(http: HttpClient, request: HttpRequest, timeout_s: float) -> bytes:
+    """Send a request and return the body of its successful response.
 
     Raises
     ------
     BackendError
-        For a broken connection, a time-out or an error status, with its verdict.
+        For a broken connection, a timeout or an error status, with the verdict that follows.
     """
     body = b""
     try:
         with anyio.move_on_after(timeout_s) as scope:
             async with http.exchange(request) as response:
                 if not 200 <= response.status < 300:
-                    raise await error_of_response(response)
-                body = await read_whole(response, MAX_REPLY_BYTES)
+                    raise await error_from_response(response)
+                body = await read_body(response, MAX_REPLY_BYTES)
     except HttpConnectionError as error:
-        raise error_of_connection(error) from error
+        raise error_from_connection(error) from error
     if scope.cancelled_caught:
-        raise error_of_timeout(timeout_s)
+        raise error_from_timeout(timeout_s)
     return body
 
 
@@ -241,12 +243,12 @@
     try:
         return msgspec.json.decode(body, type=reply_type)
     except msgspec.MsgspecError as error:
-        raise _unreadable(error) from error
+        raise _invalid_answer(error) from error
 
 
-def _unreadable(error: Exception) -> BackendError:
+def _invalid_answer(error: Exception) -> BackendError:
     return BackendError(
         ErrorCode.BACKEND_FAILED,
-        f"the back end's answer cannot be read: {error}",
+        f"the backend's answer is invalid: {error}",
         verdict=Verdict.MAY_HAVE_RUN,
     )
--- a/src/passlane/backends/failures.py
+++ b/src/passlane/backends/failures.py
@@ -1,4 +1,4 @@
-"""What a failed exchange with a back end says about whether the request has run."""
+"""Errors of requests to backends, with the verdict on whether the request has run."""
 
 import msgspec
 
@@ -7,29 +7,29 @@
 from passlane.runtime.interfaces import HttpConnectionError, HttpResponse
 
 MAX_PROBLEM_BYTES = 64_000
-"""Most bytes read of a refusal's body."""
+"""Maximum size of an error response's body."""
 
 REFUSAL_STATUSES = frozenset({409, 429, 503})
-"""Statuses that prove, together with a problem body, that the request did not run."""
+"""Statuses that, together with a problem body, prove that the request did not run."""
 
 REJECTION_STATUSES = frozenset({400, 404, 405, 413, 415, 422})
-"""Statuses that speak about the request itself, whoever sends it and when."""
+"""Statuses that reject the request itself, so that a retry cannot succeed."""
 
 STALE_TOKEN_CODES = frozenset({ErrorCode.STALE_FENCING_TOKEN.value, ErrorCode.STALE_EPOCH.value})
-"""Codes by which a back end says that a newer leader has spoken to it."""
+"""Codes with which a backend reports that it has received requests of a newer leader."""
 
 PROBLEM_TYPE = "application/problem+json"
 
 
 class BackendError(PasslaneError):
-    """An exchange with a back end failed.
+    """A request to a backend failed.
 
     Parameters
     ----------
     is_final
-        The back end rejected the request itself: sending it again would not help.
+        Whether the backend rejected the request itself, so that a retry cannot succeed.
     status
-        HTTP status of the answer, if there was one.
+        HTTP status of the response; ``None`` without a response.
     """
 
     def __init__(
@@ -48,10 +48,10 @@
 
 
 class ProblemBody(msgspec.Struct, frozen=True):
-    """The parts of a refusal's JSON body that matter here.
+    """The fields that are read from an error response's JSON body.
 
-    A problem (RFC 9457) has ``detail``, ``title``, ``code`` and ``verdict``; an
-    application's own refusal has ``state`` ``rejected`` and a reason in ``result``.
+    A problem (RFC 9457) has ``detail``, ``title``, ``code`` and ``verdict``. An application's
+    rejection has the ``state`` ``rejected`` and the reason in ``result``.
     """
 
     detail: str = ""
@@ -62,35 +62,35 @@
     result: str = ""
 
 
-def error_of_connection(error: HttpConnectionError) -> BackendError:
-    """Return the failure that a broken connection stands for."""
+def error_from_connection(error: HttpConnectionError) -> BackendError:
+    """Return the error for a broken connection."""
     if error.bytes_left:
         return BackendError(
             ErrorCode.BACKEND_FAILED,
-            f"the connection to the back end broke: {error}",
+            f"the connection to the backend broke: {error}",
             verdict=Verdict.MAY_HAVE_RUN,
         )
     return BackendError(
         ErrorCode.UNAVAILABLE,
-        f"the back end could not be reached: {error}",
+        f"the backend could not be reached: {error}",
         verdict=Verdict.NOT_RUN,
     )
 
 
-def error_of_timeout(seconds: float) -> BackendError:
-    """Return the failure of an exchange that was cut off after ``seconds``."""
+def error_from_timeout(seconds: float) -> BackendError:
+    """Return the error for a request that timed out after ``seconds``."""
     return BackendError(
         ErrorCode.TIMEOUT,
-        f"the back end gave no answer within {seconds:g} s",
+        f"the backend did not answer within {seconds:g} s",
         verdict=Verdict.MAY_HAVE_RUN,
     )
 
 
-async def error_of_response(response: HttpResponse) -> BackendError:
-    """Return the failure that an answer with an error status stands for.
+async def error_from_response(response: HttpResponse) -> BackendError:
+    """Return the error for a response with an error status.
 
-    Only a refusal status with a problem body, or a body that says itself that nothing
-    ran, proves it.
+    The verdict is ``not_run`` only if the body states it, or if a problem body comes with one
+    of ``REFUSAL_STATUSES``.
     """
     problem = await _read_problem(response)
     message = _message(response.status, problem)
@@ -111,16 +111,16 @@
     if "json" not in response.headers.get("content-type", ""):
         return None
     try:
-        body = await read_whole(response, MAX_PROBLEM_BYTES)
+        body = await read_body(response, MAX_PROBLEM_BYTES)
         problem = msgspec.json.decode(body, type=ProblemBody)
     except (OSError, BackendError, msgspec.MsgspecError):
-        # The refusal is reported all the same, by the status alone.
+        # The error is then reported from the status alone.
         return None
     return problem
 
 
-async def read_whole(response: HttpResponse, max_bytes: int) -> bytes:
-    """Return an answer's whole body; raise ``BackendError`` beyond ``max_bytes``."""
+async def read_body(response: HttpResponse, max_bytes: int) -> bytes:
+    """Return a response's complete body; raise ``BackendError`` above ``max_bytes``."""
     parts: list[bytes] = []
     size = 0
     async for chunk in response.chunks():
@@ -128,7 +128,7 @@
         if size > max_bytes:
             raise BackendError(
                 ErrorCode.BACKEND_FAILED,
-                f"the back end's answer has more than {max_bytes} bytes",
+                f"the backend's answer has more than {max_bytes} bytes",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
         parts.append(chunk)
@@ -158,7 +158,7 @@
 
 def _message(status: int, problem: ProblemBody | None) -> str:
     detail = "" if problem is None else problem.detail or problem.result or problem.title
-    return f"the back end answered with status {status}" + (f": {detail}" if detail else "")
+    return f"the backend answered with status {status}" + (f": {detail}" if detail else "")
 
 
 def _retry_after(response: HttpResponse) -> float | None:
@@ -166,6 +166,6 @@
     try:
         seconds = float(value)
     except ValueError:
-        # No time was named, or a date: the retries' own pauses hold.
+        # Without the header, or with a date in it, the retry backoff applies.
         return None
     return seconds if 0 <= seconds < float("inf") else None
--- a/tests/backends/scripted_http.py
+++ b/tests/backends/scripted_http.py
@@ -1,4 +1,4 @@
-"""An HTTP client that gives one scripted answer to each request."""
+"""An HTTP client that answers each request with the next scripted response."""
 
 from collections.abc import AsyncIterator
 from contextlib import aclosing, asynccontextmanager
@@ -11,15 +11,15 @@
 
 @dataclass
 class ScriptedResponse:
-    """An answer of ``parts``: bytes to give, seconds to wait, or an error to raise.
+    """A response of ``parts``: bytes to send, seconds to wait, or an error to raise.
 
-    ``was_read_whole`` tells whether the reader came to the end.
+    ``was_read_to_end`` tells whether the body was read to its end.
     """
 
     parts: list[bytes | float | HttpConnectionError]
     status: int = 200
     headers: dict[str, str] = field(default_factory=dict)
-    was_read_whole: bool = False
+    was_read_to_end: bool = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
         for part in self.parts:
@@ -29,12 +29,12 @@
                 await anyio.sleep(part)
             else:
                 yield part
-        self.was_read_whole = True
+        self.was_read_to_end = True
 
 
 @dataclass
 class ScriptedHttp:
-    """Answers requests from ``script``, in order; an error there is raised on entry."""
+    """Answers requests from ``script``, in order; an error in it is raised on connect."""
 
     script: list[ScriptedResponse | HttpConnectionError]
     requests: list[HttpRequest] = field(default_factory=list)
--- a/tests/backends/test_application_client.py
+++ b/tests/backends/test_application_client.py
@@ -1,4 +1,4 @@
-"""What the answers of an application prove about an operation."""
+"""Verdicts on tool calls from the responses and failures of an application."""
 
 import unittest
 
@@ -25,7 +25,7 @@
 
 
 def run_tool(answer: ScriptedResponse | HttpConnectionError) -> ToolReply | BackendError:
-    """Return what came of one tool call that met this answer."""
+    """Return the result of one tool call with this response."""
     results: list[ToolReply | BackendError] = []
     http = ScriptedHttp([answer])
 
@@ -37,7 +37,7 @@
             results.append(error)
 
     run_simulation(main, seed=1)
-    assert http.requests[0].fresh_connection, "a kept connection would make doubts"
+    assert http.requests[0].fresh_connection, "on a reused connection the outcome may be unknown"
     return results[0]
 
 
@@ -50,7 +50,7 @@
         self.assertEqual((error.verdict, error.is_final), (verdict, final))
         return error
 
-    def test_answer_is_given(self) -> None:
+    def test_answer_is_returned(self) -> None:
         result = run_tool(ScriptedResponse([reply(OperationState.DONE)], headers=JSON))
         assert isinstance(result, ToolReply), result
         self.assertEqual(result.result, "{}")
@@ -58,10 +58,10 @@
     def test_refused_connection_proves_that_nothing_ran(self) -> None:
         self.check(HttpConnectionError("no", bytes_left=False), Verdict.NOT_RUN, final=False)
 
-    def test_broken_connection_leaves_a_doubt(self) -> None:
+    def test_broken_connection_may_have_run(self) -> None:
         self.check(HttpConnectionError("reset", bytes_left=True), Verdict.MAY_HAVE_RUN, final=False)
 
-    def test_hung_tool_is_cut_and_leaves_a_doubt(self) -> None:
+    def test_hung_tool_times_out_and_may_have_run(self) -> None:
         error = self.check(ScriptedResponse([3600.0]), Verdict.MAY_HAVE_RUN, final=False)
         self.assertEqual(error.code, ErrorCode.TIMEOUT)
 
@@ -69,11 +69,11 @@
         answer = ScriptedResponse([reply(OperationState.REJECTED)], headers=JSON)
         self.check(answer, Verdict.NOT_RUN, final=True)
 
-    def test_answer_about_another_operation_leaves_a_doubt(self) -> None:
+    def test_answer_about_another_operation_may_have_run(self) -> None:
         answer = ScriptedResponse([reply(OperationState.DONE, "p/other")], headers=JSON)
         self.check(answer, Verdict.MAY_HAVE_RUN, final=False)
 
-    def test_unreadable_answer_leaves_a_doubt(self) -> None:
+    def test_invalid_answer_may_have_run(self) -> None:
         self.check(ScriptedResponse([b"<html>"]), Verdict.MAY_HAVE_RUN, final=False)
 
     def test_busy_application_with_a_problem_proves_that_nothing_ran(self) -> None:
@@ -84,7 +84,7 @@
             )
             self.assertEqual(error.retry_after_s, 2.0)
 
-    def test_error_status_alone_proves_nothing(self) -> None:
+    def test_error_status_without_a_problem_may_have_run(self) -> None:
         for status in (500, 502, 503, 504):
             self.check(ScriptedResponse([b"oops"], status), Verdict.MAY_HAVE_RUN, final=False)
 
--- a/tests/backends/test_engine_client.py
+++ b/tests/backends/test_engine_client.py
@@ -1,4 +1,4 @@
-"""Streams of an engine: whole, broken, silent, and refusals with their verdicts."""
+"""Streams of an engine (complete, broken, stalled) and the verdicts of failed requests."""
 
 import unittest
 
@@ -33,25 +33,25 @@
 
 
 class Stream:
-    """One chat request and what came of it."""
+    """One chat request and its result."""
 
     def __init__(self, *parts: bytes | float | HttpConnectionError, status: int = 200) -> None:
         self.response = ScriptedResponse(list(parts), status)
         self.texts: list[str] = []
         self.final: EngineChunk | None = None
         self.error: BackendError | None = None
-        self.took_s = 0.0
+        self.elapsed_s = 0.0
 
     async def run(self) -> None:
         client = EngineClient(ScriptedHttp([self.response]), ADDRESS, TIMEOUTS)  # type: ignore[arg-type]
-        began_at = anyio.current_time()
+        started_at = anyio.current_time()
         try:
             self.final = await client.stream_chat(
                 REQUEST, lambda chunk: self.texts.append(chunk.text)
             )
         except BackendError as error:
             self.error = error
-        self.took_s = anyio.current_time() - began_at
+        self.elapsed_s = anyio.current_time() - started_at
 
 
 def read(*parts: bytes | float | HttpConnectionError, status: int = 200) -> Stream:
@@ -61,33 +61,33 @@
 
 
 class ChatStreamTest(unittest.TestCase):
-    def test_whole_answer_is_read_to_the_end_of_its_body(self) -> None:
+    def test_complete_answer_is_read_to_the_end_of_its_body(self) -> None:
         stream = read(event(0), event(1), FINAL, DONE)
         self.assertEqual(stream.texts, ["t0", "t1"])
         self.assertIsNotNone(stream.final)
-        self.assertTrue(stream.response.was_read_whole, "else the connection is lost")
+        self.assertTrue(stream.response.was_read_to_end, "else the connection is not reused")
 
-    def test_events_may_be_cut_anywhere(self) -> None:
-        whole = event(0) + event(1) + FINAL + DONE
-        for size in (1, 7, 40, len(whole)):
-            parts = [whole[at : at + size] for at in range(0, len(whole), size)]
+    def test_events_may_be_split_at_any_byte(self) -> None:
+        body = event(0) + event(1) + FINAL + DONE
+        for size in (1, 7, 40, len(body)):
+            parts = [body[at : at + size] for at in range(0, len(body), size)]
             stream = read(*parts)
             self.assertEqual(stream.texts, ["t0", "t1"])
             self.assertIsNotNone(stream.final)
 
-    def test_tokens_of_another_attempt_are_dropped(self) -> None:
+    def test_tokens_of_another_attempt_are_ignored(self) -> None:
         stream = read(event(0, "a-0"), event(0), event(1), event(9, "a-0", "stop"), FINAL, DONE)
         self.assertEqual(stream.texts, ["t0", "t1"])
 
-    def test_engine_that_does_not_end_the_body_holds_nothing_up(self) -> None:
+    def test_engine_that_does_not_end_the_body_causes_no_long_wait(self) -> None:
         stream = read(event(0), FINAL, 3600.0)
         self.assertIsNotNone(stream.final)
-        self.assertLess(stream.took_s, 0.5)
+        self.assertLess(stream.elapsed_s, 0.5)
 
-    def test_break_after_the_answer_loses_nothing(self) -> None:
+    def test_connection_broken_after_the_answer_is_no_error(self) -> None:
         self.assertIsNotNone(read(event(0), FINAL, BROKEN).final)
 
-    def test_break_within_the_answer_may_have_run(self) -> None:
+    def test_connection_broken_within_the_answer_may_have_run(self) -> None:
         for parts in ((event(0), BROKEN), (event(0),), (event(0), b"data: {nonsense\n\n")):
             with self.subTest(parts):
                 error = read(*parts).error
@@ -95,24 +95,24 @@
                 self.assertEqual(error.verdict, Verdict.MAY_HAVE_RUN)
                 self.assertEqual(error.code, ErrorCode.BACKEND_FAILED)
 
-    def test_silence_before_and_within_the_answer_is_cut(self) -> None:
+    def test_stall_before_and_within_the_answer_times_out(self) -> None:
         cases = ((TIMEOUTS.first_token_s, ()), (TIMEOUTS.next_token_s, (event(0), event(1))))
         for limit_s, parts in cases:
             stream = read(*parts, 3600.0)
             assert stream.error is not None
             self.assertEqual(stream.error.code, ErrorCode.TIMEOUT)
             self.assertEqual(stream.error.verdict, Verdict.MAY_HAVE_RUN)
-            self.assertGreaterEqual(stream.took_s, limit_s)
-            self.assertLessEqual(stream.took_s, limit_s + DEADLINE_STEP_S)
+            self.assertGreaterEqual(stream.elapsed_s, limit_s)
+            self.assertLessEqual(stream.elapsed_s, limit_s + DEADLINE_STEP_S)
 
-    def test_slow_tokens_within_the_limit_are_no_silence(self) -> None:
+    def test_slow_tokens_within_the_limit_do_not_time_out(self) -> None:
         pause_s = TIMEOUTS.next_token_s - 0.01
         stream = read(event(0), pause_s, event(1), pause_s, FINAL, DONE)
         self.assertIsNotNone(stream.final)
 
 
 def order_error(script: list[ScriptedResponse | HttpConnectionError]) -> BackendError:
-    """Return the error of an order that meets this answer."""
+    """Return the error of an order with this response."""
     order = EngineOrder(OrderKind.RELEASE_PROGRAM, "program:p", 3, ProgramId("p"))
     errors: list[BackendError] = []
 
@@ -128,7 +128,7 @@
 
 
 class OrderTest(unittest.TestCase):
-    def test_stale_order_is_told_as_such(self) -> None:
+    def test_stale_order_has_its_own_error_code(self) -> None:
         error = order_error([ScriptedResponse([b"{}"], 409)])
         self.assertEqual(error.code, ErrorCode.STALE_FENCING_TOKEN)
 
@@ -136,7 +136,7 @@
         error = order_error([HttpConnectionError("refused", bytes_left=False)])
         self.assertEqual((error.code, error.verdict), (ErrorCode.UNAVAILABLE, Verdict.NOT_RUN))
 
-    def test_hung_engine_is_cut_off(self) -> None:
+    def test_order_to_a_hung_engine_times_out(self) -> None:
         error = order_error([ScriptedResponse([3600.0])])
         self.assertEqual((error.code, error.verdict), (ErrorCode.TIMEOUT, Verdict.MAY_HAVE_RUN))
 
