--- a/src/passlane/storage/__init__.py
+++ b/src/passlane/storage/__init__.py
@@ -1,1 +1,4 @@
-"""Durable log and snapshots on the data folder."""
+"""Durable storage of a replica: its log, snapshots and identity.
+
+All files are in the data folder and consist of checksummed records.
+"""
--- a/src/passlane/storage/formats.py
+++ b/src/passlane/storage/formats.py
@@ -1,4 +1,7 @@
-"""What the records of the log, the snapshot and the identity file hold."""
+"""Contents of the records in the log, the snapshot and the identity file.
+
+Also creates the errors for damaged files.
+"""
 
 import errno
 from typing import TypeVar
@@ -36,17 +39,17 @@
 
 
 class LogReset(msgspec.Struct, frozen=True, array_like=True):
-    """The log was emptied; it goes on after ``last_index`` of an installed snapshot."""
+    """The log was emptied; its next entry follows ``last_index`` of an installed snapshot."""
 
     last_index: int
     last_term: int
 
 
 class SyncedMark(msgspec.Struct, frozen=True, array_like=True):
-    """All before ``offset`` of ``segment`` was durable when this was written.
+    """Records that the log was durable up to ``offset`` of ``segment``.
 
-    A damaged record before a mark was lost by the disk; one after the last mark may
-    just be a write that a crash interrupted.
+    A damaged record before a mark is data loss on the disk. One after the last mark may
+    be a write that a crash interrupted.
     """
 
     segment: int
@@ -59,14 +62,14 @@
     Attributes
     ----------
     generation
-        Number of the sub-folder with log and snapshot; grows with each repair.
+        Number of the subfolder with log and snapshot; each repair increments it.
     may_found
-        Whether this folder may take part in founding its group: only one that has
-        never held anything.
+        Whether this replica may be one of the founders of its group; true only if its
+        folder has never held data.
     is_member
         Whether this identity has joined or founded its group.
     founders
-        The first members of the group if this replica is one of them, else empty.
+        The first members of the group if this replica is one of them; empty otherwise.
     """
 
     format_version: int
@@ -79,7 +82,7 @@
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True):
-    """Stands before a snapshot's parts."""
+    """First record of a snapshot file."""
 
     format_version: int
     group: str
@@ -89,7 +92,7 @@
 
 
 class SnapshotEnd(msgspec.Struct, frozen=True, array_like=True):
-    """Stands after a snapshot's parts, so that a missing one is noticed."""
+    """Last record of a snapshot file; its count reveals missing parts."""
 
     parts: int
 
@@ -98,39 +101,39 @@
 
 
 def storage_corrupt(message: str) -> PasslaneError:
-    """Return the error that refuses damaged files; it names what is damaged."""
+    """Return a ``STORAGE_CORRUPT`` error; ``message`` names the damaged file."""
     return PasslaneError(ErrorCode.STORAGE_CORRUPT, message)
 
 
-def damage_of(error: OSError) -> PasslaneError | None:
-    """Return the error for a disk that failed to read or write; ``None`` for other causes."""
+def corruption_from_os_error(error: OSError) -> PasslaneError | None:
+    """Return a ``STORAGE_CORRUPT`` error for a disk I/O error; ``None`` for other errors."""
     if error.errno != errno.EIO:
         return None
-    return storage_corrupt(f"the disk failed: {error}")
+    return storage_corrupt(f"disk I/O error: {error}")
 
 
 def damage_in(group: BaseExceptionGroup[PasslaneError | OSError]) -> PasslaneError | None:
-    """Return the damage that a group of errors stands for; ``None`` for other causes.
+    """Return the ``STORAGE_CORRUPT`` error for a group of errors; ``None`` for other errors.
 
-    Only the first error of the group counts.
+    Only the first error of the group is considered.
     """
     error: BaseException = group
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     if isinstance(error, OSError):
-        return damage_of(error)
+        return corruption_from_os_error(error)
     if isinstance(error, PasslaneError) and error.code is ErrorCode.STORAGE_CORRUPT:
         return error
     return None
 
 
 def decode_payload(kind: type[StructType], payload: bytes | memoryview, where: str) -> StructType:
-    """Return the decoded payload.
+    """Return the payload decoded as ``kind``; ``where`` names the record in the error.
 
     Raises
     ------
     PasslaneError
-        ``STORAGE_CORRUPT`` when a record with a good checksum holds something else.
+        ``STORAGE_CORRUPT`` when the payload is not a valid ``kind``.
     """
     try:
         return msgspec.msgpack.decode(payload, type=kind)
--- a/src/passlane/storage/identity.py
+++ b/src/passlane/storage/identity.py
@@ -1,8 +1,8 @@
 """The identity file: which replica a data folder belongs to.
 
-A replica's identity lives and dies with its files. A folder that was wiped, or whose
-files are damaged, gets a new identity, so that nothing the lost files promised (a vote,
-an acknowledged entry) can be contradicted under the old one.
+A replica's identity is valid only together with its files. A folder that was wiped or
+whose files are damaged gets a new identity, so that the replica cannot contradict votes
+or acknowledged entries that it gave under the old one.
 """
 
 import random
@@ -18,17 +18,17 @@
 
 IDENTITY_NAME = "identity"
 _RANDOM_BITS = 48
-_SUFFIX_MARK = "-"
+_SUFFIX_SEPARATOR = "-"
 
 
 def process_name_of(replica_id: ReplicaId) -> str:
-    """Return the name of the process that an identity was made for."""
-    name, _, _ = replica_id.rpartition(_SUFFIX_MARK)
+    """Return the name of the process that a replica id was created for."""
+    name, _, _ = replica_id.rpartition(_SUFFIX_SEPARATOR)
     return name or replica_id
 
 
 class IdentityFile:
-    """The file ``identity`` in a group's folder, and the numbered folders beside it."""
+    """The file ``identity`` in a group's folder, and the numbered generation folders next to it."""
 
     def __init__(self, disk: Disk, folder: str, group: str, own_name: str) -> None:
         self._disk = disk
@@ -38,39 +38,44 @@
         self._own_name = own_name
 
     def generation_folder(self, generation: int) -> str:
-        """Return the folder with the log and snapshot of a generation."""
+        """Return the path of the folder with the log and snapshot of a generation."""
         return f"{self._folder}/{generation:04d}"
 
     def load(self) -> Identity | None:
-        """Return the identity; ``None`` if the folder has never held one.
+        """Return the stored identity; ``None`` if the folder has never had one.
 
         Raises
         ------
         PasslaneError
-            ``STORAGE_CORRUPT`` when the file is damaged, belongs to another group or
-            another format, or is gone while a log is there.
+            ``STORAGE_CORRUPT`` when the file is damaged, has another group or format, or
+            is missing although there is a log.
         """
         try:
             content = memoryview(self._disk.read(self._name))
         except FileNotFoundError:
             if self._next_generation() > 1:
-                raise storage_corrupt(f"{self._name} is missing beside a log") from None
+                raise storage_corrupt(
+                    f"{self._name} is missing, but its folder has a log"
+                ) from None
             return None
         record = read_record(content, 0)
         if record is None or record.kind is not RecordKind.IDENTITY:
-            raise storage_corrupt(f"{self._name} is damaged")
+            raise storage_corrupt(f"{self._name}: the identity record is damaged")
         identity = decode_payload(Identity, record.payload, self._name)
         if identity.format_version != FORMAT_VERSION or identity.group != self._group:
-            raise storage_corrupt(f"{self._name}: of another group or format: {identity}")
+            raise storage_corrupt(
+                f"{self._name}: expected group {self._group}, format {FORMAT_VERSION};"
+                f" found {identity}"
+            )
         return identity
 
     async def create(self, source: random.Random, *, may_found: bool) -> Identity:
-        """Make and save a new identity in the next empty generation's folder."""
+        """Create and store a new identity for the next unused generation."""
         suffix = f"{source.getrandbits(_RANDOM_BITS):012x}"
         identity = Identity(
             format_version=FORMAT_VERSION,
             group=self._group,
-            replica_id=ReplicaId(f"{self._own_name}{_SUFFIX_MARK}{suffix}"),
+            replica_id=ReplicaId(f"{self._own_name}{_SUFFIX_SEPARATOR}{suffix}"),
             generation=self._next_generation(),
             may_found=may_found,
         )
@@ -78,43 +83,43 @@
         return identity
 
     async def mark_founder(self, identity: Identity, founders: tuple[GroupMember, ...]) -> Identity:
-        """Record that this replica founds its group together with ``founders``."""
+        """Store that this replica founds its group together with ``founders``."""
         founder = msgspec.structs.replace(identity, is_member=True, founders=founders)
         await self._save(founder)
         return founder
 
     async def mark_joined(self, identity: Identity) -> Identity:
-        """Record that a leader has added this replica to its group."""
+        """Store that a leader has added this replica to its group."""
         member = msgspec.structs.replace(identity, is_member=True, may_found=False)
         await self._save(member)
         return member
 
     async def remove_older_generations(self, identity: Identity) -> None:
-        """Remove damaged files that were kept until this replica was whole again."""
+        """Remove the files of older generations, kept until this replica is a member again."""
         for generation in range(1, identity.generation):
             folder = self.generation_folder(generation)
             for name in self._disk.list_files(folder):
                 await self._disk.remove(f"{folder}/{name}")
 
     def _next_generation(self) -> int:
-        """Return the number after the highest generation that has files."""
-        highest = self._stored_generation()
-        while self._disk.list_files(self.generation_folder(highest + 1)):
-            highest += 1
-        return highest + 1
+        """Return the number after the last generation that has files."""
+        generation = self._stored_generation()
+        while self._disk.list_files(self.generation_folder(generation + 1)):
+            generation += 1
+        return generation + 1
 
     def _stored_generation(self) -> int:
-        """Return the generation in the identity file; 0 if it cannot be read."""
+        """Return the generation in the identity file; 0 if the file cannot be read."""
         try:
             record = read_record(memoryview(self._disk.read(self._name)), 0)
             if record is None:
                 return 0
             return decode_payload(Identity, record.payload, self._name).generation
         except (OSError, PasslaneError):
-            # A file that is missing or damaged; the folders tell the generations then.
+            # Without a valid file, the generation is found from the folders alone.
             return 0
 
     async def _save(self, identity: Identity) -> None:
-        """Write the file, whole and durable."""
+        """Replace the file atomically and durably."""
         content = encode_record(RecordKind.IDENTITY, msgspec.msgpack.encode(identity))
         await self._disk.replace(self._name, content)
