--- a/src/passlane/storage/records.py
+++ b/src/passlane/storage/records.py
@@ -1,8 +1,8 @@
-"""Framing of the records in a log segment.
+"""Framing of the records in the log, snapshot and identity files.
 
 Each record is a fixed header and a payload::
 
-    marker (2 bytes)  kind (1)  zero (1)  payload length (4)  crc32c (4)  payload
+    marker (2 bytes)  kind (1)  reserved, 0 (1)  payload length (4)  crc32c (4)  payload
 
 The checksum covers kind, length and payload. Integers are little-endian. The marker
 lets a reader find the records that follow a damaged one.
@@ -16,13 +16,13 @@
 import msgspec
 
 FORMAT_VERSION = 1
-"""Version of the segment format; written into each segment's first record."""
+"""Version of the format of segments and identity files; stored in each of them."""
 
 MARKER = b"\xd7\x5a"
 MAX_PAYLOAD_BYTES = 64_000_000
 
 _HEADER = struct.Struct("<2sBBII")
-_CHECKED = struct.Struct("<BI")
+_KIND_AND_LENGTH = struct.Struct("<BI")
 HEADER_BYTES = _HEADER.size
 
 
@@ -41,7 +41,7 @@
 
 
 class Record(msgspec.Struct, frozen=True):
-    """A record that passed its checksum; ``start`` and ``end`` are file offsets."""
+    """A record with a valid checksum; ``start`` and ``end`` are offsets in the data read."""
 
     kind: RecordKind
     payload: memoryview
@@ -51,18 +51,18 @@
 
 def _checksum(kind: int, payload: bytes) -> int:
     """Return the CRC-32C over kind, length and payload."""
-    checked = google_crc32c.value(_CHECKED.pack(kind, len(payload)))
-    return int(google_crc32c.extend(checked, payload))
+    checksum = google_crc32c.value(_KIND_AND_LENGTH.pack(kind, len(payload)))
+    return int(google_crc32c.extend(checksum, payload))
 
 
 def encode_record(kind: RecordKind, payload: bytes) -> bytes:
-    """Return the record as it is written to the file."""
+    """Return the bytes of a record."""
     checksum = _checksum(kind, payload)
     return _HEADER.pack(MARKER, kind, 0, len(payload), checksum) + payload
 
 
-def record_bytes(header: bytes) -> int | None:
-    """Return the size of the record that begins with ``header``; ``None`` if it is none."""
+def record_size_bytes(header: bytes) -> int | None:
+    """Return the size of the record with this header; ``None`` if the header is invalid."""
     if len(header) < HEADER_BYTES:
         return None
     marker, _, _, length, _ = _HEADER.unpack_from(header, 0)
@@ -72,21 +72,21 @@
 
 
 def read_record(data: memoryview, start: int) -> Record | None:
-    """Return the record at ``start``; ``None`` if it is cut short or damaged."""
+    """Return the record at ``start``; ``None`` if it is truncated or damaged."""
     payload_start = start + HEADER_BYTES
     if payload_start > len(data):
         return None
-    marker, kind, zero, length, checksum = _HEADER.unpack_from(data, start)
+    marker, kind, reserved, length, checksum = _HEADER.unpack_from(data, start)
     end = payload_start + length
-    if marker != MARKER or zero != 0 or length > MAX_PAYLOAD_BYTES or end > len(data):
+    if marker != MARKER or reserved != 0 or length > MAX_PAYLOAD_BYTES or end > len(data):
         return None
     payload = data[payload_start:end]
-    if _checksum(kind, bytes(payload)) != checksum or kind not in _KNOWN_KINDS:
+    if _checksum(kind, bytes(payload)) != checksum or kind not in _VALID_KINDS:
         return None
     return Record(kind=RecordKind(kind), payload=payload, start=start, end=end)
 
 
-_KNOWN_KINDS = frozenset(RecordKind)
+_VALID_KINDS = frozenset(RecordKind)
 
 
 def read_records(data: memoryview) -> Iterator[Record]:
@@ -98,16 +98,16 @@
 
 
 def find_last_record(data: bytes, kind: RecordKind) -> Record | None:
-    """Return the last whole record of ``kind``, over any damage; ``None`` without one.
+    """Return the last valid record of ``kind``; ``None`` if there is none.
 
-    It is searched for from the end, so records before it cost nothing.
+    Damaged data is skipped. The search starts at the end and reads no earlier records.
     """
     view = memoryview(data)
-    beginning = MARKER + bytes((kind, 0))
-    offset = data.rfind(beginning)
+    header_prefix = MARKER + bytes((kind, 0))
+    offset = data.rfind(header_prefix)
     while offset >= 0:
         record = read_record(view, offset)
         if record is not None:
             return record
-        offset = data.rfind(beginning, 0, offset)
+        offset = data.rfind(header_prefix, 0, offset)
     return None
--- a/src/passlane/storage/snapshots.py
+++ b/src/passlane/storage/snapshots.py
@@ -1,8 +1,8 @@
-"""Keeps the newest snapshot of a replica's state machine in one file.
+"""Stores the newest snapshot of a replica's state machine in one file.
 
 The file is a header record, one record for each part of the state, and an end record
-with the number of parts; each has its own checksum. What follows the header is what
-one replica sends to another. Neither writing nor reading holds the whole in memory.
+with the number of parts; each record has its own checksum. Replicas send each other the
+data after the header. Neither writing nor reading loads the whole file into memory.
 """
 
 from collections.abc import Iterable, Iterator
@@ -26,20 +26,21 @@
     RecordKind,
     encode_record,
     read_record,
-    record_bytes,
+    record_size_bytes,
 )
 from passlane.storage.snapshot_data import BLOCK_BYTES, BlockChecksums, FileSnapshotData
 
 SNAPSHOT_NAME = "snapshot"
 
 SNAPSHOT_FORMAT_VERSION = 2
-"""Version of the file's layout; 1 held the state as one undivided block."""
+"""Version of the snapshot file's format."""
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """The state up to ``last``, and the group's membership as of then.
+    """The state up to the entry at ``last``, and the group's membership at that entry.
 
-    ``data`` is the encoded state as it is sent to other replicas; it stays on the disk.
+    ``data`` is the encoded state as it is sent to other replicas; it is read from the
+    disk when needed.
     """
 
     last: LogPosition
@@ -58,7 +59,7 @@
 
 
 def read_parts(data: SnapshotData) -> Iterator[bytes]:
-    """Yield the payload of each part; refuse data that is damaged or not whole."""
+    """Yield the payload of each part; refuse damaged or incomplete data."""
     offset = 0
     count = 0
     while True:
@@ -67,22 +68,25 @@
         if record.kind is RecordKind.SNAPSHOT_END:
             break
         if record.kind is not RecordKind.SNAPSHOT_PART:
-            raise storage_corrupt(f"{record.kind.name} does not belong in a snapshot")
+            raise storage_corrupt(f"a snapshot must not contain {record.kind.name}")
         count += 1
         yield bytes(record.payload)
     end = decode_payload(SnapshotEnd, record.payload, "the snapshot's end")
     if end.parts != count or offset != len(data):
-        raise storage_corrupt(f"the snapshot has {count} parts instead of {end.parts}")
+        raise storage_corrupt(
+            f"the snapshot has {count} parts in {offset} bytes;"
+            f" expected {end.parts} parts in {len(data)} bytes"
+        )
 
 
 def _record_at(data: SnapshotData, offset: int) -> Record:
-    """Return the record at ``offset``; refuse a damaged one."""
-    size = record_bytes(data[offset : offset + HEADER_BYTES])
+    """Return the record at ``offset``; refuse a damaged or truncated one."""
+    size = record_size_bytes(data[offset : offset + HEADER_BYTES])
     record = None
     if size is not None:
         record = read_record(memoryview(data[offset : offset + size]), 0)
     if record is None:
-        raise storage_corrupt(f"the snapshot is damaged or cut short at byte {offset} of its data")
+        raise storage_corrupt(f"the snapshot is damaged or truncated at byte {offset} of its data")
     return record
 
 
@@ -96,14 +100,16 @@
 
 
 def _slices(data: SnapshotData) -> Iterator[bytes]:
-    """Yield received data in pieces."""
+    """Yield ``data`` in pieces of at most ``BLOCK_BYTES``."""
     for offset in range(0, len(data), BLOCK_BYTES):
         yield data[offset : offset + BLOCK_BYTES]
 
 
-def _with_head(head: bytes, records: Iterable[bytes], checksums: BlockChecksums) -> Iterator[bytes]:
-    """Yield ``head`` and the records, and take the checksums of the records."""
-    yield head
+def _with_header(
+    header: bytes, records: Iterable[bytes], checksums: BlockChecksums
+) -> Iterator[bytes]:
+    """Yield ``header`` and the records, and add the records to ``checksums``."""
+    yield header
     for record in records:
         checksums.add(record)
         yield record
@@ -120,43 +126,43 @@
     async def save(
         self, last: LogPosition, membership: GroupMembership, parts: Iterable[bytes]
     ) -> Snapshot:
-        """Put a snapshot of ``parts`` in place of the last one; durable on return.
+        """Replace the stored snapshot by one of ``parts``; durable on return.
 
-        Parts are taken one at a time, and the loop goes on in between.
+        Parts are written one at a time, and other tasks run in between.
 
         Raises
         ------
         OSError
-            ``ENOSPC`` when the disk is full; the last snapshot then stays.
+            ``ENOSPC`` when the disk is full; the previous snapshot is kept.
         """
         return await self._write(last, membership, _encode_parts(parts))
 
     async def save_received(
         self, last: LogPosition, membership: GroupMembership, data: SnapshotData
     ) -> Snapshot:
-        """Put a snapshot whose ``data`` another replica sent in place of the last one.
+        """Replace the stored snapshot by one that another replica sent; durable on return.
 
         Raises
         ------
         OSError
-            ``ENOSPC`` when the disk is full; the last snapshot then stays.
+            ``ENOSPC`` when the disk is full; the previous snapshot is kept.
         """
         return await self._write(last, membership, _slices(data))
 
     async def load(self) -> Snapshot | None:
         """Return the newest snapshot; ``None`` if there is none.
 
-        Its parts are checked when they are read.
+        Its parts are verified when they are read.
 
         Raises
         ------
         PasslaneError
-            ``STORAGE_CORRUPT`` when its header is damaged or of another group or format.
+            ``STORAGE_CORRUPT`` when its header is damaged or has another group or format.
         """
         try:
             file = self._disk.open_read(self._name)
         except FileNotFoundError:
-            # None was taken yet.
+            # No snapshot was stored yet.
             return None
         header, start = self._read_header(file)
         checksums = BlockChecksums()
@@ -170,8 +176,8 @@
         )
 
     def _read_header(self, file: ReadableFile) -> tuple[SnapshotHeader, int]:
-        """Return the header and where it ends."""
-        size = record_bytes(file.read_at(0, HEADER_BYTES))
+        """Return the header and the offset where it ends."""
+        size = record_size_bytes(file.read_at(0, HEADER_BYTES))
         record = None
         if size is not None:
             record = read_record(memoryview(file.read_at(0, size)), 0)
@@ -180,7 +186,7 @@
         header = decode_payload(SnapshotHeader, record.payload, self._name)
         if header.format_version != SNAPSHOT_FORMAT_VERSION or header.group != self._group:
             raise storage_corrupt(
-                f"{self._name}: of group {header.group}, format {header.format_version};"
+                f"{self._name}: found group {header.group}, format {header.format_version};"
                 f" expected group {self._group}, format {SNAPSHOT_FORMAT_VERSION}"
             )
         return header, record.end
@@ -188,7 +194,7 @@
     async def _write(
         self, last: LogPosition, membership: GroupMembership, records: Iterable[bytes]
     ) -> Snapshot:
-        """Write header and records; return the snapshot as it stands on the disk."""
+        """Write the header and records; return the stored snapshot."""
         header = SnapshotHeader(
             format_version=SNAPSHOT_FORMAT_VERSION,
             group=self._group,
@@ -196,8 +202,10 @@
             last_term=last.term,
             membership=membership,
         )
-        head = encode_record(RecordKind.SNAPSHOT_HEADER, msgspec.msgpack.encode(header))
+        encoded_header = encode_record(RecordKind.SNAPSHOT_HEADER, msgspec.msgpack.encode(header))
         checksums = BlockChecksums()
-        await self._disk.replace_with_parts(self._name, _with_head(head, records, checksums))
+        await self._disk.replace_with_parts(
+            self._name, _with_header(encoded_header, records, checksums)
+        )
         file = self._disk.open_read(self._name)
-        return Snapshot(last, membership, FileSnapshotData(file, len(head), checksums))
+        return Snapshot(last, membership, FileSnapshotData(file, len(encoded_header), checksums))
--- a/tests/storage/test_records.py
+++ b/tests/storage/test_records.py
@@ -1,4 +1,4 @@
-"""Properties of the framing of records."""
+"""Property tests of the framing of records."""
 
 import unittest
 
@@ -34,7 +34,7 @@
 
     @repeatable
     @given(st.lists(records, max_size=8), st.sampled_from(list(RecordKind)), st.data())
-    def test_the_last_whole_record_of_a_kind_is_found_over_damage(
+    def test_last_valid_record_of_a_kind_is_found_despite_damage(
         self, written: list[tuple[RecordKind, bytes]], kind: RecordKind, data: st.DataObject
     ) -> None:
         encoded = [encode_record(*record) for record in written]
@@ -53,30 +53,30 @@
 
     @repeatable
     @given(records, st.data())
-    def test_a_record_with_any_bit_flipped_is_refused(
+    def test_record_with_a_flipped_bit_is_refused(
         self, written: tuple[RecordKind, bytes], data: st.DataObject
     ) -> None:
-        whole = encode_record(*written)
-        bit = data.draw(st.integers(0, 8 * len(whole) - 1))
-        self.assertIsNone(read_record(memoryview(flip(whole, bit)), 0))
+        encoded = encode_record(*written)
+        bit = data.draw(st.integers(0, 8 * len(encoded) - 1))
+        self.assertIsNone(read_record(memoryview(flip(encoded, bit)), 0))
 
-    def test_every_bit_of_a_record_is_covered(self) -> None:
-        whole = encode_record(RecordKind.ENTRY, b"payload")
+    def test_every_bit_of_a_record_is_checked(self) -> None:
+        encoded = encode_record(RecordKind.ENTRY, b"payload")
         accepted = [
             bit
-            for bit in range(8 * len(whole))
-            if read_record(memoryview(flip(whole, bit)), 0) is not None
+            for bit in range(8 * len(encoded))
+            if read_record(memoryview(flip(encoded, bit)), 0) is not None
         ]
         self.assertEqual(accepted, [])
 
     @repeatable
     @given(records, st.data())
-    def test_a_record_that_is_cut_short_is_refused(
+    def test_truncated_record_is_refused(
         self, written: tuple[RecordKind, bytes], data: st.DataObject
     ) -> None:
-        whole = encode_record(*written)
-        length = data.draw(st.integers(0, len(whole) - 1))
-        self.assertIsNone(read_record(memoryview(whole[:length]), 0))
+        encoded = encode_record(*written)
+        length = data.draw(st.integers(0, len(encoded) - 1))
+        self.assertIsNone(read_record(memoryview(encoded[:length]), 0))
 
 
 if __name__ == "__main__":
