--- a/src/passlane/storage/recovery.py
+++ b/src/passlane/storage/recovery.py
@@ -1,12 +1,10 @@
-"""Reads the segments of a log after a restart; pure, works on the files' bytes.
+"""Reads a log from its segments' bytes after a restart; does no I/O.
 
-Records are replayed in order. An entry whose index is already there replaces it and
-all that follow, as a Raft follower does when its leader overwrites a conflicting
-suffix. What cannot be read is one of two things:
-
-- before the last synced mark: the disk lost what it had promised to keep, so the log
-  is refused;
-- after it: a write that a crash interrupted, which nobody was told of, so it is cut.
+Records are replayed in order. An entry whose index exists already replaces that entry
+and all later ones, as when a Raft leader overwrites a conflicting suffix.
+Unreadable data before the last synced mark is data loss on the disk: the log is refused.
+After the mark it is a write that a crash interrupted before it was acknowledged: the log
+is truncated there.
 """
 
 import msgspec
@@ -38,27 +36,27 @@
 
 
 class TailCut(msgspec.Struct, frozen=True):
-    """The log's unsynced end to cut off: from ``offset`` of ``segment`` on."""
+    """Where the log is truncated; everything from ``offset`` of ``segment`` on is removed."""
 
     segment: int
     offset: int
 
 
 class RecoveredLog(msgspec.Struct):
-    """The log as it stood at the last crash or stop.
+    """The contents of a log after a crash or a stop.
 
     Attributes
     ----------
     entries
-        Entries after the snapshot, without gaps.
+        Entries after the snapshot, with consecutive indices.
     highest_index
-        For each segment, the highest entry index that it holds.
+        For each segment, the maximum index of its entries; 0 if it has none.
     synced_segment
-        Segments before this one are known to be durable.
+        All segments before this one are durable.
     is_new
-        Whether there was no segment at all.
+        Whether there was no segment.
     cut
-        Where the interrupted last write begins, if there is one.
+        Start of the interrupted last write, if there is one.
     """
 
     hard_state: HardState = msgspec.field(default_factory=HardState)
@@ -70,11 +68,11 @@
 
 
 class _InconsistentError(Exception):
-    """The records stop making sense here; the reader cuts the log off, or refuses it."""
+    """A record contradicts those before it; the log is truncated here or refused."""
 
 
 def recover_log(segments: list[SegmentFile], group: str, snapshot: LogPosition) -> RecoveredLog:
-    """Return what ``segments`` (in order) hold after the snapshot.
+    """Return the log that ``segments``, in order, hold after the snapshot.
 
     Raises
     ------
@@ -103,9 +101,9 @@
 
 
 def _durable_position(segments: list[SegmentFile]) -> tuple[int, int]:
-    """Return the segment and offset up to which all was synced, by the last mark.
+    """Return the segment and offset up to which the log was synced.
 
-    Marks only go forward, so the last that can be read is the highest.
+    Positions in marks never decrease, so the last readable mark has the maximum.
     """
     for segment in reversed(segments):
         record = find_last_record(segment.data, RecordKind.SYNCED_MARK)
@@ -125,7 +123,7 @@
         self._next_segment: int | None = None
 
     def read_segment(self, segment: SegmentFile) -> tuple[int, str | None]:
-        """Apply a segment's records; return where and why it stops making sense."""
+        """Apply a segment's records; return the offset where reading ended, and any error."""
         if self._next_segment is not None and segment.number != self._next_segment:
             return 0, f"segment {self._next_segment} is missing"
         self._next_segment = segment.number + 1
@@ -138,15 +136,17 @@
                 return record.start, str(error)
             end = record.end
         if end < len(segment.data) or end == 0:
-            return end, "a record is cut short or its checksum is wrong"
+            return end, "a record is truncated or its checksum is wrong"
         return end, None
 
     def _apply(self, record: Record, segment: int) -> None:
-        """Apply one record."""
+        """Apply one record to the log, or refuse it."""
         where = f"group {self._group}, segment {segment}, byte {record.start}"
         is_start = record.kind is RecordKind.SEGMENT_START
         if is_start != (record.start == 0):
-            raise _InconsistentError("the segment does not begin with its start record")
+            raise _InconsistentError(
+                "the start record must be the first record of a segment, and only the first"
+            )
         match record.kind:
             case RecordKind.ENTRY:
                 entry = decode_payload(LogEntry, record.payload, where)
@@ -160,44 +160,46 @@
             case RecordKind.SYNCED_MARK:
                 pass
             case _:
-                raise storage_corrupt(f"{where}: {record.kind.name} does not belong in a log")
+                raise storage_corrupt(f"{where}: a log must not contain {record.kind.name}")
 
     def _check_start(self, start: SegmentStart, segment: int) -> None:
-        """Refuse a segment of another format, group or place."""
+        """Refuse a segment with another format version, group or number."""
         expected = SegmentStart(FORMAT_VERSION, self._group, segment)
         if start != expected:
             raise storage_corrupt(f"segment {segment}: expected {expected}, found {start}")
 
     def _apply_entry(self, entry: LogEntry, segment: int) -> None:
-        """Append an entry, in place of those from its index on."""
+        """Append an entry; it replaces existing ones from its index on."""
         entries = self.log.entries
         if entries:
             keep = entry.index - entries[0].index
             if not 0 <= keep <= len(entries):
-                raise _InconsistentError(f"entry {entry.index} follows entry {entries[-1].index}")
+                raise _InconsistentError(
+                    f"entry {entry.index} is out of order after {entries[-1].index}"
+                )
             del entries[keep:]
         elif entry.index > self._snapshot.index + 1:
             raise _InconsistentError(
-                f"entry {entry.index} follows the snapshot of {self._snapshot.index}"
+                f"entry {entry.index} leaves a gap after the snapshot at {self._snapshot.index}"
             )
         entries.append(entry)
         highest = self.log.highest_index
         highest[segment] = max(highest[segment], entry.index)
 
     def _apply_reset(self, reset: LogReset) -> None:
-        """Empty the log; it goes on after the snapshot that was installed."""
+        """Empty the log; its next entry follows the installed snapshot."""
         if reset.last_index > self._snapshot.index:
             raise _InconsistentError(
-                f"the log goes on after a snapshot of {reset.last_index},"
-                f" but the snapshot is of {self._snapshot.index}"
+                f"the log was reset to a snapshot at {reset.last_index},"
+                f" but the stored snapshot is at {self._snapshot.index}"
             )
         self.log.entries.clear()
 
     def drop_entries_in_snapshot(self) -> None:
-        """Drop entries that the snapshot covers, and all if it contradicts them.
+        """Drop the entries that the snapshot covers, or all if its term does not match.
 
-        A crash between the snapshot of another replica being durable and the log being
-        reset leaves an old log whose rest must not be kept.
+        A crash after a snapshot from another replica was stored, but before the log was
+        reset, leaves an outdated log. None of its entries may be kept.
         """
         entries = self.log.entries
         if not entries or self._snapshot.index < entries[0].index:
--- a/src/passlane/storage/segments.py
+++ b/src/passlane/storage/segments.py
@@ -1,9 +1,9 @@
 """The segment files of a log: writing, syncing and removing them.
 
-A log is cut into segments so that what a snapshot has made needless can be removed
-file by file. Each segment begins with the hard state, so that no older one is needed
-for it, and with the last synced mark, so that damage to the end of the segment before
-it does not take along the proof that this end was synced.
+A log is divided into segments so that entries covered by a snapshot can be removed file
+by file. Each segment begins with the hard state, which may then be absent from older
+segments, and with the last synced mark. The mark shows that the end of the previous
+segment was synced even if that end is damaged.
 """
 
 import msgspec
@@ -19,7 +19,7 @@
 
 
 class _OpenSegment(msgspec.Struct):
-    """A segment whose file is open; counts of writes made to it, and of those synced."""
+    """A segment whose file is open, with its numbers of writes and of synced writes."""
 
     number: int
     file: AppendFile
@@ -29,12 +29,12 @@
 
     @property
     def is_synced(self) -> bool:
-        """Whether all that was written is durable."""
+        """Whether all writes are durable."""
         return self.written == self.synced
 
 
 def _segment_name(folder: str, number: int) -> str:
-    """Return the file name of a segment."""
+    """Return the path of a segment's file."""
     return f"{folder}/{SEGMENT_PREFIX}{number:010d}"
 
 
@@ -44,7 +44,7 @@
     Raises
     ------
     PasslaneError
-        ``STORAGE_CORRUPT`` for a file with a name that no segment has.
+        ``STORAGE_CORRUPT`` for a segment file whose name has no valid number.
     """
     segments = []
     for name in disk.list_files(folder):
@@ -52,19 +52,19 @@
             continue
         number = name.removeprefix(SEGMENT_PREFIX)
         if not number.isdigit():
-            raise storage_corrupt(f"{folder}/{name} is not a segment's name")
+            raise storage_corrupt(f"{folder}/{name}: expected {SEGMENT_PREFIX} and a number")
         data = disk.read(f"{folder}/{name}")
         segments.append(SegmentFile(number=int(number), data=data))
     return segments
 
 
 class SegmentWriter:
-    """Appends records to the last segment, and begins a new one when that is full.
+    """Appends records to the last segment, and starts a new one when it is full.
 
     Parameters
     ----------
     segment_bytes
-        Size at which a segment is finished.
+        Size from which a segment is full.
     """
 
     def __init__(self, disk: Disk, folder: str, group: str, segment_bytes: int) -> None:
@@ -76,23 +76,23 @@
         self._highest_index: dict[int, int] = {}
         self._last_mark: SyncedMark | None = None
 
-    async def take_up(self, segments: list[SegmentFile], recovered: RecoveredLog) -> None:
-        """Cut off an interrupted write, and go on in the segments that were read."""
+    async def resume(self, segments: list[SegmentFile], recovered: RecoveredLog) -> None:
+        """Truncate an interrupted write, and continue with the segments that were read."""
         sizes = {segment.number: len(segment.data) for segment in segments}
         if recovered.cut is not None:
-            await self._cut_tail(segments, recovered.cut)
+            await self._truncate_tail(segments, recovered.cut)
             sizes[recovered.cut.segment] = recovered.cut.offset
         self._highest_index = {
             number: index for number, index in recovered.highest_index.items() if sizes[number] > 0
         }
-        # The last process may not have lived to sync what it wrote.
+        # The previous process may have ended before it synced these segments.
         for number in sorted(self._highest_index):
             if number >= recovered.synced_segment:
                 file = self._disk.open_append(_segment_name(self._folder, number))
                 self._open.append(_OpenSegment(number, file, size=sizes[number], written=1))
 
-    async def _cut_tail(self, segments: list[SegmentFile], cut: TailCut) -> None:
-        """Cut off the interrupted write; later segments first, so a crash repeats it."""
+    async def _truncate_tail(self, segments: list[SegmentFile], cut: TailCut) -> None:
+        """Remove the interrupted write; from the end, so that a restart can repeat it."""
         for segment in reversed(segments):
             name = _segment_name(self._folder, segment.number)
             if segment.number > cut.segment or (segment.number, cut.offset) == (cut.segment, 0):
@@ -107,7 +107,7 @@
 
     @property
     def has_unsynced(self) -> bool:
-        """Whether something was written that no finished sync covers."""
+        """Whether there are writes that no completed sync covers."""
         return any(not segment.is_synced for segment in self._open)
 
     def write(self, records: bytes, highest_index: int, hard_state: HardState) -> None:
@@ -116,9 +116,9 @@
         Parameters
         ----------
         highest_index
-            Highest entry index among them, 0 if there is none.
+            Maximum entry index among the records; 0 if there is none.
         hard_state
-            Hard state as of before these records, for the head of a new segment.
+            Hard state before these records; written at the start of a new segment.
 
         Raises
         ------
@@ -133,7 +133,7 @@
         self._highest_index[segment.number] = max(highest, highest_index)
 
     def _segment_for_write(self, hard_state: HardState) -> _OpenSegment:
-        """Return the current segment, or a new one if that is as long as it should be."""
+        """Return the current segment, or a new one if the current one is full."""
         if self._open and self._open[-1].size < self._segment_bytes:
             return self._open[-1]
         number = max(self._highest_index, default=0) + 1
@@ -145,7 +145,7 @@
             file.close()
             raise
         if self._open:
-            # It may end in a mark, which no sync has covered yet.
+            # The previous segment may end with a mark that no sync has covered yet.
             self._open[-1].written += 1
         segment = _OpenSegment(number=number, file=file, size=len(head), written=1)
         self._open.append(segment)
@@ -162,7 +162,7 @@
         return head
 
     async def sync(self) -> None:
-        """Make all that was written before the call durable; one call at a time."""
+        """Make all writes before the call durable; only one call may run at a time."""
         unsynced = [(segment, segment.written) for segment in self._open if not segment.is_synced]
         if not unsynced:
             return
@@ -172,17 +172,17 @@
             await segment.file.sync()
             segment.synced = written
         self._last_mark = mark
-        self._close_finished()
+        self._close_synced()
 
-    def _close_finished(self) -> None:
-        """Close the older segments that are wholly durable."""
-        finished = [segment for segment in self._open[:-1] if segment.is_synced]
-        for segment in finished:
+    def _close_synced(self) -> None:
+        """Close the files of older segments that are completely synced."""
+        synced = [segment for segment in self._open[:-1] if segment.is_synced]
+        for segment in synced:
             segment.file.close()
             self._open.remove(segment)
 
     def write_synced_mark(self) -> None:
-        """Note in the log how far the last sync reached; not itself worth a sync.
+        """Append a mark for the last sync; the mark itself needs no sync.
 
         Raises
         ------
--- a/tests/storage/test_damage.py
+++ b/tests/storage/test_damage.py
@@ -1,4 +1,4 @@
-"""Properties of log and snapshot when a byte is lost or a bit is flipped anywhere."""
+"""Property tests of log and snapshot files that are truncated or have a flipped bit."""
 
 import random
 import tempfile
@@ -33,10 +33,10 @@
 
 @dataclass
 class WrittenLog:
-    """A log's segments, and what it may be read back as.
+    """The segments of a log, and the states that may be recovered from them.
 
-    ``states`` holds hard state and entries after each write, those from ``synced`` on
-    at the end; ``durable`` is the segment and offset up to which its last mark speaks for.
+    ``states`` holds the hard state and entries after each write; ``synced`` is the index of
+    the last synced one. ``durable`` is the segment and offset of the last synced mark.
     """
 
     segments: list[SegmentFile]
@@ -82,7 +82,7 @@
 
 
 def read_back(segments: list[SegmentFile]) -> RecoveredLog | None:
-    """Return what is read, or ``None`` if it is refused as damaged."""
+    """Return the recovered log; ``None`` if it is refused as damaged."""
     try:
         return recover_log(segments, GROUP, START_OF_LOG)
     except PasslaneError as error:
@@ -99,7 +99,7 @@
 class DamagedLogTest(unittest.TestCase):
     @repeatable
     @given(seeds, st.data())
-    def test_bytes_cut_off_the_tail_lose_only_what_was_not_synced(
+    def test_truncated_tail_loses_only_unsynced_writes(
         self, seed: int, data: st.DataObject
     ) -> None:
         log = write_log(seed)
@@ -113,10 +113,10 @@
 
     @repeatable
     @given(seeds, st.data())
-    def test_synced_bytes_cut_off_are_refused_or_read_as_an_earlier_state(
+    def test_truncated_synced_data_is_refused_or_read_as_an_earlier_state(
         self, seed: int, data: st.DataObject
     ) -> None:
-        """Never as something that was not there; a cut inside the last sync may go unseen."""
+        """Guards against inventing a state; truncation within the last sync may go undetected."""
         log = write_log(seed)
         segment = data.draw(st.sampled_from(log.segments))
         length = data.draw(st.integers(0, len(segment.data)))
@@ -129,9 +129,7 @@
 
     @repeatable
     @given(seeds, st.data())
-    def test_a_flipped_bit_in_synced_records_is_refused(
-        self, seed: int, data: st.DataObject
-    ) -> None:
+    def test_flipped_bit_in_synced_records_is_refused(self, seed: int, data: st.DataObject) -> None:
         log = write_log(seed)
         synced = [segment for segment in log.segments if segment.number <= log.durable[0]]
         segment = data.draw(st.sampled_from(synced))
@@ -141,7 +139,7 @@
 
     @repeatable
     @given(seeds, st.data())
-    def test_a_flipped_bit_after_them_loses_only_what_was_not_synced(
+    def test_flipped_bit_after_synced_records_loses_only_unsynced_writes(
         self, seed: int, data: st.DataObject
     ) -> None:
         log = write_log(seed)
@@ -162,8 +160,10 @@
 class DamagedSnapshotTest(unittest.TestCase):
     parts = st.lists(st.binary(max_size=60), max_size=6)
 
-    def read_changed(self, seed: int, parts: list[bytes], change: st.DataObject, kind: str) -> None:
-        """Check that the snapshot is read back, and refused once its file is changed."""
+    def check_damaged(
+        self, seed: int, parts: list[bytes], change: st.DataObject, kind: str
+    ) -> None:
+        """Check that a snapshot is read back, and is refused after its file was damaged."""
 
         async def main() -> None:
             disk = SimulatedDisk(random.Random(seed))
@@ -178,45 +178,45 @@
                 await disk.replace(
                     name, flip(content, change.draw(st.integers(0, 8 * len(content) - 1)))
                 )
-            with self.assertRaises(PasslaneError) as refusal:
+            with self.assertRaises(PasslaneError) as caught:
                 list((await store.load()).parts())
-            self.assertIs(refusal.exception.code, ErrorCode.STORAGE_CORRUPT)
+            self.assertIs(caught.exception.code, ErrorCode.STORAGE_CORRUPT)
 
         run_simulation(main, seed)
 
     @repeatable
     @given(seeds, parts, st.data())
-    def test_one_that_is_cut_short_is_refused(self, seed, parts, data) -> None:
-        self.read_changed(seed, parts, data, "cut")
+    def test_truncated_snapshot_is_refused(self, seed, parts, data) -> None:
+        self.check_damaged(seed, parts, data, "cut")
 
     @repeatable
     @given(seeds, parts, st.data())
-    def test_one_with_a_flipped_bit_is_refused(self, seed, parts, data) -> None:
-        self.read_changed(seed, parts, data, "flip")
+    def test_snapshot_with_a_flipped_bit_is_refused(self, seed, parts, data) -> None:
+        self.check_damaged(seed, parts, data, "flip")
 
-    def test_damage_after_it_was_opened_is_noticed_when_a_chunk_is_read(self) -> None:
+    def test_damage_after_opening_is_detected_when_a_slice_is_read(self) -> None:
         async def main() -> None:
             disk = SimulatedDisk(random.Random(1))
             store = await save_snapshot(disk, [bytes(BLOCK_BYTES), bytes(BLOCK_BYTES)])
             snapshot = await store.load()
-            whole = snapshot.data[:]
-            self.assertEqual(len(whole), len(snapshot.data))
+            content_read = snapshot.data[:]
+            self.assertEqual(len(content_read), len(snapshot.data))
             middle = slice(BLOCK_BYTES - 5, BLOCK_BYTES + 5)
-            self.assertEqual(snapshot.data[middle], whole[middle])
+            self.assertEqual(snapshot.data[middle], content_read[middle])
             disk.flip_bit(f"{FOLDER}/snapshot", BLOCK_BYTES * 3 // 2)
-            self.assertEqual(snapshot.data[:BLOCK_BYTES], whole[:BLOCK_BYTES])
-            with self.assertRaises(PasslaneError) as refusal:
+            self.assertEqual(snapshot.data[:BLOCK_BYTES], content_read[:BLOCK_BYTES])
+            with self.assertRaises(PasslaneError) as caught:
                 snapshot.data[2 * BLOCK_BYTES - 10 : 2 * BLOCK_BYTES]
-            self.assertIs(refusal.exception.code, ErrorCode.STORAGE_CORRUPT)
+            self.assertIs(caught.exception.code, ErrorCode.STORAGE_CORRUPT)
 
         run_simulation(main, 1)
 
     @repeatable
     @given(st.binary(max_size=3_000), st.lists(st.integers(0, 3_000), max_size=4), st.data())
-    def test_slices_of_the_file_equal_those_of_the_bytes(
+    def test_slices_of_the_file_equal_slices_of_its_content(
         self, content: bytes, cuts: list[int], data: st.DataObject
     ) -> None:
-        """However the bytes were divided when their checksums were taken."""
+        """Also when the checksums were computed from pieces of any size."""
 
         async def main() -> None:
             disk = SimulatedDisk(random.Random(0))
@@ -232,12 +232,12 @@
         run_simulation(main, 0)
 
 
-def names_in(folder: Path) -> list[str]:
+def file_names(folder: Path) -> list[str]:
     return [path.name for path in folder.iterdir()]
 
 
 class RealDiskTest(unittest.TestCase):
-    def test_a_file_that_is_not_written_to_its_end_leaves_the_old_one(self) -> None:
+    def test_failed_replacement_keeps_the_old_file(self) -> None:
         async def main(folder: str) -> None:
             disk = RealDisk(Path(folder))
             await disk.replace("a/f", b"old")
@@ -250,7 +250,7 @@
             with self.assertRaises(OSError):
                 await disk.replace_with_parts("a/f", failing_parts())
             self.assertEqual(disk.read("a/f"), b"old")
-            self.assertEqual(names_in(Path(folder, "a")), ["f"])
+            self.assertEqual(file_names(Path(folder, "a")), ["f"])
             await disk.replace_with_parts("a/f", (b"new", b"er"))
             self.assertEqual(disk.read("a/f"), b"newer")
             self.assertEqual((old.size, old.read_at(1, 9)), (3, b"ld"))
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -1,4 +1,4 @@
-"""The log under crashes, damage and a full disk."""
+"""Tests of the log with crashes, damaged files and a full disk."""
 
 import random
 import tempfile
@@ -30,7 +30,7 @@
 
 
 class Writer:
-    """Makes random writes to a log and remembers the state after each."""
+    """Makes random writes to a log and records the state after each."""
 
     def __init__(self, log, source):
         self.log = log
@@ -52,7 +52,7 @@
             new = tuple(entry(keep + n + 1, hard_state.term, size) for n in range(count))
             self.log.append(new)
             for number in range(1, count):
-                # A crash may keep a part of one append.
+                # A crash may preserve only some entries of one append.
                 self.states.append((hard_state, [*entries[:keep], *new[:number]]))
             entries = [*entries[:keep], *new]
         self.states.append((hard_state, entries))
@@ -63,7 +63,7 @@
         self.synced = max(self.synced, count)
 
     async def run(self):
-        """Write and sync at random; the last sync may be cut short by the caller."""
+        """Make random writes, some of them during a sync."""
         for _ in range(self.source.randint(1, 40)):
             self.write()
             if self.source.random() < 0.3:
@@ -82,7 +82,7 @@
                 run_simulation(lambda s=source, d=disk: scenario(s, d), seed)
 
     def test_power_loss_keeps_what_was_synced(self):
-        """Also inside a sync, with torn and garbled writes, again and again."""
+        """Also on repeated power loss during a sync, with torn and corrupted writes."""
 
         async def scenario(source, disk):
             log, _ = await open_log(disk)
@@ -101,7 +101,7 @@
 
         self.simulate(scenario, range(150))
 
-    def test_flipped_bit_never_loses_a_synced_entry_in_silence(self):
+    def test_flipped_bit_in_synced_data_is_refused_or_harmless(self):
         refused = 0
 
         async def scenario(source, disk):
@@ -137,7 +137,7 @@
 
         self.simulate(scenario, [0])
 
-    def test_snapshot_lets_old_segments_go_and_the_log_goes_on(self):
+    def test_old_segments_are_removed_after_a_snapshot_and_the_log_continues(self):
         async def scenario(source, disk):
             log, _ = await open_log(disk)
             log.save_hard_state(HardState(term=3, voted_for="b"))
@@ -150,7 +150,7 @@
             _, recovered = await open_log(disk, LogPosition(30, 3))
             self.assertEqual([e.index for e in recovered.entries], list(range(31, 41)))
             self.assertEqual(recovered.hard_state, HardState(term=3, voted_for="b"))
-            # A snapshot that another replica sent runs ahead of the whole log.
+            # A snapshot from another replica may be ahead of the whole log.
             log, recovered = await open_log(disk, LogPosition(60, 4))
             self.assertEqual(recovered.entries, [])
             log.append((entry(61, 4),))
@@ -162,7 +162,7 @@
 
         self.simulate(scenario, [0])
 
-    def test_full_disk_keeps_order_and_recovers(self):
+    def test_writes_on_a_full_disk_keep_their_order_and_are_recovered(self):
         async def scenario(source, disk):
             log, _ = await open_log(disk)
             log.append((entry(1, 1),))
@@ -172,7 +172,7 @@
                 log.append((entry(index, 1, 300),))
             self.assertTrue(log.is_full and log.has_backlog)
             self.assertLess((await log.sync()).last.index, 59)
-            # The reserve makes room for what was accepted, though not for more.
+            # Releasing the reserve frees space for the backlog, but not for a new reserve.
             self.assertFalse(await log.recover_space())
             self.assertFalse(log.has_backlog)
             self.assertEqual((await log.sync()).last.index, 59)
@@ -185,7 +185,7 @@
 
         self.simulate(scenario, [0])
 
-    def test_space_lost_again_while_it_is_recovered_is_noticed(self):
+    def test_disk_that_fills_up_during_space_recovery_is_detected(self):
         async def scenario(source, disk):
             log, _ = await open_log(disk)
             disk.capacity_bytes = disk.used_bytes()
@@ -227,7 +227,7 @@
 
         self.simulate(scenario, range(30))
 
-    def test_real_disk_reads_back_what_it_wrote(self):
+    def test_truncated_and_removed_segments_on_a_real_disk(self):
         async def scenario(folder):
             disk = RealDisk(Path(folder))
             log, _ = await open_log(disk)
--- a/tests/storage/test_reserve.py
+++ b/tests/storage/test_reserve.py
@@ -1,4 +1,4 @@
-"""The space set aside: what it costs at each start."""
+"""Tests of allocating the disk reserve at a start."""
 
 import random
 import unittest
@@ -12,7 +12,7 @@
 
 
 class CountingDisk(SimulatedDisk):
-    """Counts the bytes that are read as whole files."""
+    """Counts the bytes read by ``read``, which reads whole files."""
 
     read_bytes = 0
 
@@ -27,20 +27,20 @@
         self.disk = CountingDisk(random.Random(0))
         self.reserve = DiskReserve(self.disk, "group", SIZE_BYTES)
 
-    def test_space_that_is_held_already_is_not_read_again(self):
+    def test_allocated_reserve_is_not_read_at_a_restart(self):
         async def main():
-            self.assertTrue(await self.reserve.hold())
+            self.assertTrue(await self.reserve.allocate())
             again = DiskReserve(self.disk, "group", SIZE_BYTES)
-            self.assertTrue(await again.hold())
+            self.assertTrue(await again.allocate())
 
         anyio.run(main)
         self.assertEqual(self.disk.read_bytes, 0)
         self.assertEqual(self.disk.open_read("group/reserve").size, SIZE_BYTES)
 
-    def test_space_of_another_size_is_set_aside_anew(self):
+    def test_reserve_of_another_size_is_allocated_again(self):
         async def main():
-            self.assertTrue(await DiskReserve(self.disk, "group", 77).hold())
-            self.assertTrue(await self.reserve.hold())
+            self.assertTrue(await DiskReserve(self.disk, "group", 77).allocate())
+            self.assertTrue(await self.reserve.allocate())
 
         anyio.run(main)
         self.assertEqual(self.disk.open_read("group/reserve").size, SIZE_BYTES)
