--- a/src/passlane/storage/log.py
+++ b/src/passlane/storage/log.py
@@ -162,7 +162,7 @@
         return not self.is_full
 
     async def remove_before(self, index: int) -> int:
-        """Remove the oldest segments that allocate no entry after ``index``; return how many."""
+        """Remove the oldest segments without entries after ``index``; return how many."""
         return await self._segments.remove_before(index)
 
     def close(self) -> None:
--- a/src/passlane/storage/segments.py
+++ b/src/passlane/storage/segments.py
@@ -1,8 +1,8 @@
 """The segment files of a log: writing, syncing and removing them.
 
 A log is divided into segments so that entries covered by a snapshot can be removed file
-by file. Each segment begins with the hard state, which may then be absent from older
-segments, and with the last synced mark. The mark shows that the end of the previous
+by file. Each segment begins with the hard state, so that older segments are not needed
+for it, and with the last synced mark. The mark shows that the end of the previous
 segment was synced even if that end is damaged.
 """
 
@@ -197,7 +197,7 @@
         segment.size += len(record)
 
     async def remove_before(self, index: int) -> int:
-        """Remove the oldest segments that hold no entry after ``index``; return how many."""
+        """Remove the oldest segments without entries after ``index``; return how many."""
         first_open = self._open[0].number if self._open else 0
         removed = 0
         for number in sorted(self._highest_index):
