--- a/src/passlane/transport/channel.py
+++ b/src/passlane/transport/channel.py
@@ -1,4 +1,8 @@
-"""Frames over one byte stream: a queue of outgoing frames and an iterator of incoming ones."""
+"""Frames over one byte stream.
+
+Outgoing frames pass through a queue with a high-water mark for backpressure; incoming
+frames are read from an iterator.
+"""
 
 from collections import deque
 from collections.abc import AsyncGenerator
@@ -14,18 +18,18 @@
 
 RECEIVE_BYTES = 65_536
 WRITE_BATCH_BYTES = 262_144
-"""Queued frames are joined up to this size into one write."""
-HIGH_WATER_BYTES = 1_000_000
-"""With more queued than this, senders that can wait do so."""
+"""Frames are added to one write until it has this size."""
+HIGH_WATER_MARK_BYTES = 1_000_000
+"""Backpressure: senders of streams wait, and one-way messages are dropped, above this."""
 
 
 def message_in(frame: Frame) -> Message:
-    """Return the message that a frame carries.
+    """Return the message in a frame's body.
 
     Raises
     ------
     PasslaneError
-        ``PROTOCOL_ERROR`` when the body is no message.
+        ``PROTOCOL_ERROR`` when the body is not a valid message.
     """
     try:
         message: Message = decode_any_message(frame.body)
@@ -37,8 +41,8 @@
 class FrameChannel:
     """Sends and receives frames on one connection.
 
-    One task runs ``run_writer``; any task may ``enqueue``. Many small frames queued in
-    one turn of the loop leave in one write.
+    One task runs ``run_writer``; any task may ``enqueue``. Small frames that are queued
+    in one pass of the event loop are sent in one write.
     """
 
     def __init__(self, stream: ByteStream) -> None:
@@ -47,14 +51,14 @@
         self._queue: deque[bytes] = deque()
         self._queued_bytes = 0
         self._queue_filled = anyio.Event()
-        self._queue_lowered = anyio.Event()
+        self._queue_drained = anyio.Event()
         self.is_closed = False
         self.last_received = anyio.current_time()
 
     @property
     def is_congested(self) -> bool:
-        """Whether more is queued than the high-water mark."""
-        return self._queued_bytes > HIGH_WATER_BYTES
+        """Whether the queued bytes are above the high-water mark."""
+        return self._queued_bytes > HIGH_WATER_MARK_BYTES
 
     def enqueue(self, frame: Frame) -> None:
         """Queue a frame without waiting.
@@ -63,7 +67,7 @@
         ------
         PasslaneError
             ``CONNECTION_LOST`` with ``not_run`` when the channel is closed,
-            ``FRAME_TOO_LARGE`` when the frame is above the limit.
+            ``FRAME_TOO_LARGE`` when the body is above the limit.
         """
         if self.is_closed:
             raise PasslaneError(
@@ -75,9 +79,9 @@
         self._queue_filled.set()
 
     async def wait_until_uncongested(self) -> None:
-        """Return once less than the high-water mark is queued, or the channel is closed."""
+        """Wait until the queue is not above the high-water mark, or the channel is closed."""
         while self.is_congested and not self.is_closed:
-            await self._queue_lowered.wait()
+            await self._queue_drained.wait()
 
     async def run_writer(self) -> None:
         """Write queued frames until cancelled or the connection breaks."""
@@ -96,17 +100,17 @@
             size += len(part)
         self._queued_bytes -= size
         if not self.is_congested:
-            self._queue_lowered.set()
-            self._queue_lowered = anyio.Event()
+            self._queue_drained.set()
+            self._queue_drained = anyio.Event()
         return b"".join(parts)
 
     async def frames(self) -> AsyncGenerator[Frame, None]:
-        """Yield incoming frames until the other side ends the connection.
+        """Yield incoming frames until the peer closes the connection.
 
         Raises
         ------
         PasslaneError
-            ``PROTOCOL_ERROR`` or ``FRAME_TOO_LARGE`` when the bytes are no frames.
+            ``PROTOCOL_ERROR`` or ``FRAME_TOO_LARGE`` when the bytes are not valid frames.
         anyio.BrokenResourceError
             When the connection breaks.
         """
@@ -114,17 +118,17 @@
             try:
                 data = await self._stream.receive(RECEIVE_BYTES)
             except anyio.EndOfStream:
-                # The ordinary end of a connection; who still waits on it is told by its owner.
+                # The peer closed the connection; the channel's owner fails pending requests.
                 return
             self.last_received = anyio.current_time()
             for frame in self._decoder.feed(data):
                 yield frame
 
     async def close(self) -> None:
-        """Close the connection and wake all who wait for it."""
+        """Close the connection and wake all waiting senders."""
         self.is_closed = True
         self._queue.clear()
         self._queued_bytes = 0
-        self._queue_lowered.set()
+        self._queue_drained.set()
         with anyio.CancelScope(shield=True), anyio.move_on_after(1.0):
             await anyio.aclose_forcefully(self._stream)
--- a/src/passlane/transport/client.py
+++ b/src/passlane/transport/client.py
@@ -1,4 +1,7 @@
-"""Calls to other passlane processes over one kept connection for each address."""
+"""Calls to other passlane processes over a pool of connections.
+
+The pool keeps one connection for each address and closes idle ones.
+"""
 
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager, asynccontextmanager
@@ -15,15 +18,15 @@
 from passlane.transport.peer import Peer
 
 ONE_WAY_CONNECT_S = 0.5
-"""A one-way message waits at most this long for a connection."""
+"""Maximum wait of a one-way message for a connection."""
 IDLE_CLOSE_S = 120.0
-"""A connection that was not used for this long is closed."""
+"""A connection that is unused for this long is closed."""
 
 
 class ConnectionPool:
     """Keeps one connection for each address; implements ``transport.interfaces.Caller``.
 
-    ``run`` must be running for calls to be made; calls made earlier wait for it.
+    Calls need ``run`` to be running; calls made before it wait for it.
     """
 
     def __init__(self, environment: Environment) -> None:
@@ -33,7 +36,7 @@
         self._started = anyio.Event()
 
     async def run(self) -> None:
-        """Hold the connections until cancelled."""
+        """Run the connections until cancelled."""
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
@@ -47,16 +50,16 @@
     async def _close_idle_connections(self) -> None:
         while True:
             await anyio.sleep(IDLE_CLOSE_S / 4)
-            limit = anyio.current_time() - IDLE_CLOSE_S
+            unused_since = anyio.current_time() - IDLE_CLOSE_S
             for address, peer in list(self._peers.items()):
-                if peer.is_unused_since(limit):
+                if peer.is_unused_since(unused_since):
                     del self._peers[address]
                     await peer.close()
 
     async def _connection(self, address: Address, timeout_s: float) -> ClientConnection:
         connection = self._open_connection(address)
         if connection is not None:
-            # Most often: neither a cancel scope nor a turn of the loop is needed then.
+            # The common case; needs no cancel scope and does not yield to the event loop.
             return connection
         return await self._new_connection(address, timeout_s)
 
@@ -85,19 +88,19 @@
         """Send a request and return its reply; see ``Caller.call``."""
         deadline = anyio.current_time() + timeout_s
         connection = await self._connection(address, timeout_s)
-        answer = await connection.call(request, deadline - anyio.current_time())
-        if not isinstance(answer, reply):
+        response = await connection.call(request, deadline - anyio.current_time())
+        if not isinstance(response, reply):
             raise PasslaneError(
                 ErrorCode.PROTOCOL_ERROR,
-                f"unexpected reply {type(answer).__name__} to {type(request).__name__}",
+                f"unexpected reply {type(response).__name__} to {type(request).__name__}",
                 verdict=Verdict.MAY_HAVE_RUN,
             )
-        return answer
+        return response
 
     def stream(
         self, address: Address, request: Message, *, timeout_s: float
     ) -> AbstractAsyncContextManager[AsyncIterator[Message]]:
-        """Send a request and give its replies; see ``Caller.stream``."""
+        """Send a request and iterate over its replies; see ``Caller.stream``."""
         return self._stream(address, request, timeout_s)
 
     @asynccontextmanager
@@ -122,6 +125,6 @@
         try:
             connection = await self._connection(address, ONE_WAY_CONNECT_S)
         except PasslaneError:
-            # One-way messages may be lost: who sends them repeats them or does without.
+            # One-way messages may be lost; their senders repeat them or tolerate the loss.
             return
         connection.send_one_way(message)
--- a/src/passlane/transport/credit.py
+++ b/src/passlane/transport/credit.py
@@ -1,27 +1,31 @@
-"""Credit of streams: how many items a server may send before the client took some."""
+"""Credit-based flow control of streams.
+
+A server may send as many items of a stream as it has credit for; the client grants more
+credit as it consumes items.
+"""
 
 import anyio
 
 STREAM_WINDOW = 64
-"""Items of one stream that may be on their way or waiting at the client."""
+"""Maximum items of one stream that are sent but not yet consumed by the client."""
 CREDIT_BATCH = STREAM_WINDOW // 2
-"""The client grants new credit after it took this many items."""
+"""The client grants new credit each time it has consumed this many items."""
 
 
 class CreditGate:
-    """Counts the credit of one stream at the server."""
+    """Tracks the credit of one stream at the server."""
 
     def __init__(self) -> None:
         self._credit = STREAM_WINDOW
         self._granted = anyio.Event()
 
     def grant(self, items: int) -> None:
-        """Allow that many further items."""
+        """Add credit for this many items."""
         self._credit += items
         self._granted.set()
 
     async def take(self) -> None:
-        """Wait for credit and use up one item of it."""
+        """Wait for credit and use it for one item."""
         while self._credit <= 0:
             self._granted = anyio.Event()
             await self._granted.wait()
--- a/src/passlane/transport/frames.py
+++ b/src/passlane/transport/frames.py
@@ -1,12 +1,12 @@
-"""The frame format between passlane's processes.
+"""The frame format between passlane processes.
 
 A frame is a header of fixed size and a body of MessagePack::
 
     version (1 byte) | kind (1) | body length (4) | request id (8) | value (4) | body
 
-All numbers are big-endian. ``value`` is the time-out in milliseconds of a request and
-the number of granted items of a credit frame; 0 otherwise. The version stands
-first so that a foreign protocol is recognised by its first byte.
+All numbers are big-endian. ``value`` is a request's timeout in milliseconds or the number
+of items that a credit frame grants; 0 in other frames. The version comes first, so that
+the first byte reveals another protocol.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 PROTOCOL_VERSION = 1
 MAX_FRAME_BYTES = 16_000_000
-"""Largest body that is sent or accepted."""
+"""Maximum size of a body that is sent or accepted."""
 
 _HEADER = struct.Struct(">BBIQI")
 HEADER_BYTES = _HEADER.size
@@ -26,7 +26,7 @@
 
 
 class FrameKind(enum.IntEnum):
-    """What a frame means."""
+    """Purpose of a frame."""
 
     REQUEST = 1
     REPLY = 2
@@ -44,7 +44,7 @@
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """One frame; see the module's description for its parts."""
+    """One frame; the module docstring describes its fields."""
 
     kind: FrameKind
     request_id: int = 0
@@ -63,20 +63,20 @@
     length = len(frame.body)
     if length > MAX_FRAME_BYTES:
         raise PasslaneError(
-            ErrorCode.FRAME_TOO_LARGE, f"a body of {length} bytes is above {MAX_FRAME_BYTES}"
+            ErrorCode.FRAME_TOO_LARGE, f"a body of {length} bytes exceeds {MAX_FRAME_BYTES} bytes"
         )
     header = _HEADER.pack(PROTOCOL_VERSION, frame.kind, length, frame.request_id, frame.value)
     return header + frame.body
 
 
 class FrameDecoder:
-    """Cuts a stream of bytes into frames."""
+    """Splits a byte stream into frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[Frame]:
-        """Take more bytes and return the frames that are complete by now.
+        """Add received bytes and return the frames that are now complete.
 
         Raises
         ------
@@ -102,11 +102,14 @@
 
     def _check(self, version: int, kind: int, length: int) -> None:
         if version != PROTOCOL_VERSION:
-            raise PasslaneError(ErrorCode.PROTOCOL_ERROR, f"protocol version {version} is unknown")
+            raise PasslaneError(
+                ErrorCode.PROTOCOL_ERROR,
+                f"expected protocol version {PROTOCOL_VERSION}, found {version}",
+            )
         if kind not in _KINDS:
             raise PasslaneError(ErrorCode.PROTOCOL_ERROR, f"frame kind {kind} is unknown")
         if length > MAX_FRAME_BYTES:
             raise PasslaneError(
                 ErrorCode.FRAME_TOO_LARGE,
-                f"a body of {length} bytes is above {MAX_FRAME_BYTES}",
+                f"a body of {length} bytes exceeds {MAX_FRAME_BYTES} bytes",
             )
--- a/src/passlane/transport/interfaces.py
+++ b/src/passlane/transport/interfaces.py
@@ -1,8 +1,8 @@
-"""What services register with a server, and how clients call them.
+"""Interfaces for services that answer messages and for clients that send them.
 
-Three shapes of exchange: a request with one reply, a request with a stream of
-replies, and a one-way message. Errors travel as ``ErrorReply`` and are raised at
-the client as ``PasslaneError``.
+There are three kinds of exchange: a request with one reply, a request with a stream of
+replies, and a one-way message. Errors are sent as ``ErrorReply`` and raised at the
+client as ``PasslaneError``.
 """
 
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -21,7 +21,7 @@
 
 
 class Router(Protocol):
-    """Where services register the requests they answer, by class."""
+    """Registers the handlers of services by message class."""
 
     def add_unary(self, request: type[RequestType], handler: UnaryHandler) -> None:
         """Answer each ``request`` with the one message that ``handler`` returns."""
@@ -32,18 +32,18 @@
         ...
 
     def add_one_way(self, request: type[RequestType], handler: OneWayHandler) -> None:
-        """Handle each ``request`` without an answer."""
+        """Handle each ``request`` without a reply."""
         ...
 
 
 @runtime_checkable
 class ImmediateSender(Protocol):
-    """Sends over connections that are open already; most callers can."""
+    """Sends over connections that are already open; most callers implement it."""
 
     def send_now(self, address: Address, message: Message) -> bool:
-        """Send a one-way message if a connection is open; return whether it is.
+        """Send a one-way message if a connection is open; return whether one is.
 
-        On a congested connection it is dropped, as by ``Caller.send``.
+        The message is dropped on a congested connection, as by ``Caller.send``.
         """
         ...
 
@@ -59,17 +59,17 @@
         Raises
         ------
         PasslaneError
-            As the other side raised it; ``UNAVAILABLE`` with ``not_run`` when no
-            connection was had; ``CONNECTION_LOST`` or ``TIMEOUT`` with ``may_have_run``.
+            The error that the server replied with; ``UNAVAILABLE`` with ``not_run`` when
+            there is no connection; ``CONNECTION_LOST`` or ``TIMEOUT`` with ``may_have_run``.
         """
         ...
 
     def stream(
         self, address: Address, request: Message, *, timeout_s: float
     ) -> AbstractAsyncContextManager[AsyncIterator[Message]]:
-        """Send a request and give its replies; leaving early cancels it at the server."""
+        """Send a request and iterate over its replies; leaving early cancels it at the server."""
         ...
 
     async def send(self, address: Address, message: Message) -> None:
-        """Send a one-way message if a connection can be had soon; drop it otherwise."""
+        """Send a one-way message, or drop it if there is no connection within a short time."""
         ...
--- a/src/passlane/transport/router.py
+++ b/src/passlane/transport/router.py
@@ -1,4 +1,7 @@
-"""Which handler answers which message class."""
+"""Maps message classes to the handlers that answer them.
+
+A server consults the router for each message it receives.
+"""
 
 from passlane.errors import ErrorCode, PasslaneError, Verdict
 from passlane.messages.base import Message
@@ -15,8 +18,8 @@
 class MessageRouter:
     """Maps message classes to handlers; implements ``transport.interfaces.Router``.
 
-    Registering a class again replaces its handler, so that a restarted service takes
-    over from its former self.
+    Registering a class again replaces its handler, so that a restarted service replaces
+    the handlers of its previous run.
     """
 
     def __init__(self) -> None:
@@ -33,7 +36,7 @@
         self._stream[request] = handler
 
     def add_one_way(self, request: type[RequestType], handler: OneWayHandler) -> None:
-        """Handle each ``request`` without an answer."""
+        """Handle each ``request`` without a reply."""
         self._one_way[request] = handler
 
     def unary_handler(self, message: Message) -> UnaryHandler | None:
@@ -50,7 +53,7 @@
 
     @staticmethod
     def not_served_error(message: Message) -> PasslaneError:
-        """Return the error for a request that this process does not answer (yet)."""
+        """Return the error for a request without a registered handler."""
         return PasslaneError(
             ErrorCode.UNAVAILABLE,
             f"{type(message).__name__} is not served here",
--- a/src/passlane/transport/server.py
+++ b/src/passlane/transport/server.py
@@ -1,4 +1,7 @@
-"""Accepts connections from other passlane processes and answers their requests."""
+"""Server for messages from other passlane processes.
+
+It listens on one address and serves each connection with the handlers of a router.
+"""
 
 from anyio.abc import ByteStream
 
@@ -17,11 +20,11 @@
     Parameters
     ----------
     environment
-        Gives the network.
+        Provides the network.
     address
-        Where to listen.
+        Address to listen on.
     router
-        Handlers; classes may be added while the server runs.
+        Provides the handlers; more may be registered while the server runs.
     """
 
     def __init__(self, environment: Environment, address: Address, router: MessageRouter) -> None:
@@ -35,7 +38,7 @@
         Raises
         ------
         OSError
-            When the address cannot be listened on.
+            When the server cannot listen on the address.
         """
         await self._network.serve(self._address, self._serve_connection)
 
@@ -43,5 +46,5 @@
         try:
             await ServerConnection(stream, self._router).run()
         except Exception:
-            # One broken connection must not end the server.
+            # An error on one connection must not stop the server.
             _log.exception("connection_failed")
--- a/src/passlane/transport/server_connection.py
+++ b/src/passlane/transport/server_connection.py
@@ -1,4 +1,8 @@
-"""The serving end of one connection between passlane's processes."""
+"""The server side of one connection between passlane processes.
+
+It runs requests concurrently, applies flow control to streams and limits the requests
+and one-way messages in flight.
+"""
 
 from collections import deque
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -19,16 +23,16 @@
 from passlane.transport.router import MessageRouter
 
 MAX_REQUESTS_IN_FLIGHT = 4_096
-"""Requests on one connection beyond this are refused as not run."""
+"""Limit for one connection; further requests are refused as not run."""
 MAX_QUEUED_ONE_WAY = 4_096
-"""One-way messages beyond this are dropped; their senders expect losses."""
+"""Limit for one connection; further messages are dropped, which their senders tolerate."""
 OVERLOAD_RETRY_AFTER_S = 0.5
 
 _log = get_logger("transport.server")
 
 
 class _Request(msgspec.Struct, eq=False):
-    """A request under way; its scope ends with its time, or when the client calls it back."""
+    """A request in flight; its scope ends at its deadline or when the client cancels it."""
 
     request_id: int
     message: Message
@@ -38,8 +42,8 @@
 class ServerConnection:
     """Answers the requests that arrive on one connection.
 
-    Requests run at the same time, each in a task; one-way messages run one after
-    another in the order of arrival, as pipelined replication needs.
+    Requests run concurrently, each in a task. One-way messages are handled sequentially
+    in the order of arrival, as pipelined replication needs.
     """
 
     def __init__(self, stream: ByteStream, router: MessageRouter) -> None:
@@ -51,7 +55,7 @@
         self._one_way_arrived = anyio.Event()
 
     async def run(self) -> None:
-        """Serve until the connection ends; a fault on it harms nothing else."""
+        """Serve until the connection ends."""
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._write)
@@ -65,7 +69,7 @@
         try:
             await self._channel.run_writer()
         except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError):
-            # The reader notices the broken connection too and ends the whole.
+            # The reader detects the lost connection too and ends ``run``.
             await self._channel.close()
 
     async def _read(self, workers: RequestWorkers[_Request]) -> None:
@@ -141,7 +145,9 @@
             self._send_error(
                 request_id,
                 PasslaneError(
-                    ErrorCode.TIMEOUT, "cancelled or past its time", verdict=Verdict.MAY_HAVE_RUN
+                    ErrorCode.TIMEOUT,
+                    "cancelled or past its deadline",
+                    verdict=Verdict.MAY_HAVE_RUN,
                 ),
             )
 
@@ -166,7 +172,7 @@
         self._send(Frame(FrameKind.STREAM_END, request_id))
 
     def _send_reply(self, frame: Frame) -> None:
-        """Send what a handler has answered; whatever fails, the request has been handled."""
+        """Send a handler's reply; errors say that the request may have run."""
         try:
             self._send(frame)
         except PasslaneError as error:
@@ -188,7 +194,7 @@
         self._one_way_arrived.set()
 
     async def _handle_one_way_messages(self) -> None:
-        """Handle messages in order; those that arrived together without a turn of the loop."""
+        """Handle messages in order, without waiting between queued ones."""
         while True:
             if not self._one_way_messages:
                 self._one_way_arrived = anyio.Event()
--- a/tests/transport/test_connections.py
+++ b/tests/transport/test_connections.py
@@ -1,4 +1,4 @@
-"""Calls, streams and one-way messages under cuts, breaks, slow readers and foreign bytes."""
+"""Tests of calls, streams and one-way messages on lost, slow and malformed connections."""
 
 import random
 import unittest
@@ -35,7 +35,7 @@
 
 
 HUGE_ITEM = Partition(-1)
-"""Asks for a stream whose first item no frame holds."""
+"""Requests a stream whose first item exceeds the maximum frame size."""
 
 
 class Fleet:
@@ -51,7 +51,7 @@
         self.cancelled: list[str] = []
         self.router.add_unary(ReadProgram, self._answer_read)
         self.router.add_stream(ListPrograms, self._stream_chunks)
-        self.router.add_one_way(TextChunk, self._note_chunk)
+        self.router.add_one_way(TextChunk, self._record_chunk)
 
     def environment(self, host: str) -> Environment:
         blank = Environment(*[cast(object, None)] * 4, random.Random(1))  # type: ignore[arg-type]
@@ -70,7 +70,7 @@
         if request.program_id == "huge":
             return TextChunk(position=0, text="x" * MAX_FRAME_BYTES)
         if request.program_id == "broken":
-            raise KeyError("a fault in the handler")
+            raise KeyError("an error in the handler")
         return StoreDone()
 
     async def _stream_chunks(self, request: ListPrograms) -> AsyncIterator[TextChunk]:
@@ -84,7 +84,7 @@
         finally:
             self.cancelled.append("stream closed")
 
-    async def _note_chunk(self, message: TextChunk) -> None:
+    async def _record_chunk(self, message: TextChunk) -> None:
         self.seen.append(f"one-way {message.position}")
 
     async def call(self, name: str, timeout_s: float = 5.0) -> StoreDone:
@@ -108,7 +108,7 @@
 
 
 class CallTest(unittest.TestCase):
-    def test_many_requests_share_a_connection_and_a_slow_one_holds_up_none(self) -> None:
+    def test_slow_request_does_not_block_others_on_its_connection(self) -> None:
         async def body(fleet: Fleet) -> None:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(fleet.call, "slow", 200.0)
@@ -120,20 +120,20 @@
 
         self.assertEqual(simulate(body).seen.count("p7"), 1)
 
-    def test_errors_arrive_as_they_were_raised(self) -> None:
+    def test_errors_are_raised_at_the_client(self) -> None:
         async def body(fleet: Fleet) -> None:
             with self.assertRaises(NotLeaderError) as caught:
                 await fleet.call("elsewhere")
             self.assertEqual(caught.exception.leader, OTHER_LEADER)
-            with self.assertRaises(PasslaneError) as fault:
+            with self.assertRaises(PasslaneError) as internal:
                 await fleet.call("broken")
-            self.assertEqual(fault.exception.code, ErrorCode.INTERNAL)
-            self.assertEqual(fault.exception.verdict, Verdict.MAY_HAVE_RUN)
-            await fleet.call("after the fault")
+            self.assertEqual(internal.exception.code, ErrorCode.INTERNAL)
+            self.assertEqual(internal.exception.verdict, Verdict.MAY_HAVE_RUN)
+            await fleet.call("after the error")
 
         simulate(body)
 
-    def test_a_reply_that_no_frame_holds_is_not_taken_for_a_request_that_did_not_run(self) -> None:
+    def test_oversized_reply_is_reported_as_may_have_run(self) -> None:
         async def body(fleet: Fleet) -> None:
             with self.assertRaises(PasslaneError) as unary:
                 await fleet.call("huge")
@@ -147,14 +147,14 @@
 
         simulate(body)
 
-    def test_a_machine_that_was_dark_when_asked_is_reached_soon_after_it_is_back(self) -> None:
+    def test_unreachable_server_is_reached_soon_after_it_returns(self) -> None:
         async def body(fleet: Fleet) -> None:
             fleet.network.isolate(SERVER.host)
-            asked_at = anyio.current_time()
+            started_at = anyio.current_time()
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(reconnect_later, fleet, 0.35)
                 await call_until_answered(fleet)
-            self.assertLess(anyio.current_time() - asked_at, 0.35 + 0.45)
+            self.assertLess(anyio.current_time() - started_at, 0.35 + 0.45)
 
         async def reconnect_later(fleet: Fleet, seconds: float) -> None:
             await anyio.sleep(seconds)
@@ -180,7 +180,7 @@
 
         simulate(body)
 
-    def test_timeout_says_may_have_run_and_cancels_at_the_server(self) -> None:
+    def test_timeout_is_reported_as_may_have_run_and_cancels_at_the_server(self) -> None:
         async def body(fleet: Fleet) -> None:
             with self.assertRaises(PasslaneError) as caught:
                 await fleet.call("slow", timeout_s=0.5)
@@ -191,7 +191,7 @@
 
         simulate(body)
 
-    def test_no_listener_says_not_run_at_once_and_recovers(self) -> None:
+    def test_missing_listener_is_reported_as_not_run_at_once_and_recovers(self) -> None:
         async def body(fleet: Fleet) -> None:
             fleet.network.break_connections(SERVER.host)
             fleet.network.remove_listeners(SERVER.host)
@@ -211,7 +211,7 @@
 
 
 class FaultTest(unittest.TestCase):
-    def test_broken_connection_fails_what_waits_as_may_have_run(self) -> None:
+    def test_lost_connection_fails_pending_requests_as_may_have_run(self) -> None:
         async def body(fleet: Fleet) -> None:
             async def expect_loss() -> None:
                 with self.assertRaises(PasslaneError) as caught:
@@ -227,7 +227,7 @@
 
         self.assertEqual(simulate(body).cancelled, ["slow"])
 
-    def test_half_open_connection_is_given_up_after_the_silence_limit(self) -> None:
+    def test_half_open_connection_is_closed_after_the_silence_limit(self) -> None:
         async def body(fleet: Fleet) -> None:
             await fleet.call("first")
             fleet.network.block(SERVER.host, CLIENT_HOST)
@@ -239,16 +239,16 @@
 
         simulate(body)
 
-    def test_hostile_bytes_close_their_connection_and_harm_no_other(self) -> None:
-        good = encode_frame(Frame(FrameKind.REQUEST, 1, 1000, b"\xc1 not MessagePack"))
-        hostile = [b"GET / HTTP/1.1\r\n\r\n", b"\x01\x63" + bytes(16), good]
-        hostile.append(b"\x01\x01\xff\xff\xff\xff" + bytes(HEADER_BYTES))
+    def test_malformed_bytes_close_only_their_own_connection(self) -> None:
+        malformed_body = encode_frame(Frame(FrameKind.REQUEST, 1, 1000, b"\xc1 not MessagePack"))
+        malformed = [b"GET / HTTP/1.1\r\n\r\n", b"\x01\x63" + bytes(16), malformed_body]
+        malformed.append(b"\x01\x01\xff\xff\xff\xff" + bytes(HEADER_BYTES))
         generator = random.Random(5)
-        hostile += [generator.randbytes(generator.randrange(20, 200)) for _ in range(1000)]
+        malformed += [generator.randbytes(generator.randrange(20, 200)) for _ in range(1000)]
 
         async def body(fleet: Fleet) -> None:
             network = fleet.network.host("10.0.0.9")
-            for data in hostile:
+            for data in malformed:
                 stream = await network.connect(SERVER)
                 await stream.send(data)
                 await stream.send_eof()
@@ -257,11 +257,11 @@
                         await stream.receive()
                 await fleet.call("good")
 
-        self.assertEqual(len(simulate(body).seen), len(hostile))
+        self.assertEqual(len(simulate(body).seen), len(malformed))
 
 
 class StreamTest(unittest.TestCase):
-    def test_slow_reader_is_held_back_and_blocks_no_other(self) -> None:
+    def test_slow_reader_stops_its_stream_but_no_other_request(self) -> None:
         async def body(fleet: Fleet) -> None:
             slow = ListPrograms(partition=Partition(1000))
             async with fleet.pool.stream(SERVER, slow, timeout_s=100.0) as items:
@@ -274,7 +274,7 @@
 
         simulate(body)
 
-    def test_reader_that_leaves_cancels_the_stream(self) -> None:
+    def test_leaving_a_stream_cancels_it_at_the_server(self) -> None:
         async def body(fleet: Fleet) -> None:
             endless = ListPrograms(partition=Partition(10**6))
             async with fleet.pool.stream(SERVER, endless, timeout_s=100.0) as items:
