--- a/src/passlane/transport/peer.py
+++ b/src/passlane/transport/peer.py
@@ -1,4 +1,7 @@
-"""The connection to one address, opened when needed and with back-off after failures."""
+"""The connection to one address.
+
+It is opened when needed, with a backoff after failed attempts.
+"""
 
 import random
 
@@ -12,32 +15,32 @@
 from passlane.transport.client_connection import ClientConnection
 
 CONNECT_TIMEOUT_S = 0.3
-"""Shorter than the second after which a lost opening packet is sent again: a machine that
-was dark when it was asked is reached as soon as it is back. Must be longer than the longest
-round trip between two regions."""
-FIRST_BACK_OFF_S = 0.03
-MAX_BACK_OFF_S = 0.12
-"""Short, because after a loss of all processes every other one waits for the slowest to
-listen again; a refused connection costs the refusing machine next to nothing."""
+"""Below the one-second retransmission timeout of a lost SYN packet, so that a machine that
+was unreachable is found soon after it returns; above the maximum round trip between
+regions."""
+INITIAL_BACKOFF_S = 0.03
+MAX_BACKOFF_S = 0.12
+"""Short, because after a restart of all processes the others wait for the last one to
+listen; refusing a connection is cheap."""
 
 _log = get_logger("transport.client")
 
 
-def back_off_s(failures: int, random_source: random.Random) -> float:
-    """Return how long to wait after so many failures in a row.
+def backoff_s(failures: int, random_source: random.Random) -> float:
+    """Return how long to wait after ``failures`` consecutive failures.
 
-    The bound doubles with each failure; the wait is drawn between half of the bound
-    and the whole, so that many clients of one lost server do not return together.
+    The backoff doubles with each failure up to its maximum. The wait is random between
+    half the backoff and the full backoff, so that clients do not reconnect together.
     """
-    bound = min(MAX_BACK_OFF_S, FIRST_BACK_OFF_S * 2 ** min(failures - 1, 10))
-    return random_source.uniform(bound / 2, bound)
+    max_wait_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2 ** min(failures - 1, 10))
+    return random_source.uniform(max_wait_s / 2, max_wait_s)
 
 
 class Peer:
     """Opens and keeps the connection to one address.
 
-    While the back-off after a failure lasts, callers get ``UNAVAILABLE`` at once, so
-    that they can turn to another replica.
+    During the backoff after a failure, callers get ``UNAVAILABLE`` at once, so that they
+    can use another replica.
     """
 
     def __init__(self, address: Address, environment: Environment, tasks: TaskGroup) -> None:
@@ -49,12 +52,12 @@
         self._connecting: anyio.Event | None = None
         self._failures = 0
         self._retry_at = -float("inf")
-        self._last_wanted = anyio.current_time()
+        self._last_requested = anyio.current_time()
 
     def is_unused_since(self, time: float) -> bool:
-        """Whether nobody wanted this connection after ``time`` and no answer is due."""
+        """Whether the connection was not requested after ``time`` and has no pending request."""
         is_idle = self._connection is None or self._connection.is_idle
-        return is_idle and self._connecting is None and self._last_wanted < time
+        return is_idle and self._connecting is None and self._last_requested < time
 
     async def close(self) -> None:
         """Close the connection if there is one."""
@@ -62,21 +65,21 @@
             await self._connection.close()
 
     def open_connection(self) -> ClientConnection | None:
-        """Return the connection if it is open."""
+        """Return the connection if it is open, else ``None``."""
         if self._connection is None or self._connection.is_closed:
             return None
-        self._last_wanted = anyio.current_time()
+        self._last_requested = anyio.current_time()
         return self._connection
 
     async def connection(self) -> ClientConnection:
-        """Return the open connection, after opening it if need be.
+        """Return the open connection; open it first if necessary.
 
         Raises
         ------
         PasslaneError
-            ``UNAVAILABLE`` with ``not_run`` when it cannot be had.
+            ``UNAVAILABLE`` with ``not_run`` when it cannot be opened.
         """
-        self._last_wanted = anyio.current_time()
+        self._last_requested = anyio.current_time()
         connection = self.open_connection()
         if connection is not None:
             return connection
@@ -98,9 +101,9 @@
 
     def _start_connecting(self) -> None:
         if anyio.current_time() < self._retry_at:
-            raise self._unavailable("waiting before connecting again")
+            raise self._unavailable("backoff before the next connection")
         self._connecting = anyio.Event()
-        # In the pool's task group: a caller that gives up must not end it for others.
+        # Runs in the pool's task group: a caller that is cancelled must not cancel it for others.
         self._tasks.start_soon(self._connect_and_run, self._connecting)
 
     async def _connect_and_run(self, finished: anyio.Event) -> None:
@@ -128,6 +131,6 @@
         except OSError as error:
             reason = str(error)
         self._failures += 1
-        self._retry_at = anyio.current_time() + back_off_s(self._failures, self._random)
+        self._retry_at = anyio.current_time() + backoff_s(self._failures, self._random)
         _log.debug("connect_failed", address=str(self._address), reason=reason)
         return None
--- a/src/passlane/transport/request_workers.py
+++ b/src/passlane/transport/request_workers.py
@@ -1,7 +1,6 @@
-"""Tasks that serve one request after another.
+"""Worker tasks that serve the requests of a connection.
 
-To start a task in a task group costs 30 to 37 us of processor time, to wake one that waits
-12 us (20,000 times on a busy machine).
+Idle tasks are reused, because waking a task is cheaper than starting one.
 """
 
 from collections.abc import Awaitable, Callable
@@ -10,8 +9,8 @@
 import anyio
 from anyio.abc import TaskGroup
 
-MOST_IDLE_WORKERS = 2
-"""Tasks of one connection that wait for further requests; more end when they are done."""
+MAX_IDLE_WORKERS = 2
+"""Maximum idle tasks of one connection; further tasks end after their request."""
 
 Job = TypeVar("Job")
 
@@ -25,14 +24,14 @@
 
 
 class RequestWorkers(Generic[Job]):
-    """Serves each job at once, in a task that is idle or in a new one.
+    """Serves each job at once, in an idle task or a new one.
 
     Parameters
     ----------
     tasks
-        Holds the tasks; to cancel it ends them.
+        Task group that runs the workers; cancelling it ends them.
     serve
-        Serves one job; must raise nothing but a cancellation.
+        Serves one job; must not raise errors except cancellation.
     """
 
     def __init__(self, tasks: TaskGroup, serve: Callable[[Job], Awaitable[None]]) -> None:
@@ -41,7 +40,7 @@
         self._idle: list[_IdleWorker[Job]] = []
 
     def submit(self, job: Job) -> None:
-        """Have a job served."""
+        """Serve a job in an idle or new task."""
         if not self._idle:
             self._tasks.start_soon(self._work, job)
             return
@@ -50,14 +49,14 @@
         worker.woken.set()
 
     async def _work(self, job: Job) -> None:
-        """Serve a job, and then others until enough tasks are idle."""
+        """Serve a job and further ones, until the maximum number of tasks is idle."""
         next_job: Job | None = job
         while next_job is not None:
             await self._serve(next_job)
             next_job = await self._next_job()
 
     async def _next_job(self) -> Job | None:
-        if len(self._idle) >= MOST_IDLE_WORKERS:
+        if len(self._idle) >= MAX_IDLE_WORKERS:
             return None
         worker: _IdleWorker[Job] = _IdleWorker()
         self._idle.append(worker)
--- a/tests/transport/test_request_workers.py
+++ b/tests/transport/test_request_workers.py
@@ -1,11 +1,11 @@
-"""Tasks that serve one request after another."""
+"""Tests of the worker tasks that serve requests."""
 
 import unittest
 
 import anyio
 
 from passlane.simulation.runner import run_simulation
-from passlane.transport.request_workers import MOST_IDLE_WORKERS, RequestWorkers
+from passlane.transport.request_workers import MAX_IDLE_WORKERS, RequestWorkers
 
 
 class RequestWorkersTest(unittest.TestCase):
@@ -33,32 +33,32 @@
                 raise
             self.served.append(name)
 
-    def test_jobs_run_at_the_same_time_and_their_tasks_are_used_again(self):
+    def test_jobs_run_concurrently_and_their_tasks_are_reused(self):
         async def body(workers):
             for round_number in range(3):
-                for number in range(MOST_IDLE_WORKERS):
+                for number in range(MAX_IDLE_WORKERS):
                     workers.submit((f"{round_number}-{number}", anyio.CancelScope()))
                 await anyio.sleep(0.011)
-                self.assertEqual(len(self.served), (round_number + 1) * MOST_IDLE_WORKERS)
+                self.assertEqual(len(self.served), (round_number + 1) * MAX_IDLE_WORKERS)
 
         self.simulate(body)
-        self.assertEqual(len(set(self.tasks_of_jobs)), MOST_IDLE_WORKERS)
+        self.assertEqual(len(set(self.tasks_of_jobs)), MAX_IDLE_WORKERS)
 
-    def test_tasks_beyond_the_most_that_may_be_idle_end(self):
+    def test_tasks_above_the_maximum_of_idle_ones_end(self):
         async def body(workers):
             for number in range(50):
                 workers.submit((number, anyio.CancelScope()))
             await anyio.sleep(0.02)
             self.assertEqual(sorted(self.served), list(range(50)))
-            self.assertEqual(len(workers._idle), MOST_IDLE_WORKERS)
+            self.assertEqual(len(workers._idle), MAX_IDLE_WORKERS)
 
         self.simulate(body)
 
-    def test_a_job_called_back_ends_alone_and_its_task_serves_others(self):
+    def test_cancelling_a_job_ends_only_that_job_and_its_task_is_reused(self):
         async def body(workers):
             scope = anyio.CancelScope()
-            workers.submit(("called back", scope))
-            workers.submit(("whole", anyio.CancelScope()))
+            workers.submit(("cancelled", scope))
+            workers.submit(("completed", anyio.CancelScope()))
             await anyio.sleep(0.001)
             scope.cancel()
             await anyio.sleep(0.02)
@@ -67,8 +67,8 @@
             await anyio.sleep(0.02)
 
         self.simulate(body)
-        self.assertEqual(self.cancelled, ["called back"])
-        self.assertEqual(sorted(self.served), ["after next", "next", "whole"])
+        self.assertEqual(self.cancelled, ["cancelled"])
+        self.assertEqual(sorted(self.served), ["after next", "completed", "next"])
         self.assertEqual(len(set(self.tasks_of_jobs)), 2)
 
 
