--- a/src/passlane/observability/__init__.py
+++ b/src/passlane/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Ring log, metrics and health."""
+"""Structured logging, metrics, health endpoints and request log analysis."""
--- a/src/passlane/observability/health.py
+++ b/src/passlane/observability/health.py
@@ -1,4 +1,4 @@
-"""HTTP endpoints for machines that watch the process: metrics, health and readiness."""
+"""HTTP endpoints for monitoring systems and load balancers: metrics, health and readiness."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -18,21 +18,21 @@
 
 
 class Readiness(msgspec.Struct, frozen=True):
-    """Body of ``/readyz``: whether the process takes work, and each part of it."""
+    """Body of ``/readyz``: whether the process accepts work, and the state of each part."""
 
     ready: bool
     parts: dict[str, bool]
 
 
 class HealthApplication:
-    """Answers ``/metrics``, ``/healthz`` and ``/readyz`` and passes on all other paths.
+    """Serves ``/metrics``, ``/healthz`` and ``/readyz`` and forwards all other paths.
 
     Parameters
     ----------
     metrics
-        What ``/metrics`` shows.
+        Metrics exposed at ``/metrics``.
     checks
-        Parts of the process by name; all must be true for the process to be ready.
+        Readiness checks by part of the process; all must pass for it to be ready.
     inner
         ASGI application for all other paths.
     """
@@ -43,37 +43,39 @@
         self._inner = inner
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request."""
+        """Handle one ASGI request."""
         path = scope.get("path") if scope["type"] == "http" else None
         if path == METRICS_PATH:
-            await _answer(send, OK_STATUS, self._metrics.content_type(), self._metrics.expose())
+            await _send_response(
+                send, OK_STATUS, self._metrics.content_type(), self._metrics.expose()
+            )
         elif path == HEALTH_PATH:
-            await _answer(send, OK_STATUS, _JSON, b'{"healthy":true}')
+            await _send_response(send, OK_STATUS, _JSON, b'{"healthy":true}')
         elif path == READINESS_PATH:
             readiness = self.readiness()
             status = OK_STATUS if readiness.ready else UNAVAILABLE_STATUS
-            await _answer(send, status, _JSON, msgspec.json.encode(readiness))
+            await _send_response(send, status, _JSON, msgspec.json.encode(readiness))
         else:
             await self._inner(scope, receive, send)
 
     def readiness(self) -> Readiness:
-        """Return whether each part is ready."""
+        """Run the checks and return the result of each."""
         parts = {name: check() for name, check in self._checks.items()}
         return Readiness(ready=all(parts.values()), parts=parts)
 
 
 class MetricsApplication:
-    """Answers every path with the metrics; for an address that serves nothing else."""
+    """Serves the metrics on every path, for an address used only by monitoring."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
     async def __call__(self, scope: Any, receive: Any, send: Any) -> None:
-        """Answer one request."""
-        await _answer(send, OK_STATUS, self._metrics.content_type(), self._metrics.expose())
+        """Handle one ASGI request."""
+        await _send_response(send, OK_STATUS, self._metrics.content_type(), self._metrics.expose())
 
 
-async def _answer(send: Any, status: int, content_type: str, body: bytes) -> None:
+async def _send_response(send: Any, status: int, content_type: str, body: bytes) -> None:
     headers = [
         (b"content-type", content_type.encode("latin-1")),
         (b"content-length", str(len(body)).encode("ascii")),
--- a/src/passlane/observability/logging.py
+++ b/src/passlane/observability/logging.py
@@ -1,7 +1,7 @@
-"""Structured logs by structlog, kept in a ring in memory.
+"""Configures structlog to log into a ring buffer and to standard output.
 
-Every line carries the identity of its process. Values under keys that name secrets are
-replaced before a line is kept.
+Every line carries the identity of its process. The values of secret keys are redacted
+before a line is stored or written.
 """
 
 import time
@@ -24,14 +24,14 @@
 
 
 def redact_secrets(_logger: WrappedLogger, _method: str, line: EventDict) -> EventDict:
-    """Replace the values of keys that name secrets."""
+    """Replace the values of ``SECRET_KEYS``."""
     for key in SECRET_KEYS.intersection(line):
         line[key] = REDACTED
     return line
 
 
 def add_time(_logger: WrappedLogger, _method: str, line: EventDict) -> EventDict:
-    """Add the loop's monotonic time in seconds; nothing outside a running loop."""
+    """Add the event loop's monotonic time in seconds; ``None`` outside a running loop."""
     try:
         line["time_s"] = round(anyio.current_time(), 6)
     except anyio.NoEventLoopError:
@@ -40,9 +40,9 @@
 
 
 def add_time_of_day(_logger: WrappedLogger, _method: str, line: EventDict) -> EventDict:
-    """Add the time of day in seconds, to set lines of several machines side by side.
+    """Add the Unix time in seconds, for comparing the logs of several machines.
 
-    Nothing is decided by it, and simulated runs, which must repeat, log without it.
+    Simulated runs omit it, because their logs must be reproducible.
     """
     line["unix_time_s"] = round(time.time(), 3)
     return line
@@ -51,19 +51,19 @@
 def configure_logging(
     ring: RingLog, output: StandardOutputLog | None = None, **identity: Any
 ) -> None:
-    """Send all log lines to ``ring``, and those from level info on to ``output``.
+    """Send all log lines to ``ring``, and those of level info or higher to ``output``.
 
     Parameters
     ----------
     ring
-        Keeps the newest lines.
+        Retains the most recent lines.
     output
-        Writes lines to standard output, with the time of day; ``None`` writes none.
+        Writes lines, with their Unix time, to standard output; ``None`` disables it.
     identity
         Bound to every line, such as ``process="node-1"``.
     """
     structlog.contextvars.bind_contextvars(**identity)
-    written: list[Processor] = [add_time_of_day, output] if output is not None else []
+    output_processors: list[Processor] = [add_time_of_day, output] if output is not None else []
     structlog.configure(
         processors=[
             structlog.contextvars.merge_contextvars,
@@ -71,7 +71,7 @@
             add_time,
             structlog.processors.format_exc_info,
             redact_secrets,
-            *written,
+            *output_processors,
             RingProcessor(ring),
         ],
         wrapper_class=structlog.make_filtering_bound_logger("debug"),
--- a/src/passlane/observability/metrics.py
+++ b/src/passlane/observability/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of one process, in a registry of its own, in the format of Prometheus.
+"""Prometheus metrics of one process, in a registry of its own.
 
-The library brings a web server and much else; it is imported with the first metric, so
-that replicas, whose metrics are made when they are first asked for, start without it.
+``prometheus_client`` is imported with the first metric. Replicas define their metrics at
+the first scrape, so they start without the import.
 """
 
 from collections.abc import Callable
@@ -16,9 +16,9 @@
 
 
 class Metrics:
-    """Makes and exposes metrics; asking twice for one name gives the same metric.
+    """Creates and exposes metrics; the same name always returns the same metric.
 
-    Each process has its own instance, so that several simulated processes can live in
+    Each process has its own instance, so that several simulated processes can run in
     one interpreter.
     """
 
@@ -36,15 +36,15 @@
         return CollectorRegistry(auto_describe=False)
 
     def define_when_exposed(self, define: "Callable[[Metrics], None]") -> None:
-        """Have ``define`` make metrics of this process when they are first asked for."""
+        """Defer ``define``, which creates metrics, until metrics are first exposed."""
         self._deferred.append(define)
 
     def call_before_exposure(self, callback: Callable[[], None]) -> None:
-        """Call ``callback`` each time before metrics are exposed, so that all are up to date."""
+        """Call ``callback`` before each exposure, to update metrics."""
         self._before_exposure.append(callback)
 
     def counter(self, name: str, description: str, labels: tuple[str, ...] = ()) -> "Counter":
-        """Return the counter ``passlane_NAME``."""
+        """Return the counter ``passlane_NAME``, creating it on first use."""
         from prometheus_client import Counter
 
         if name not in self._counters:
@@ -54,7 +54,7 @@
         return self._counters[name]
 
     def gauge(self, name: str, description: str, labels: tuple[str, ...] = ()) -> "Gauge":
-        """Return the gauge ``passlane_NAME``."""
+        """Return the gauge ``passlane_NAME``, creating it on first use."""
         from prometheus_client import Gauge
 
         if name not in self._gauges:
@@ -64,7 +64,7 @@
         return self._gauges[name]
 
     def histogram(self, name: str, description: str, labels: tuple[str, ...] = ()) -> "Histogram":
-        """Return the histogram ``passlane_NAME`` of a time in seconds."""
+        """Return the histogram ``passlane_NAME`` of seconds, creating it on first use."""
         from prometheus_client import Histogram
 
         if name not in self._histograms:
@@ -79,7 +79,7 @@
         return self._histograms[name]
 
     def expose(self) -> bytes:
-        """Return all metrics in Prometheus' text format."""
+        """Return all metrics in the Prometheus text format."""
         from prometheus_client.exposition import generate_latest
 
         while self._deferred:
@@ -90,7 +90,7 @@
 
     @staticmethod
     def content_type() -> str:
-        """Return the media type of what ``expose`` returns."""
+        """Return the media type of the output of ``expose``."""
         from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
         return CONTENT_TYPE_LATEST
--- a/src/passlane/observability/request_log.py
+++ b/src/passlane/observability/request_log.py
@@ -1,8 +1,7 @@
-"""Reads the request lines of process logs: what became of requests, when, and where they waited.
+"""Summarizes request log lines: outcomes, reasons and wait times by time window.
 
-A line may have a text in front of it, as log collectors put there: it is read from its
-first brace on. Requests are put into windows of time by their arrival, on the machines'
-time of day.
+Text before the first brace of a line, such as a log collector's prefix, is skipped.
+Requests are assigned to windows by their arrival in Unix time.
 """
 
 import enum
@@ -19,33 +18,33 @@
 
 
 class Outcome(enum.StrEnum):
-    """What became of a request."""
+    """Result of a request."""
 
     IN_TIME = "in time"
     LATE = "late"
-    """Answered whole, but after its route's target."""
+    """Completed, but after the latency target of its route."""
     REFUSED = "refused"
-    """Answered with the promise that it didn't run."""
+    """Refused with a status that guarantees that it did not run."""
     REJECTED = "rejected"
-    """Answered with another status of the caller's fault, such as a spent budget."""
+    """Rejected with another client error, such as an exhausted budget."""
     FAILED = "failed"
-    """Answered with a fault."""
+    """Failed with a server error."""
     BROKEN_OFF = "broken off"
-    """Not answered whole."""
+    """The response is incomplete."""
 
 
 class Grouping(enum.StrEnum):
-    """What requests of one window are told apart by."""
+    """Attribute by which the requests of one window are grouped."""
 
     KIND = "kind"
-    """Kind of request and priority."""
+    """Request kind and priority."""
     ROUTE = "route"
     TENANT = "tenant"
     PROGRAM = "program"
 
 
 class RequestLine(msgspec.Struct, frozen=True):
-    """The fields of a request's log line that are used here; times in seconds."""
+    """The fields of a request log line that the summary uses; times are in seconds."""
 
     event: str
     unix_time_s: float = 0.0
@@ -65,7 +64,7 @@
     room_wait_s: float | None = None
 
     def group(self, grouping: Grouping) -> str:
-        """Return by what it is told apart from others; empty if the line doesn't tell."""
+        """Return the value of the grouping attribute; empty if the line has none."""
         names = {
             Grouping.KIND: self.kind,
             Grouping.ROUTE: self.route,
@@ -76,12 +75,12 @@
 
     @property
     def arrived_at(self) -> float:
-        """Time of day of the request's arrival."""
+        """Unix time in seconds at which the request arrived."""
         return self.unix_time_s - self.elapsed_s
 
     @property
     def outcome(self) -> Outcome:
-        """What became of the request."""
+        """Result of the request."""
         if not self.is_whole:
             return Outcome.BROKEN_OFF
         if self.status < FIRST_FAILURE:
@@ -92,14 +91,14 @@
 
 
 class Waits(msgspec.Struct, frozen=True):
-    """Median and 95th percentile of a wait, in seconds; ``None`` where nothing waited."""
+    """Median and 95th percentile of a wait in seconds; ``None`` without samples."""
 
     median_s: float | None
     high_s: float | None
 
     @classmethod
     def of(cls, seconds: list[float]) -> "Waits":
-        """Return the percentiles of some waits."""
+        """Return the percentiles of ``seconds``."""
         if not seconds:
             return cls(None, None)
         if len(seconds) == 1:
@@ -114,19 +113,20 @@
     Attributes
     ----------
     starts_s
-        Start of the window, from the first arrival of all.
+        Start of the window in seconds after the first arrival in the log.
     group
         Kind, route, tenant or program; empty for requests that have none.
     kind, priority
-        Empty and ``None`` where kinds are not told apart.
+        Empty and ``None`` unless requests are grouped by kind.
     outcomes
         Number of requests by outcome.
     reasons
-        Number of requests that had no whole answer of a back end, by reason.
+        Number of requests without a complete response, by reason.
     reservation, back_end, delivery
-        Waits for the store, from there to the back end's first part, and from there on.
+        Wait for the store's reservation, then for the first part of the backend's response,
+        then until the response ended.
     place, room
-        Parts of these: waits for a place at an engine, and for room at a back end.
+        Waits for an engine slot and for backend capacity; included in the waits above.
     """
 
     starts_s: float
@@ -142,13 +142,13 @@
     room: Waits
 
 
-_Key = tuple[int, str, int | None]
+_GroupKey = tuple[int, str, int | None]
 
 _decoder = msgspec.json.Decoder(RequestLine)
 
 
 def read_requests(lines: Iterable[str]) -> Iterator[RequestLine]:
-    """Yield the request lines; lines that are none, or cut short, are passed over."""
+    """Yield the request lines; other and truncated lines are skipped."""
     for line in lines:
         start = line.find("{")
         if start < 0 or REQUEST_EVENT not in line:
@@ -156,7 +156,7 @@
         try:
             request = _decoder.decode(line[start:].strip().encode())
         except msgspec.MsgspecError:
-            # The last line of a log that is being written, or one of another program.
+            # A partly written line, or a line of another program.
             continue
         if request.event == REQUEST_EVENT:
             yield request
@@ -165,28 +165,38 @@
 def summarize(
     requests: Iterable[RequestLine], window_s: float, grouping: Grouping = Grouping.KIND
 ) -> list[WindowSummary]:
-    """Return what became of requests, by window and group."""
+    """Summarize requests by window and group.
+
+    Parameters
+    ----------
+    requests
+        Request lines in any order.
+    window_s
+        Length of a window in seconds.
+    grouping
+        Attribute by which the requests of a window are grouped.
+    """
     ordered = sorted(requests, key=lambda request: request.arrived_at)
     if not ordered:
         return []
     first = ordered[0].arrived_at
-    groups: dict[_Key, list[RequestLine]] = defaultdict(list)
+    groups: dict[_GroupKey, list[RequestLine]] = defaultdict(list)
     for request in ordered:
         window = int((request.arrived_at - first) / window_s)
         priority = request.priority if grouping is Grouping.KIND else None
         groups[window, request.group(grouping), priority].append(request)
     return [
-        _summary_of(window * window_s, name, priority, group, grouping)
-        for (window, name, priority), group in sorted(groups.items(), key=_order)
+        _summarize_group(window * window_s, name, priority, group, grouping)
+        for (window, name, priority), group in sorted(groups.items(), key=_sort_key)
     ]
 
 
-def _order(item: tuple[_Key, list[RequestLine]]) -> tuple[int, str, int]:
+def _sort_key(item: tuple[_GroupKey, list[RequestLine]]) -> tuple[int, str, int]:
     window, name, priority = item[0]
     return window, name, -1 if priority is None else priority
 
 
-def _summary_of(
+def _summarize_group(
     starts_s: float,
     name: str,
     priority: int | None,
--- a/src/passlane/observability/ring.py
+++ b/src/passlane/observability/ring.py
@@ -1,4 +1,4 @@
-"""A ring of the newest log lines in memory, written out when something goes wrong."""
+"""Ring buffer of the most recent log lines, dumped to disk after a failure."""
 
 from collections import deque
 from typing import Any
@@ -13,35 +13,35 @@
 
 
 class RingLog:
-    """Keeps the newest lines of a process.
+    """Retains the most recent log lines of a process.
 
     Parameters
     ----------
     max_lines
-        Lines kept; older ones are forgotten.
+        Number of retained lines; older lines are discarded.
     """
 
     def __init__(self, max_lines: int) -> None:
         self._lines: deque[dict[str, Any]] = deque(maxlen=max_lines)
 
     def add(self, line: EventDict) -> None:
-        """Keep one line."""
+        """Add one line."""
         self._lines.append(dict(line))
 
     def lines(self, newest: int | None = None) -> list[bytes]:
-        """Return the newest lines (all by default), oldest first, each as JSON."""
+        """Return the most recent lines (all by default), oldest first, encoded as JSON."""
         lines = list(self._lines)
         if newest is not None:
             lines = lines[-newest:] if newest > 0 else []
         return [_encoder.encode(line) for line in lines]
 
     async def write_out(self, disk: Disk, folder: str, reason: str) -> str:
-        """Write all lines to a new file and return its name.
+        """Write all lines to a new file in ``folder`` and return its name.
 
         Raises
         ------
         OSError
-            When the disk refuses.
+            When the file cannot be written.
         """
         existing = len(disk.list_files(folder))
         name = f"{folder}/{existing + 1:06d}-{reason}.jsonl"
@@ -50,12 +50,12 @@
 
 
 class RingProcessor:
-    """Last processor of structlog: keeps the line in a ring and prints nothing."""
+    """Last structlog processor: adds the line to a ring buffer and ends processing."""
 
     def __init__(self, ring: RingLog) -> None:
         self._ring = ring
 
     def __call__(self, _logger: WrappedLogger, _method: str, line: EventDict) -> EventDict:
-        """Keep the line and stop."""
+        """Add the line and drop the event, so that structlog prints nothing."""
         self._ring.add(line)
         raise structlog.DropEvent
--- a/src/passlane/observability/standard_output.py
+++ b/src/passlane/observability/standard_output.py
@@ -1,7 +1,7 @@
-"""Log lines on standard output: bounded, and never blocking.
+"""Non-blocking log output to standard output with a bounded buffer.
 
-Lines are gathered and written together. What standard output doesn't take at once waits;
-when too much waits, the oldest lines go and a line tells how many.
+Lines are buffered and written in batches. When the buffer is full, the oldest lines are
+dropped and a ``log_lines_dropped`` line reports their number.
 """
 
 import os
@@ -13,19 +13,24 @@
 import msgspec
 from structlog.typing import EventDict, WrappedLogger
 
-MAX_WAITING_LINES = 2_000
+MAX_BUFFERED_LINES = 2_000
 FLUSH_PERIOD_S = 0.5
 MAX_WRITE_BYTES = 4_096
-"""Bytes of one write, if it holds more than one line: what a pipe takes whole or not at all
-(``PIPE_BUF``), so that whoever reads in blocks sees whole lines. Of writes of up to 60,000 bytes
-a reader of blocks of 8 KiB lost what was beyond, 14 to 17 lines were left of each half second."""
-_HIDDEN_LEVEL = "debug"
+"""Limit of a write of several lines. A pipe accepts writes up to this size (``PIPE_BUF``)
+atomically, so that a block-wise reader sees only whole lines."""
+_EXCLUDED_LEVEL = "debug"
 
 _encoder = msgspec.json.Encoder(enc_hook=str)
 
 
 class StandardOutputLog:
-    """A processor of structlog that keeps lines until ``run`` writes them."""
+    """A structlog processor that buffers lines until ``run`` or ``flush`` writes them.
+
+    Parameters
+    ----------
+    descriptor
+        File descriptor to write to; standard output by default.
+    """
 
     def __init__(self, descriptor: int | None = None) -> None:
         self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
@@ -34,37 +39,37 @@
         self._dropped = 0
 
     def __call__(self, _logger: WrappedLogger, _method: str, line: EventDict) -> EventDict:
-        """Keep a line for writing and pass it on."""
-        if line.get("level") != _HIDDEN_LEVEL:
+        """Buffer a line, unless it is of level debug, and return it to the next processor."""
+        if line.get("level") != _EXCLUDED_LEVEL:
             self._add(dict(line))
         return line
 
     def _add(self, line: dict[str, Any]) -> None:
-        if len(self._lines) >= MAX_WAITING_LINES:
+        if len(self._lines) >= MAX_BUFFERED_LINES:
             self._lines.popleft()
             self._dropped += 1
         self._lines.append(_encoder.encode(line))
 
     async def run(self) -> None:
-        """Write lines until cancelled."""
+        """Write buffered lines at each flush period until cancelled."""
         os.set_blocking(self._descriptor, False)
         while True:
             await anyio.sleep(FLUSH_PERIOD_S)
             self.flush()
 
     def flush(self) -> None:
-        """Write what standard output takes now."""
+        """Write buffered lines until the descriptor accepts no more."""
         while self._lines or self._unsent:
             if not self._unsent:
-                self._unsent = self._next_block()
+                self._unsent = self._next_batch()
             try:
                 written = os.write(self._descriptor, self._unsent)
             except OSError:
-                # Nobody reads just now, or ever: the bound on lines keeps this harmless.
+                # The pipe is full or has no reader; the buffer stays bounded.
                 return
             self._unsent = self._unsent[written:]
 
-    def _next_block(self) -> bytes:
+    def _next_batch(self) -> bytes:
         parts: list[bytes] = []
         size = 0
         if self._dropped:
--- a/tests/observability/test_observability.py
+++ b/tests/observability/test_observability.py
@@ -1,4 +1,4 @@
-"""The ring of log lines, what reaches it, and the endpoints for health and metrics."""
+"""Tests of the ring log, redaction, log timestamps, metrics and the health endpoints."""
 
 import contextlib
 import random
@@ -17,7 +17,7 @@
 from passlane.simulation.runner import run_simulation
 
 
-def decoded(ring):
+def decoded_lines(ring):
     return [msgspec.json.decode(line) for line in ring.lines()]
 
 
@@ -26,7 +26,7 @@
         ring = RingLog(3)
         for number in range(5):
             ring.add({"event": str(number)})
-        self.assertEqual([line["event"] for line in decoded(ring)], ["2", "3", "4"])
+        self.assertEqual([line["event"] for line in decoded_lines(ring)], ["2", "3", "4"])
         self.assertEqual(len(ring.lines(2)), 2)
         self.assertEqual(ring.lines(0), [])
 
@@ -55,12 +55,12 @@
         configure_logging(self.ring, process="node-1")
         self.addCleanup(structlog.contextvars.unbind_contextvars, "process")
         get_logger("node").info("asked", token="very-secret", authorization="Bearer x")
-        (line,) = decoded(self.ring)
+        (line,) = decoded_lines(self.ring)
         self.assertEqual((line["component"], line["process"]), ("node", "node-1"))
         self.assertNotIn(b"very-secret", b"".join(self.ring.lines()))
         self.assertNotIn(b"Bearer x", b"".join(self.ring.lines()))
 
-    def test_time_is_the_loop_s_own_and_errors_carry_their_trace(self):
+    def test_time_is_that_of_the_loop_and_errors_carry_their_traceback(self):
         async def main():
             await anyio.sleep(5.0)
             with contextlib.suppress(ValueError):
@@ -71,7 +71,7 @@
                     raise
 
         run_simulation(main, 1)
-        (line,) = decoded(self.ring)
+        (line,) = decoded_lines(self.ring)
         self.assertEqual(line["time_s"], 5.0)
         self.assertIn("ValueError: broken", line["exception"])
 
@@ -80,13 +80,13 @@
         configure_logging(self.ring, StandardOutputLog(descriptor=-1))
         self.addCleanup(configure_logging, self.ring)
         get_logger("node").info("in a process")
-        simulated, real = decoded(self.ring)
+        simulated, real = decoded_lines(self.ring)
         self.assertNotIn("unix_time_s", simulated)
         self.assertGreater(real["unix_time_s"], 0)
 
 
 class MetricsTest(unittest.TestCase):
-    def test_asking_twice_gives_the_same_metric_and_instances_are_separate(self):
+    def test_one_name_returns_the_same_metric_and_instances_are_separate(self):
         one, other = Metrics(), Metrics()
         one.counter("calls", "Calls", ("kind",)).labels("model").inc()
         one.counter("calls", "Calls", ("kind",)).labels("model").inc()
@@ -95,7 +95,7 @@
 
 
 class HealthTest(unittest.TestCase):
-    def ask(self, path, checks):
+    def request(self, path, checks):
         sent = []
 
         async def send(event):
@@ -114,16 +114,16 @@
 
     def test_ready_only_when_every_part_is(self):
         parts = {"node": lambda: True, "not_draining": lambda: False}
-        status, body = self.ask("/readyz", parts)
+        status, body = self.request("/readyz", parts)
         self.assertEqual(status, 503)
         self.assertEqual(msgspec.json.decode(body)["parts"], {"node": True, "not_draining": False})
-        self.assertEqual(self.ask("/readyz", {"node": lambda: True})[0], 200)
+        self.assertEqual(self.request("/readyz", {"node": lambda: True})[0], 200)
 
-    def test_healthy_while_not_ready_and_other_paths_pass(self):
+    def test_healthy_while_not_ready_and_other_paths_are_forwarded(self):
         parts = {"node": lambda: False}
-        self.assertEqual(self.ask("/healthz", parts)[0], 200)
-        self.assertEqual(self.ask("/metrics", parts)[0], 200)
-        self.assertEqual(self.ask("/v1/documents", parts)[0], 418)
+        self.assertEqual(self.request("/healthz", parts)[0], 200)
+        self.assertEqual(self.request("/metrics", parts)[0], 200)
+        self.assertEqual(self.request("/v1/documents", parts)[0], 418)
 
 
 if __name__ == "__main__":
--- a/tests/observability/test_request_log.py
+++ b/tests/observability/test_request_log.py
@@ -1,4 +1,4 @@
-"""What logs tell of requests: outcomes, reasons and waits by window."""
+"""Tests of the request log summary: outcomes, reasons and waits by window."""
 
 import contextlib
 import io
@@ -55,20 +55,20 @@
                 (summary,) = summaries(line(100.0, **changes))
                 self.assertEqual(summary.outcomes, {outcome: 1})
 
-    def test_requests_are_put_into_windows_by_their_arrival(self):
+    def test_requests_are_assigned_to_windows_by_arrival(self):
         found = summaries(line(103.0), line(100.5), line(101.9, priority=1), line(103.2))
         self.assertEqual(
             [(s.starts_s, s.priority, s.outcomes[Outcome.IN_TIME]) for s in found],
             [(0.0, 0, 1), (0.0, 1, 1), (2.0, 0, 2)],
         )
 
-    def test_waits_are_split(self):
+    def test_waits_are_split_into_reservation_backend_and_delivery(self):
         (summary,) = summaries(line(100.0), line(100.1))
         self.assertEqual(summary.reservation, Waits(0.1, 0.1))
         self.assertEqual(summary.back_end, Waits(0.1, 0.1))
         self.assertEqual(summary.delivery, Waits(0.3, 0.3))
 
-    def test_waits_for_a_place_and_for_room_stand_beside_the_others(self):
+    def test_waits_for_a_slot_and_for_capacity_are_reported_separately(self):
         (summary,) = summaries(line(100.0, place_wait_s=0.05, room_wait_s=0.0), line(100.1))
         self.assertEqual(summary.place, Waits(0.05, 0.05))
         self.assertEqual(summary.room, Waits(0.0, 0.0))
@@ -91,18 +91,18 @@
                 self.assertEqual(counted, groups)
                 self.assertEqual({s.priority for s in found}, {None})
 
-    def test_a_request_that_reached_no_back_end_has_no_such_wait(self):
+    def test_a_request_that_reached_no_backend_has_no_backend_wait(self):
         (summary,) = summaries(
             line(100.0, status=503, reason="store_unavailable", first_part_s=None, reserved_s=None)
         )
         self.assertEqual(summary.back_end, Waits(None, None))
         self.assertEqual(summary.reasons, {"store_unavailable": 1})
 
-    def test_other_lines_and_torn_ones_are_passed_over(self):
+    def test_other_and_truncated_lines_are_skipped(self):
         whole = line(100.0, prefix="  35.1 node-1 ")
-        torn = line(100.0)[:40]
+        truncated = line(100.0)[:40]
         other = '{"event":"started","note":"request_ended"}\n'
-        self.assertEqual(len(list(read_requests([whole, torn, other, "", "no brace"]))), 1)
+        self.assertEqual(len(list(read_requests([whole, truncated, other, "", "no brace"]))), 1)
         self.assertEqual(summaries(), [])
 
 
@@ -144,7 +144,7 @@
         self.assertEqual(code, ExitCode.OK)
         self.assertEqual(msgspec.json.decode(output)[0]["outcomes"], {"in time": 1})
 
-    def test_bad_input_is_a_clear_error(self):
+    def test_invalid_input_is_a_clear_error(self):
         for window in ("0", "-1", "nan", "x"):
             with self.subTest(window=window):
                 code, _, errors = self.run_command("--window=" + window)
--- a/tests/observability/test_standard_output.py
+++ b/tests/observability/test_standard_output.py
@@ -1,4 +1,4 @@
-"""Log lines on standard output: bounded, never blocking, the newest kept."""
+"""Tests of log output to a pipe: bounded buffer, no blocking, the most recent lines retained."""
 
 import json
 import os
@@ -6,7 +6,7 @@
 from unittest import mock
 
 from passlane.observability.standard_output import (
-    MAX_WAITING_LINES,
+    MAX_BUFFERED_LINES,
     MAX_WRITE_BYTES,
     StandardOutputLog,
 )
@@ -26,15 +26,15 @@
     def read(self):
         return [json.loads(line) for line in os.read(self.reader, 10_000_000).splitlines()]
 
-    def test_lines_are_written_in_order_and_details_are_not(self):
+    def test_lines_are_written_in_order_without_debug_lines(self):
         for number in range(3):
             self.add(number)
         self.add(3, level="debug")
         self.log.flush()
         self.assertEqual([line["number"] for line in self.read()], [0, 1, 2])
 
-    def test_a_reader_that_stands_still_costs_lines_but_blocks_nothing(self):
-        count = 2 * MAX_WAITING_LINES
+    def test_a_stalled_reader_loses_lines_but_does_not_block(self):
+        count = 2 * MAX_BUFFERED_LINES
         for number in range(count):
             self.add(number, text="x" * 200)
             if number % 100 == 0:
@@ -49,7 +49,7 @@
         self.assertGreater(dropped, 0)
         self.assertEqual(numbers, sorted(numbers))
 
-    def test_each_write_holds_whole_lines_and_no_more_than_a_pipe_takes_at_once(self):
+    def test_each_write_holds_whole_lines_within_the_atomic_size_of_a_pipe(self):
         blocks = []
 
         def write(descriptor, data):
@@ -67,9 +67,9 @@
         self.assertLessEqual(max(map(len, blocks[:-1])), MAX_WRITE_BYTES)
         self.assertEqual(blocks[-1].count(b"\n"), 1)
 
-    _rest = b""
+    _partial_line = b""
 
     def read_whole_lines(self):
-        data = self._rest + os.read(self.reader, 10_000_000)
-        *whole, self._rest = data.split(b"\n")
+        data = self._partial_line + os.read(self.reader, 10_000_000)
+        *whole, self._partial_line = data.split(b"\n")
         return [json.loads(line) for line in whole]
