--- a/src/passlane/supervision/__init__.py
+++ b/src/passlane/supervision/__init__.py
@@ -1,1 +1,1 @@
-"""Supervisor tree: restart rules for long-lived tasks."""
+"""Supervision tree with restart rules for long-running tasks."""
--- a/src/passlane/supervision/specification.py
+++ b/src/passlane/supervision/specification.py
@@ -1,4 +1,4 @@
-"""How a child of a supervisor is started and when it is restarted."""
+"""Specification of a supervised child: how it starts and when it is restarted."""
 
 import enum
 from collections.abc import Awaitable, Callable
@@ -10,10 +10,10 @@
 
 
 class RestartRule(enum.StrEnum):
-    """When a child that ended is started again.
+    """When a child is restarted after it ended.
 
-    ``PERMANENT`` always, ``TRANSIENT`` only after an error, ``TEMPORARY`` never; an
-    error of a temporary child is logged and harms nothing else.
+    ``PERMANENT`` always, ``TRANSIENT`` only after an error, ``TEMPORARY`` never. An
+    error of a temporary child is logged and does not affect the supervisor.
     """
 
     PERMANENT = "permanent"
@@ -27,13 +27,13 @@
     Attributes
     ----------
     name
-        Shown in logs and errors.
+        Name of the child in logs and errors.
     start
-        Runs the child until it ends; called anew, with fresh state, at each restart.
+        Runs the child until it ends; called again at each restart, with new state.
     restart
-        When to start it again.
+        When the child is restarted.
     max_restarts, window_s
-        More restarts than this within the window fail the supervisor.
+        The supervisor fails after more restarts than this within the window.
     """
 
     name: str
--- a/src/passlane/supervision/supervisor.py
+++ b/src/passlane/supervision/supervisor.py
@@ -1,7 +1,7 @@
-"""A supervisor runs children, restarts those that fail, and fails when that does not help.
+"""A supervisor runs children, restarts those that fail, and fails when restarts do not help.
 
-Supervisors nest: a supervisor's ``run`` may be the ``start`` of a child of another, so
-that a fault is first met near its cause and goes up only when it persists.
+Supervisors nest: a supervisor's ``run`` may be the ``start`` of another supervisor's child,
+so that a fault is handled near its cause and escalates only when it persists.
 """
 
 from collections import deque
@@ -17,25 +17,25 @@
 MAX_RESTART_DELAY_S = 2.0
 
 FailureListener = Callable[[str], Awaitable[None]]
-"""Told the name of a child that failed for good."""
+"""Called with the name of a child that exceeded its restart limit."""
 
 _log = get_logger("supervision")
 
 
 class TooManyRestartsError(PasslaneError):
-    """A child failed more often than its specification allows."""
+    """A child exceeded the restart limit of its specification."""
 
     def __init__(self, supervisor: str, child: str) -> None:
         super().__init__(
             ErrorCode.INTERNAL,
-            f"{supervisor}: child {child} failed too often",
+            f"{supervisor}: child {child} exceeded its restart limit",
             verdict=Verdict.MAY_HAVE_RUN,
         )
         self.child = child
 
 
 class RestartHistory:
-    """Counts the restarts of one child within a window of time."""
+    """Counts the restarts of one child within a sliding window."""
 
     def __init__(self, max_restarts: int, window_s: float) -> None:
         self._max_restarts = max_restarts
@@ -43,28 +43,28 @@
         self._times: deque[float] = deque()
 
     def record(self, now: float) -> int:
-        """Note a restart and return how many lie within the window."""
+        """Record a restart and return the number of restarts within the window."""
         self._times.append(now)
         while self._times[0] < now - self._window_s:
             self._times.popleft()
         return len(self._times)
 
     def is_exceeded(self) -> bool:
-        """Whether there were more restarts than allowed."""
+        """Return whether the window holds more restarts than allowed."""
         return len(self._times) > self._max_restarts
 
 
 class Supervisor:
-    """Runs children side by side and restarts each by its own rule.
+    """Runs children concurrently and restarts each by its own rule.
 
     Parameters
     ----------
     name
-        Shown in logs and errors.
+        Name of the supervisor in logs and errors.
     children
         Started together, in this order.
     on_failure
-        Told when a child failed too often, before the supervisor itself fails.
+        Called when a child exceeded its restart limit, before the supervisor fails.
     """
 
     def __init__(
@@ -79,22 +79,22 @@
         self._on_failure = on_failure
 
     async def run(self) -> None:
-        """Run the children until all have ended for good, or until cancelled.
+        """Run the children until all have ended without a restart, or until cancelled.
 
         Raises
         ------
         TooManyRestartsError
-            When a child failed more often than allowed; the other children are
+            When a child exceeded its restart limit; the other children are
             cancelled first.
         """
         failures: list[TooManyRestartsError] = []
         async with anyio.create_task_group() as tasks:
             for child in self._children:
-                tasks.start_soon(self._keep, child, failures, tasks.cancel_scope)
+                tasks.start_soon(self._run_with_restarts, child, failures, tasks.cancel_scope)
         if failures:
             raise failures[0]
 
-    async def _keep(
+    async def _run_with_restarts(
         self,
         child: ChildSpecification,
         failures: list[TooManyRestartsError],
@@ -104,7 +104,7 @@
         while await self._run_once(child):
             restarts = history.record(anyio.current_time())
             if history.is_exceeded():
-                await self._give_up(child)
+                await self._report_failure(child)
                 failures.append(TooManyRestartsError(self._name, child.name))
                 scope.cancel()
                 return
@@ -112,7 +112,7 @@
             await anyio.sleep(delay_s)
 
     async def _run_once(self, child: ChildSpecification) -> bool:
-        """Run the child once; return whether it should be started again."""
+        """Run the child once; return whether it should be restarted."""
         try:
             await child.start()
         except Exception:
@@ -121,7 +121,7 @@
         _log.info("child_ended", supervisor=self._name, child=child.name)
         return child.restart is RestartRule.PERMANENT
 
-    async def _give_up(self, child: ChildSpecification) -> None:
+    async def _report_failure(self, child: ChildSpecification) -> None:
         _log.error("child_given_up", supervisor=self._name, child=child.name)
         if self._on_failure is not None:
             await self._on_failure(child.name)
--- a/tests/supervision/test_supervisor.py
+++ b/tests/supervision/test_supervisor.py
@@ -1,4 +1,4 @@
-"""Children are restarted by their rule, and a fault that persists goes up the tree."""
+"""Tests that children restart by their rule and that persistent faults escalate."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -17,17 +17,17 @@
 
 
 class Child:
-    """Fails or ends a number of times, then runs on."""
+    """Fails or ends a number of times, then runs until cancelled."""
 
-    def __init__(self, ends: int, *, fails: bool, every_s: float = 0.1) -> None:
+    def __init__(self, ends: int, *, fails: bool, run_s: float = 0.1) -> None:
         self.starts = 0
         self._ends = ends
         self._fails = fails
-        self._every_s = every_s
+        self._run_s = run_s
 
     async def start(self) -> None:
         self.starts += 1
-        await anyio.sleep(self._every_s)
+        await anyio.sleep(self._run_s)
         if self.starts <= self._ends:
             if self._fails:
                 raise ValueError("a fault")
@@ -49,38 +49,38 @@
         run_for(60.0, Supervisor("root", [specification]).run)
         return child.starts
 
-    def test_rules_decide_over_restarts(self) -> None:
+    def test_restarts_follow_the_rule(self) -> None:
         self.assertEqual(self.start_count(Child(2, fails=True), RestartRule.PERMANENT), 3)
         self.assertEqual(self.start_count(Child(2, fails=False), RestartRule.PERMANENT), 3)
         self.assertEqual(self.start_count(Child(2, fails=True), RestartRule.TRANSIENT), 3)
         self.assertEqual(self.start_count(Child(2, fails=False), RestartRule.TRANSIENT), 1)
         self.assertEqual(self.start_count(Child(2, fails=True), RestartRule.TEMPORARY), 1)
 
-    def test_persistent_fault_fails_the_parent_and_is_reported_before(self) -> None:
+    def test_persistent_fault_is_reported_and_fails_the_parent(self) -> None:
         reported: list[str] = []
 
-        async def note(child: str) -> None:
+        async def record_failure(child: str) -> None:
             reported.append(child)
 
-        steady = Child(0, fails=False)
+        stable = Child(0, fails=False)
         broken = ChildSpecification("broken", Child(99, fails=True).start, max_restarts=3)
-        inner = Supervisor("inner", [broken], on_failure=note)
+        inner = Supervisor("inner", [broken], on_failure=record_failure)
         outer = Supervisor(
             "outer",
             [
                 ChildSpecification("inner", inner.run, max_restarts=1),
-                ChildSpecification("steady", steady.start),
+                ChildSpecification("stable", stable.start),
             ],
-            on_failure=note,
+            on_failure=record_failure,
         )
         with self.assertRaises(TooManyRestartsError) as caught:
             run_for(600.0, outer.run)
         self.assertEqual(caught.exception.child, "inner")
         self.assertEqual(reported, ["broken", "broken", "inner"])
-        self.assertEqual(steady.starts, 1)
+        self.assertEqual(stable.starts, 1)
 
-    def test_faults_spread_over_time_are_forgiven(self) -> None:
-        child = Child(50, fails=True, every_s=20.0)
+    def test_faults_outside_the_window_do_not_count(self) -> None:
+        child = Child(50, fails=True, run_s=20.0)
         specification = ChildSpecification("child", child.start, max_restarts=3, window_s=30.0)
         run_for(3000.0, Supervisor("root", [specification]).run)
         self.assertEqual(child.starts, 51)
