--- a/src/passlane/runtime/__init__.py
+++ b/src/passlane/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Interfaces to the outside world (network, disk, HTTP) and their real versions."""
+"""Interfaces to network, HTTP and disk, and their implementations on the operating system."""
--- a/src/passlane/runtime/accepted_stream.py
+++ b/src/passlane/runtime/accepted_stream.py
@@ -1,9 +1,8 @@
-"""Accepted TCP connections as byte streams that go on reading while nobody asks for data.
+"""Accepted TCP connections as byte streams that keep reading between receive calls.
 
-The streams of anyio stop to watch a socket after each receipt and watch it again for the
-next one. Without that a call and its answer, with 16 callers and the server in one process,
-take 99 us of processor time in place of 120 us (4,000 calls on a busy machine). Daemons run
-on the loop of asyncio, so its transports are used here.
+Anyio's own streams unregister the socket from the event loop after each receive and register
+it again for the next one, which costs processor time on every call. Daemons run on asyncio,
+so these streams use its transports directly.
 """
 
 import asyncio
@@ -19,10 +18,10 @@
 from passlane.messages.common import Address
 from passlane.runtime.interfaces import ConnectionHandler
 
-UNREAD_LIMIT_BYTES = 262_144
-"""With so much unread the socket is not read any further, so that the sender has to wait."""
+MAX_UNREAD_BYTES = 262_144
+"""Reading pauses at this many unread bytes, which applies backpressure to the sender."""
 BACKLOG = 65_536
-"""Connections that wait to be accepted; the operating system lowers it to its own limit."""
+"""Maximum number of connections waiting to be accepted; the kernel caps it at its own limit."""
 
 
 class AcceptedStream(asyncio.Protocol, ByteStream):
@@ -31,7 +30,7 @@
     Parameters
     ----------
     on_accepted
-        Called once the connection is made.
+        Called when the connection is established.
     """
 
     def __init__(self, on_accepted: Callable[["AcceptedStream"], None]) -> None:
@@ -42,59 +41,59 @@
         self._has_ended = False
         self._is_closed = False
         self._error: Exception | None = None
-        self._arrived = anyio.Event()
-        self._may_write = anyio.Event()
-        self._may_write.set()
+        self._readable = anyio.Event()
+        self._writable = anyio.Event()
+        self._writable.set()
 
-    # What the transport calls.
+    # Callbacks of ``asyncio.Protocol``.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take over the transport."""
+        """Store the transport and report the connection as accepted."""
         self._transport = cast(asyncio.Transport, transport)
-        # A send returns once the operating system has taken all of it.
+        # With a limit of 0, a send returns once the operating system has accepted all bytes.
         self._transport.set_write_buffer_limits(0)
         self._on_accepted(self)
 
     def data_received(self, data: bytes) -> None:
-        """Keep what arrived until it is asked for."""
+        """Buffer received data; pause reading when the buffer is full."""
         self._unread.append(data)
         self._unread_bytes += len(data)
-        if self._unread_bytes >= UNREAD_LIMIT_BYTES and not self._is_reading_paused:
+        if self._unread_bytes >= MAX_UNREAD_BYTES and not self._is_reading_paused:
             self._is_reading_paused = True
             self._transport.pause_reading()
-        self._arrived.set()
+        self._readable.set()
 
     def eof_received(self) -> bool:
-        """Note that nothing more will come; sending goes on."""
+        """Record the end of the incoming direction; sending remains possible."""
         self._has_ended = True
-        self._arrived.set()
+        self._readable.set()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wake all who wait for the connection."""
+        """Record the end of the connection and wake all waiting tasks."""
         self._has_ended = True
         self._error = exc
-        self._arrived.set()
-        self._may_write.set()
+        self._readable.set()
+        self._writable.set()
 
     def pause_writing(self) -> None:
-        """Hold senders up until the operating system has taken what is buffered."""
-        self._may_write = anyio.Event()
+        """Block senders until the operating system has accepted the buffered bytes."""
+        self._writable = anyio.Event()
 
     def resume_writing(self) -> None:
-        """Let senders go on."""
-        self._may_write.set()
+        """Unblock senders."""
+        self._writable.set()
 
-    # The interface of ``ByteStream``.
+    # Methods of ``ByteStream``.
 
     async def receive(self, max_bytes: int = 65_536) -> bytes:
-        """Return what has arrived, or wait for it."""
+        """Return buffered data; wait if there is none."""
         while not self._unread:
             self._raise_if_unusable()
             if self._has_ended:
                 raise anyio.EndOfStream
-            self._arrived = anyio.Event()
-            await self._arrived.wait()
+            self._readable = anyio.Event()
+            await self._readable.wait()
         data = self._unread.popleft()
         if len(data) > max_bytes:
             self._unread.appendleft(data[max_bytes:])
@@ -104,7 +103,7 @@
         return data
 
     def _resume_reading(self) -> None:
-        if self._is_reading_paused and self._unread_bytes < UNREAD_LIMIT_BYTES:
+        if self._is_reading_paused and self._unread_bytes < MAX_UNREAD_BYTES:
             self._is_reading_paused = False
             if not self._transport.is_closing():
                 self._transport.resume_reading()
@@ -116,28 +115,28 @@
             raise anyio.BrokenResourceError from self._error
 
     async def send(self, item: bytes) -> None:
-        """Send; return once the operating system has taken it."""
+        """Send data; return once the operating system has accepted it."""
         await anyio.lowlevel.checkpoint_if_cancelled()
         self._raise_if_unusable()
         if self._transport.is_closing():
             raise anyio.BrokenResourceError
         self._transport.write(item)
-        if not self._may_write.is_set():
-            await self._may_write.wait()
+        if not self._writable.is_set():
+            await self._writable.wait()
             self._raise_if_unusable()
 
     async def send_eof(self) -> None:
-        """End the outgoing direction."""
+        """Close the outgoing direction."""
         with suppress(OSError):
             self._transport.write_eof()
 
     async def aclose(self) -> None:
-        """Close the connection; what the operating system has not taken is dropped."""
+        """Close the connection and drop bytes that the operating system has not accepted."""
         if self._is_closed:
             return
         self._is_closed = True
-        self._arrived.set()
-        self._may_write.set()
+        self._readable.set()
+        self._writable.set()
         self._transport.close()
         try:
             await anyio.lowlevel.checkpoint()
@@ -146,7 +145,7 @@
 
     @property
     def extra_attributes(self) -> Mapping[Any, Callable[[], Any]]:
-        """Return the socket."""
+        """Expose the raw socket as an anyio attribute."""
         return {SocketAttribute.raw_socket: lambda: self._transport.get_extra_info("socket")}
 
 
@@ -156,7 +155,7 @@
     Raises
     ------
     OSError
-        When the address cannot be listened on.
+        When listening on the address fails.
     """
     loop = asyncio.get_running_loop()
     tasks = anyio.create_task_group()
--- a/src/passlane/runtime/delayed_network.py
+++ b/src/passlane/runtime/delayed_network.py
@@ -1,4 +1,4 @@
-"""Adds delays between zones, for a fleet whose processes share one machine.
+"""Adds simulated delays between zones, for a fleet whose processes share one machine.
 
 The side that opens a connection delays both directions; the accepting side adds nothing.
 """
@@ -15,16 +15,16 @@
 
 
 class DelayedNetwork:
-    """Wraps a network; what goes to or comes from a peer takes a zone's delay longer.
+    """Wraps a network and delays data to and from a peer by the delay of its zone.
 
     Parameters
     ----------
     inner
-        The network that carries the bytes.
+        Network that carries the bytes.
     own_zone
         Zone of this process.
     delays
-        Zones by host and the added one-way delays; hosts not named get none.
+        Zones by host and the added one-way delays; unlisted hosts get no delay.
     """
 
     def __init__(self, inner: Network, own_zone: str, delays: SimulatedDelaySettings) -> None:
@@ -33,7 +33,7 @@
         self._delays = delays
 
     def delay_s(self, host: str) -> float:
-        """Return the added one-way delay to a host."""
+        """Return the added one-way delay to a host in seconds."""
         zone = self._delays.zone_of_host.get(host)
         if zone is None:
             return 0.0
@@ -41,7 +41,7 @@
         return self._delays.same_zone_s if same else self._delays.other_zone_s
 
     async def connect(self, address: Address) -> ByteStream:
-        """Open a connection after one round trip's delay."""
+        """Open a connection after the delay of one round trip."""
         delay_s = self.delay_s(address.host)
         if delay_s == 0.0:
             return await self._inner.connect(address)
@@ -54,11 +54,11 @@
 
 
 class DelayedStream(ByteStream):
-    """Delays what is sent and received on a stream.
+    """Delays the data sent and received on a stream.
 
-    A send returns after its delay, so the writer of a channel puts what was queued
-    meanwhile into its next write. That bounds the number of writes a second, not their
-    size; a batch that comes in is given out after its delay in the same way.
+    A send returns after its delay, so a channel's writer batches the messages queued in the
+    meantime into its next write. This limits the number of writes per second, not their
+    size. Each receive is delayed in the same way.
     """
 
     def __init__(self, inner: ByteStream, delay_s: float) -> None:
@@ -71,13 +71,13 @@
         await self._inner.send(item)
 
     async def receive(self, max_bytes: int = 65_536) -> bytes:
-        """Return data once its delay has passed."""
+        """Receive data and return it after the delay."""
         data = await self._inner.receive(max_bytes)
         await anyio.sleep(self._delay_s)
         return data
 
     async def send_eof(self) -> None:
-        """End the outgoing direction."""
+        """Close the outgoing direction."""
         await self._inner.send_eof()
 
     async def aclose(self) -> None:
@@ -86,5 +86,5 @@
 
     @property
     def extra_attributes(self) -> Mapping[Any, Callable[[], Any]]:
-        """Return those of the wrapped stream."""
+        """Return the attributes of the wrapped stream."""
         return self._inner.extra_attributes
--- a/src/passlane/runtime/disk.py
+++ b/src/passlane/runtime/disk.py
@@ -1,8 +1,8 @@
-"""The real disk: files below one folder, durable once synced.
+"""The real disk: files below one data folder, durable once synced.
 
-Syncing may take milliseconds to seconds, so it runs on a worker thread while the
-loop goes on; see docs/design/storage.md. Names end up durable too: whenever a file
-was made, replaced or removed, its folder is synced.
+Syncing can take seconds, so it runs on worker threads and does not block the event loop.
+File names are durable too: after a file is created, replaced or removed, its folder is
+synced.
 """
 
 import errno
@@ -19,21 +19,21 @@
 from passlane.runtime.worker_thread import WorkerThread
 
 TEMPORARY_SUFFIX = ".new"
-"""Ending of a file that is being written beside the one it will replace."""
+"""Suffix of a temporary file that is written before it replaces the target file."""
 
-SYNC_EVERY_BYTES = 4_000_000
-"""A file written in parts is synced as it grows, so that no sync has gigabytes to write
-while syncs of the log wait behind it."""
+SYNC_INTERVAL_BYTES = 4_000_000
+"""A file written in parts is synced at this interval, so that no single large sync delays
+the syncs of the log."""
 
 MAX_SYNC_THREADS = 8
-"""Most files of one data folder that are synced at the same time."""
+"""Maximum number of concurrent blocking operations on one data folder."""
 
 
 Result = TypeVar("Result")
 
 
 def _sync_folder(folder: Path) -> None:
-    """Make the names in ``folder`` durable."""
+    """Sync ``folder``, which makes the names in it durable."""
     descriptor = os.open(folder, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
@@ -41,17 +41,17 @@
         os.close(descriptor)
 
 
-def _make_folder(folder: Path) -> None:
-    """Make ``folder`` and its parents; each new name is durable on return."""
+def _create_folder(folder: Path) -> None:
+    """Create ``folder`` and its parents; each new name is durable on return."""
     if folder.is_dir():
         return
-    _make_folder(folder.parent)
+    _create_folder(folder.parent)
     folder.mkdir(exist_ok=True)
     _sync_folder(folder.parent)
 
 
 def _write_all(descriptor: int, data: bytes) -> None:
-    """Write all of ``data``; ``os.write`` may write only a part of it."""
+    """Write all of ``data``, since ``os.write`` may write only a part of it."""
     view = memoryview(data)
     while view:
         written = os.write(descriptor, view)
@@ -59,35 +59,35 @@
 
 
 class _ReplacementFile:
-    """A file written beside the one that it replaces at the end (worker thread)."""
+    """A temporary file that atomically replaces its target; used on worker threads."""
 
     def __init__(self, path: Path) -> None:
-        _make_folder(path.parent)
+        _create_folder(path.parent)
         self._path = path
-        self._beside = path.with_name(path.name + TEMPORARY_SUFFIX)
+        self._temporary_path = path.with_name(path.name + TEMPORARY_SUFFIX)
         self._unsynced_bytes = 0
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
-        self._descriptor = os.open(self._beside, flags, 0o600)
+        self._descriptor = os.open(self._temporary_path, flags, 0o600)
 
     def write(self, data: bytes) -> None:
-        """Append ``data``, and sync when enough has gathered."""
+        """Append ``data``; sync after each ``SYNC_INTERVAL_BYTES``."""
         _write_all(self._descriptor, data)
         self._unsynced_bytes += len(data)
-        if self._unsynced_bytes >= SYNC_EVERY_BYTES:
+        if self._unsynced_bytes >= SYNC_INTERVAL_BYTES:
             os.fdatasync(self._descriptor)
             self._unsynced_bytes = 0
 
-    def put_in_place(self) -> None:
-        """Sync, rename, sync the folder."""
+    def commit(self) -> None:
+        """Sync the file, rename it to its target and sync the folder."""
         os.fsync(self._descriptor)
         self._close()
-        self._beside.rename(self._path)
+        self._temporary_path.rename(self._path)
         _sync_folder(self._path.parent)
 
     def abandon(self) -> None:
-        """Remove the file if it was not put in place."""
+        """Remove the temporary file unless it was committed."""
         self._close()
-        self._beside.unlink(missing_ok=True)
+        self._temporary_path.unlink(missing_ok=True)
 
     def _close(self) -> None:
         if self._descriptor >= 0:
@@ -96,7 +96,7 @@
 
 
 def _truncate_file(path: Path, length: int) -> None:
-    """Cut and sync (worker thread)."""
+    """Truncate and sync a file; runs on a worker thread."""
     descriptor = os.open(path, os.O_WRONLY)
     try:
         os.ftruncate(descriptor, length)
@@ -106,7 +106,7 @@
 
 
 def _remove_file(path: Path) -> None:
-    """Unlink and sync the folder (worker thread)."""
+    """Remove a file and sync its folder; runs on a worker thread."""
     if not path.exists():
         return
     path.unlink()
@@ -142,7 +142,7 @@
 class RealAppendFile:
     """A file opened for appending; see ``AppendFile``.
 
-    A write that fails half-way, as on a full disk, is taken back whole.
+    A write that fails partway, as on a full disk, is rolled back.
     """
 
     def __init__(self, path: Path) -> None:
@@ -154,7 +154,7 @@
         self._size = os.fstat(self._descriptor).st_size
 
     def write(self, data: bytes) -> None:
-        """Append ``data``; raise ``OSError`` and leave the file as it was on failure."""
+        """Append ``data``; on failure raise ``OSError`` and restore the previous length."""
         try:
             _write_all(self._descriptor, data)
         except OSError:
@@ -167,7 +167,7 @@
         await self._sync_thread.run()
 
     def _sync(self) -> None:
-        """Sync the data and, the first time, the name (worker thread)."""
+        """Sync the data and, the first time, the file name; runs on a worker thread."""
         os.fdatasync(self._descriptor)
         if not self._name_is_durable:
             _sync_folder(self._path.parent)
@@ -189,7 +189,7 @@
         self._limiter: anyio.CapacityLimiter | None = None
 
     def list_files(self, folder: str) -> list[str]:
-        """Return the sorted names of the files in ``folder``; empty if there is none."""
+        """Return the sorted names of the files in ``folder``; empty if it is missing."""
         path = self._path(folder)
         if not path.is_dir():
             return []
@@ -197,58 +197,58 @@
         return sorted(name for name in names if not name.endswith(TEMPORARY_SUFFIX))
 
     def read(self, name: str) -> bytes:
-        """Return the whole file; raise ``FileNotFoundError`` if there is none."""
+        """Return the whole file; raise ``FileNotFoundError`` if it is missing."""
         return self._path(name).read_bytes()
 
     def open_read(self, name: str) -> RealReadableFile:
-        """Open a file for reading; raise ``FileNotFoundError`` if there is none."""
+        """Open a file for reading; raise ``FileNotFoundError`` if it is missing."""
         return RealReadableFile(self._path(name))
 
     def open_append(self, name: str) -> RealAppendFile:
-        """Open a file for appending; make it and its folders if there is none."""
+        """Open a file for appending; create it and its folders if they are missing."""
         path = self._path(name)
-        _make_folder(path.parent)
+        _create_folder(path.parent)
         return RealAppendFile(path)
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Put ``data`` in place of the file, whole and durable or not at all."""
+        """Replace the file with ``data``, atomically and durably."""
         await self.replace_with_parts(name, (data,))
 
     async def replace_with_parts(self, name: str, parts: Iterable[bytes]) -> None:
-        """Put the joined ``parts`` in place of the file, whole and durable or not at all.
+        """Replace the file with the concatenated ``parts``, atomically and durably.
 
-        Each part is taken from ``parts`` on the loop and written on a worker thread.
+        Each part is produced on the event loop and written on a worker thread.
         """
-        file = await self._run(partial(_ReplacementFile, self._path(name)))
+        file = await self._run_blocking(partial(_ReplacementFile, self._path(name)))
         try:
             for part in parts:
-                await self._run(partial(file.write, part))
-            await self._run(file.put_in_place)
+                await self._run_blocking(partial(file.write, part))
+            await self._run_blocking(file.commit)
         except BaseException:
             file.abandon()
             raise
 
     async def truncate(self, name: str, length: int) -> None:
-        """Cut the file to ``length`` bytes, durably."""
-        await self._run(partial(_truncate_file, self._path(name), length))
+        """Truncate the file to ``length`` bytes, durably."""
+        await self._run_blocking(partial(_truncate_file, self._path(name), length))
 
     async def remove(self, name: str) -> None:
-        """Remove the file, durably; do nothing if there is none."""
-        await self._run(partial(_remove_file, self._path(name)))
+        """Remove the file, durably; do nothing if it is missing."""
+        await self._run_blocking(partial(_remove_file, self._path(name)))
 
-    async def _run(self, function: Callable[[], Result]) -> Result:
+    async def _run_blocking(self, function: Callable[[], Result]) -> Result:
         """Run a blocking function on a worker thread."""
         return await anyio.to_thread.run_sync(function, limiter=self._thread_limiter())
 
     def _thread_limiter(self) -> anyio.CapacityLimiter:
-        """Return the limiter, made on first use because it needs a running loop."""
+        """Return the limiter, created on first use because it needs a running event loop."""
         if self._limiter is None:
             self._limiter = anyio.CapacityLimiter(MAX_SYNC_THREADS)
         return self._limiter
 
     def _path(self, name: str) -> Path:
-        """Return the path of ``name``; refuse names that lead out of the root."""
+        """Return the path of ``name``; reject names that leave the root."""
         parts = PurePosixPath(name)
         if parts.is_absolute() or ".." in parts.parts:
-            raise OSError(errno.EINVAL, f"not a name below the data folder: {name!r}")
+            raise OSError(errno.EINVAL, f"file name must be relative and without '..': {name!r}")
         return self._root / parts
--- a/src/passlane/runtime/early_listening.py
+++ b/src/passlane/runtime/early_listening.py
@@ -1,8 +1,8 @@
 """Sockets that listen before most of the process is imported.
 
-While a process imports its code, connections to a port that nobody listens on are reset,
-and a client spends one of its few tries. A socket that listens already lets them wait for
-the moment that it takes to start. Only modules of the standard library are imported here.
+Without them, connections during a start are reset and cost clients one of their retries.
+A listening socket queues them until the server runs. Only standard library modules are
+imported here, so that listening starts early.
 """
 
 import socket
@@ -12,7 +12,7 @@
 
 
 class ListeningSockets:
-    """Listening sockets by address; each is handed out once."""
+    """Listening sockets by address; each can be taken once."""
 
     def __init__(self) -> None:
         self._sockets: dict[str, socket.socket] = {}
@@ -20,8 +20,8 @@
     def listen(self, addresses: Iterable[str]) -> None:
         """Listen on addresses of the form ``host:port``.
 
-        One that can't be listened on is left out: whoever serves it tries again and
-        reports the error.
+        Addresses that fail are skipped; the server listens on them again and reports
+        the error.
         """
         for address in addresses:
             listening = _listen(address)
@@ -29,14 +29,14 @@
                 self._sockets[address] = listening
 
     def take(self, address: str) -> socket.socket | None:
-        """Return the socket that listens on an address, if it was not taken before."""
+        """Return and remove the listening socket of an address; ``None`` if there is none."""
         return self._sockets.pop(address, None)
 
 
 def bound_socket(host: str, port: int) -> socket.socket:
-    """Return a socket that is bound to an address; raise ``OSError`` if that fails."""
-    # asyncio turns Nagle's algorithm off only where the protocol is named, and accepted
-    # sockets inherit it; without that an answer waits 40 ms for a delayed acknowledgement.
+    """Return a socket bound to an address; raise ``OSError`` if binding fails."""
+    # asyncio disables Nagle's algorithm only on sockets with an explicit protocol, which
+    # accepted sockets inherit. Otherwise responses wait for a delayed acknowledgement.
     bound = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -53,6 +53,6 @@
         listening = bound_socket(host, int(port))
         listening.listen(LISTEN_BACKLOG)
     except (OSError, ValueError, OverflowError):
-        # The server listens again when it starts, and then tells what is wrong.
+        # The server listens again when it starts and then reports the error.
         return None
     return listening
--- a/src/passlane/runtime/http_client.py
+++ b/src/passlane/runtime/http_client.py
@@ -1,8 +1,8 @@
-"""HTTP requests to back ends over single connections of httpcore, owned explicitly.
+"""HTTP client for backends, with its own pool of single httpcore connections.
 
-Each connection carries one request at a time. A connection whose answer was read to
-its end waits for the next request to the same address; any other is closed, so a late
-answer can never be taken for that of another request.
+Each connection carries one request at a time. A connection is reused for the same address
+only after its response was read to the end. Any other is closed, so that a delayed response
+is never matched to another request.
 """
 
 import re
@@ -35,21 +35,21 @@
 from passlane.runtime.interfaces import HttpConnectionError, HttpRequest, Network
 
 CONNECT_TIMEOUT_S = 0.3
-"""A machine that is dark says nothing; nothing was sent, so another one may be tried."""
+"""An unreachable machine does not answer. Nothing was sent, so the caller may try another."""
 IDLE_EXPIRY_S = 4.0
-"""Shorter than the usual five seconds after which servers close idle connections."""
+"""Below the common server default of five seconds for idle connections."""
 KEEP_ALIVE_MARGIN_S = 0.4
-"""A connection is not used in the last moments before its server closes it."""
+"""A connection expires this long before its server's keep-alive timeout."""
 MAX_IDLE_PER_ADDRESS = 64
 SWEEP_PERIOD_S = 5.0
-"""Connections that rest unused are looked through so often."""
-EXPECTED_FAILURES = (httpcore.NetworkError, httpcore.ProtocolError, OSError)
-"""Failures that connections are known to have; others are logged."""
-UNWRITABLE_REQUEST = (httpcore.LocalProtocolError, ValueError)
-"""Failures of the request itself: HTTP has no form for it."""
-SEND_PIECE_BYTES = 65_536
-"""A request leaves in pieces of this size: what a server doesn't read is held once, not as a
-copy in the connection too."""
+"""Minimum interval between removals of expired idle connections."""
+EXPECTED_ERRORS = (httpcore.NetworkError, httpcore.ProtocolError, OSError)
+"""Errors that connections normally raise; others are logged."""
+INVALID_REQUEST_ERRORS = (httpcore.LocalProtocolError, ValueError)
+"""Errors raised for a request that cannot be encoded as HTTP."""
+SEND_CHUNK_BYTES = 65_536
+"""Requests are sent in chunks of this size, so that the transport buffers only one chunk
+of a large request."""
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
@@ -59,13 +59,13 @@
 class _ByteStreamAdapter(httpcore.AsyncNetworkStream):
     """Lets httpcore read and write an anyio byte stream.
 
-    httpcore writes a request's head and body apart; they leave together, when the answer
-    is waited for.
+    httpcore writes the head and body of a request separately; they are buffered and sent
+    together when the response is read.
 
     Attributes
     ----------
     has_sent
-        Whether bytes of the request under way may have left this process.
+        Whether bytes of the current request may have left this process.
     """
 
     def __init__(self, stream: ByteStream) -> None:
@@ -74,7 +74,7 @@
         self._unsent: list[bytes] = []
 
     def begin_request(self) -> None:
-        """Forget what was written for earlier requests."""
+        """Discard the state of the previous request."""
         self.has_sent = False
         self._unsent.clear()
 
@@ -84,7 +84,7 @@
                 await self._send_unsent()
                 return await self._stream.receive(max_bytes)
         except anyio.EndOfStream:
-            # So httpcore's network stream tells an end.
+            # httpcore expects empty bytes at the end of a stream.
             return b""
         except (anyio.BrokenResourceError, anyio.ClosedResourceError) as error:
             raise httpcore.ReadError(str(error)) from error
@@ -94,14 +94,14 @@
             self._unsent.append(buffer)
 
     async def _send_unsent(self) -> None:
-        """Send what was written; a server that refuses early may have answered all the same."""
+        """Send buffered bytes; ignore broken connections, since a response may have arrived."""
         if not self._unsent:
             return
         unsent, self._unsent = self._unsent, []
         self.has_sent = True
         with suppress(anyio.BrokenResourceError, anyio.ClosedResourceError):
-            for piece in _pieces(unsent):
-                await self._stream.send(piece)
+            for chunk in _split_into_chunks(unsent):
+                await self._stream.send(chunk)
 
     async def aclose(self) -> None:
         await anyio.aclose_forcefully(self._stream)
@@ -112,7 +112,7 @@
         server_hostname: str | None = None,
         timeout: float | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        raise NotImplementedError("back ends are reached without TLS")
+        raise NotImplementedError("connections to backends do not support TLS")
 
     def get_extra_info(self, info: str) -> Any:
         if info != "is_readable":
@@ -121,30 +121,30 @@
         return raw_socket is not None and _is_readable(raw_socket.fileno())
 
 
-def _pieces(buffers: Sequence[bytes]) -> Iterator[bytes]:
-    """Return all bytes in pieces of a bounded size; small buffers together in one piece."""
-    if sum(map(len, buffers)) <= SEND_PIECE_BYTES:
+def _split_into_chunks(buffers: Sequence[bytes]) -> Iterator[bytes]:
+    """Yield all bytes in chunks of a bounded size; in one chunk if they fit."""
+    if sum(map(len, buffers)) <= SEND_CHUNK_BYTES:
         yield b"".join(buffers)
         return
     for buffer in buffers:
-        for start in range(0, len(buffer), SEND_PIECE_BYTES):
-            yield buffer[start : start + SEND_PIECE_BYTES]
+        for start in range(0, len(buffer), SEND_CHUNK_BYTES):
+            yield buffer[start : start + SEND_CHUNK_BYTES]
 
 
 def _time_limit(timeout: float | None) -> AbstractContextManager[object]:
-    """Return a limit of time; without one, what costs nothing."""
+    """Return a context that fails after ``timeout`` seconds; ``None`` sets no limit."""
     return nullcontext() if timeout is None else anyio.fail_after(timeout)
 
 
 def _is_readable(file_descriptor: int) -> bool:
-    """Return whether something, such as the end of the stream, waits to be read."""
+    """Return whether data or the end of the stream can be read without waiting."""
     poll = select.poll()
     poll.register(file_descriptor, select.POLLIN)
     return bool(poll.poll(0))
 
 
 class _Response:
-    """An answer whose head has arrived; implements ``runtime.interfaces.HttpResponse``."""
+    """A response whose headers were received; implements ``runtime.interfaces.HttpResponse``."""
 
     def __init__(self, response: httpcore.Response, address: Address) -> None:
         self.status = response.status
@@ -154,11 +154,11 @@
         self._body = self._read_body()
 
     def chunks(self) -> AsyncGenerator[bytes, None]:
-        """Return the body's parts as they arrive."""
+        """Return the parts of the body as they arrive."""
         return self._body
 
     async def _read_body(self) -> AsyncGenerator[bytes, None]:
-        # httpcore declares an iterator; it is a generator, to be closed when left early.
+        # httpcore declares an iterator, but returns a generator, which must be closed.
         parts = cast(AsyncGenerator[bytes, None], self._response.aiter_stream())
         try:
             async with aclosing(parts):
@@ -171,7 +171,7 @@
             ) from error
 
     async def aclose(self) -> None:
-        """End the answer, read to its end or not; a failure here says nothing about it."""
+        """Close the response; errors while closing do not affect its result."""
         try:
             await self._body.aclose()
             await self._response.aclose()
@@ -180,14 +180,14 @@
 
 
 class _Connection:
-    """One connection, and what was last sent on it.
+    """One connection and the answer key of its last request.
 
     Attributes
     ----------
     answer_key
-        That of the last request; see ``HttpRequest``.
+        Answer key of the last request; see ``HttpRequest``.
     server
-        Names the process that it was opened to; empty if unknown.
+        Identifies the process that the connection was opened to; empty if unknown.
     """
 
     def __init__(self, address: Address, server: str, stream: ByteStream) -> None:
@@ -201,14 +201,14 @@
         )
 
     async def send(self, request: HttpRequest) -> httpcore.Response:
-        """Send a request and return the head of its answer.
+        """Send a request and return its response once the headers were received.
 
         Raises
         ------
         HttpConnectionError
-            For any failure, whatever the library calls it: what may be promised follows
-            from the bytes alone that were given to the network. A request that cannot be
-            written counts as sent, since no other connection would take it either.
+            For any failure. ``bytes_left`` depends only on whether bytes were passed to the
+            network, not on the type of the error. An invalid request counts as sent, because
+            a retry on another connection would fail too.
         """
         self.answer_key = request.answer_key
         self._stream.begin_request()
@@ -216,44 +216,44 @@
             return await self.http.handle_async_request(_to_httpcore(request))
         except Exception as error:
             _log_unexpected(error, self._address)
-            is_unwritable = isinstance(error, UNWRITABLE_REQUEST)
+            is_invalid_request = isinstance(error, INVALID_REQUEST_ERRORS)
             raise HttpConnectionError(
                 f"no answer from {self._address}: {error!r}",
-                bytes_left=self._stream.has_sent or is_unwritable,
+                bytes_left=self._stream.has_sent or is_invalid_request,
             ) from error
 
     async def close(self) -> None:
-        """Close the connection, whatever state it is in."""
+        """Close the connection in any state."""
         with anyio.CancelScope(shield=True):
             try:
                 await self.http.aclose()
             except Exception as error:
                 _log_unexpected(error, self._address)
 
-    def is_clean(self) -> bool:
-        """Whether the next answer can only be that of the next request."""
-        return self.http.is_idle() and not _has_unasked_bytes(self.http)
+    def is_reusable(self) -> bool:
+        """Return whether the next response can only belong to the next request."""
+        return self.http.is_idle() and not _has_trailing_data(self.http)
 
 
 class _IdleConnection(msgspec.Struct, frozen=True):
-    """A connection whose last answer was read to its end, at time ``since``."""
+    """An idle connection whose last response was read to the end at time ``since``."""
 
     connection: _Connection
     since: float
     expiry_s: float
 
-    def is_young(self) -> bool:
-        """Whether it has rested for less long than its server waits."""
+    def is_unexpired(self) -> bool:
+        """Return whether it was idle for less than its expiry time."""
         return anyio.current_time() - self.since < self.expiry_s
 
     def is_usable(self) -> bool:
-        """Whether the server has most likely not closed it."""
+        """Return whether the server has most likely not closed it."""
         http = self.connection.http
-        return self.is_young() and http.is_idle() and not http.has_expired()
+        return self.is_unexpired() and http.is_idle() and not http.has_expired()
 
 
 class SingleConnectionHttpClient:
-    """Sends each request on a connection of its own; implements ``HttpClient``."""
+    """Sends one request at a time on each connection; implements ``HttpClient``."""
 
     def __init__(self, network: Network) -> None:
         self._network = network
@@ -262,8 +262,8 @@
 
     @asynccontextmanager
     async def exchange(self, request: HttpRequest) -> AsyncIterator[_Response]:
-        """Send a request and give its answer; leaving early closes the connection."""
-        connection = await self._take_idle(request)
+        """Send a request and yield its response; leaving early closes the connection."""
+        connection = await self._acquire_idle(request)
         if connection is None:
             connection = await self._open(request)
         expiry_s = IDLE_EXPIRY_S
@@ -276,14 +276,14 @@
                 with anyio.CancelScope(shield=True):
                     await response.aclose()
         finally:
-            await self._give_back(request.address, connection, expiry_s)
+            await self._release(request.address, connection, expiry_s)
 
     def has_idle_connection(self, address: Address) -> bool:
-        """Whether a request to this address needs no new connection."""
+        """Return whether an idle connection to this address exists."""
         idle = self._idle.get(address)
-        return idle is not None and len(idle) > 0 and idle[-1].is_young()
+        return idle is not None and len(idle) > 0 and idle[-1].is_unexpired()
 
-    async def _take_idle(self, request: HttpRequest) -> _Connection | None:
+    async def _acquire_idle(self, request: HttpRequest) -> _Connection | None:
         if request.fresh_connection:
             return None
         idle = self._idle.get(request.address, [])
@@ -313,8 +313,8 @@
             ) from error
         return _Connection(address, request.server, stream)
 
-    async def _sweep(self) -> None:
-        """Now and then close what will not be used again, such as for servers that are gone."""
+    async def _close_expired(self) -> None:
+        """Close unusable idle connections, at most once per ``SWEEP_PERIOD_S``."""
         now = anyio.current_time()
         if now < self._next_sweep_at:
             return
@@ -330,37 +330,38 @@
         for idle_connection in unusable:
             await idle_connection.connection.close()
 
-    async def _give_back(
+    async def _release(
         self,
         address: Address,
         connection: _Connection,
         expiry_s: float,
     ) -> None:
-        await self._sweep()
+        await self._close_expired()
         idle = self._idle.setdefault(address, [])
-        if connection.is_clean() and expiry_s > 0 and len(idle) < MAX_IDLE_PER_ADDRESS:
+        if connection.is_reusable() and expiry_s > 0 and len(idle) < MAX_IDLE_PER_ADDRESS:
             idle.append(_IdleConnection(connection, anyio.current_time(), expiry_s))
             return
         await connection.close()
 
 
 def _log_unexpected(error: Exception, address: Address) -> None:
-    """Log a failure that connections are not known to have; it is treated like the others."""
-    if not isinstance(error, EXPECTED_FAILURES):
+    """Log an error that is not in ``EXPECTED_ERRORS``."""
+    if not isinstance(error, EXPECTED_ERRORS):
         _log.warning("unexpected_connection_failure", address=str(address), error=repr(error))
 
 
-def _has_unasked_bytes(connection: httpcore.AsyncHTTP11Connection) -> bool:
-    """Return whether more has arrived than the answer that was asked for.
+def _has_trailing_data(connection: httpcore.AsyncHTTP11Connection) -> bool:
+    """Return whether bytes were received after the end of the response.
 
-    It would be taken for the next request's answer. httpcore has no public way to ask.
+    They would be read as the response to the next request. httpcore has no public method
+    for this check.
     """
     trailing, _ = connection._h11_state.trailing_data
     return bool(trailing)
 
 
 def _joined_headers(response: httpcore.Response) -> dict[str, str]:
-    """Return the headers by lower-case name; values of one name are joined by commas."""
+    """Return the headers by lower-case name; repeated values are joined by commas."""
     headers: dict[str, str] = {}
     for raw_name, raw_value in response.headers:
         name = raw_name.decode("latin-1").lower()
@@ -370,7 +371,7 @@
 
 
 def _idle_expiry_s(headers: Mapping[str, str]) -> float:
-    """Return how long a connection may rest, by what the server has told."""
+    """Return the maximum idle time in seconds, from the server's ``Keep-Alive`` header."""
     match = _KEEP_ALIVE_TIMEOUT.search(headers.get("keep-alive", ""))
     if match is None:
         return IDLE_EXPIRY_S
--- a/src/passlane/runtime/http_connection.py
+++ b/src/passlane/runtime/http_connection.py
@@ -1,6 +1,6 @@
 """Single HTTP/1.1 connections of httpcore, without its pools, proxies and certificates.
 
-These are most of what ``import httpcore`` brings, more than a megabyte of a node's memory.
+Skipping the initialization of ``httpcore`` avoids importing these and saves memory.
 """
 
 from passlane.runtime.packages import initialization_skipped
--- a/src/passlane/runtime/http_limits.py
+++ b/src/passlane/runtime/http_limits.py
@@ -1,4 +1,4 @@
-"""Limits on what an HTTP client may send, and how long it may take; uvicorn has none."""
+"""Limits on header size and time for uvicorn's HTTP connections, which have none."""
 
 import asyncio
 from typing import Any
@@ -13,14 +13,14 @@
 
 
 class LimitedHttpProtocol(HttpToolsProtocol):
-    """uvicorn's connection with limits on headers and on time.
+    """uvicorn's HTTP protocol with limits on headers and time.
 
-    Implements ``runtime.interfaces.WatchedConnection`` where its limits name a watch.
+    Implements ``runtime.interfaces.WatchedConnection`` if its limits have a watch.
 
     Parameters
     ----------
     limits
-        Asked anew for each request.
+        Read again for each request, so that changes take effect.
     """
 
     def __init__(self, *args: Any, limits: HttpLimits, **options: Any) -> None:
@@ -33,7 +33,7 @@
         self._ending = ConnectionEnding()
 
     def connection_made(self, transport: asyncio.Transport) -> None:  # type: ignore[override]
-        """Begin to wait for a first request."""
+        """Start the idle timeout and, if there is a watch, register the connection."""
         watch = self._limits.watch
         if watch is None:
             super().connection_made(transport)
@@ -48,7 +48,7 @@
         )
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop the timer of a connection that has ended."""
+        """Stop the header timer and unregister the connection."""
         self._stop_header_timer()
         if self._counter is not None and self._limits.watch is not None:
             self._limits.watch.closed(self)
@@ -56,37 +56,37 @@
 
     @property
     def peer(self) -> str:
-        """Address of the reader; empty if unknown."""
+        """Address of the client; empty if unknown."""
         return f"{self.client[0]}:{self.client[1]}" if self.client is not None else ""
 
     @property
     def written_bytes(self) -> int:
-        """Bytes written so far."""
+        """Number of bytes written so far."""
         return self._counter.written_bytes if self._counter is not None else 0
 
     @property
     def unread_bytes(self) -> int:
-        """Bytes of these that the socket hasn't taken."""
+        """Number of written bytes that the socket has not accepted yet."""
         return self._counter.get_write_buffer_size() if self._counter is not None else 0
 
     def hold_writers(self, *, is_held: bool) -> None:
-        """Have writers wait as long as anything is unread, or else until the usual bound."""
+        """Pause writers while any bytes are unread, or else only at the write buffer limit."""
         if self._counter is not None:
             high = 0 if is_held else self._limits.write_buffer_bytes
             self._counter.set_write_buffer_limits(high)
 
     def end(self, reason: str) -> None:
-        """Close the connection at once; the application learns the reason."""
+        """Close the connection immediately and record the reason for the application."""
         self._ending.reason = reason
         self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes, unless the connection was refused."""
+        """Process received bytes unless the connection was refused."""
         if not self._is_refused:
             super().data_received(data)
 
     def on_message_begin(self) -> None:
-        """Begin a request: its headers must be whole in time."""
+        """Begin a request and start its header timer."""
         super().on_message_begin()
         self.scope["state"][ENDING_STATE] = self._ending
         self._header_bytes = 0
@@ -97,30 +97,30 @@
         )
 
     def on_url(self, url: bytes) -> None:
-        """Count the target among the headers."""
+        """Count the request target towards the header limit."""
         self._header_bytes += len(url)
         super().on_url(url)
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Count a header; refuse the request when there is too much."""
+        """Count a header; refuse the request above the header limit."""
         self._header_bytes += len(name) + len(value)
         if self._header_bytes > self._limits.max_header_bytes:
             self._refuse(HEADERS_TOO_LARGE)
         super().on_header(name, value)
 
     def on_headers_complete(self) -> None:
-        """Hand a request to the application, unless it was refused."""
+        """Pass the request to the application unless it was refused."""
         self._stop_header_timer()
         if not self._is_refused:
             super().on_headers_complete()
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of a body, unless the request was refused."""
+        """Process a part of the body unless the request was refused."""
         if not self._is_refused:
             super().on_body(body)
 
     def on_message_complete(self) -> None:
-        """End a request, unless it was refused."""
+        """Complete the request unless it was refused."""
         if not self._is_refused:
             super().on_message_complete()
 
@@ -130,7 +130,7 @@
             self._header_timer = None
 
     def _refuse(self, status: bytes) -> None:
-        """Answer with a status, if no answer is under way, and close the connection."""
+        """Close the connection; first send an error status if no response is in progress."""
         if self._is_refused or self.transport.is_closing():
             return
         self._is_refused = True
--- a/src/passlane/runtime/http_server.py
+++ b/src/passlane/runtime/http_server.py
@@ -1,4 +1,4 @@
-"""ASGI applications served by uvicorn."""
+"""Serves ASGI applications with uvicorn."""
 
 import asyncio
 import contextlib
@@ -15,7 +15,7 @@
 from passlane.runtime.interfaces import AsgiApplication, HttpLimits
 from passlane.runtime.packages import skip_initialization
 
-# uvicorn's own command line is most of what ``import uvicorn`` brings.
+# ``import uvicorn`` would also import its command line, which is not used.
 _uvicorn = skip_initialization("uvicorn")
 
 from uvicorn.config import Config  # noqa: E402
@@ -23,26 +23,26 @@
 
 from passlane.runtime.http_limits import LimitedHttpProtocol  # noqa: E402
 
-# Modules of uvicorn import this name from the package itself.
+# Modules of uvicorn import this name from the package.
 vars(_uvicorn).setdefault("Config", Config)
 
 
 class _Server(Server):
-    """A server that leaves signals to the daemon, and sleeps until it is stopped."""
+    """A uvicorn server without signal handlers that sleeps until it is stopped."""
 
     def __init__(self, config: Config) -> None:
         super().__init__(config)
         self._stopped = asyncio.Event()
 
     def stop(self, finish_s: float) -> None:
-        """Accept no more connections, and let requests in flight finish in some seconds."""
-        # uvicorn declares whole seconds, and hands them to asyncio, which takes any number.
+        """Stop accepting connections and give requests in flight ``finish_s`` seconds."""
+        # uvicorn declares an int but passes it to asyncio, which accepts fractions.
         self.config.timeout_graceful_shutdown = finish_s  # type: ignore[assignment]
         self.should_exit = True
         self._stopped.set()
 
     async def main_loop(self) -> None:
-        """Wait for ``stop``; uvicorn would wake up ten times a second to look for it."""
+        """Wait for ``stop`` instead of polling, as uvicorn does."""
         await self._stopped.wait()
 
     @contextlib.contextmanager
@@ -52,24 +52,24 @@
 
 
 def _protocol_with(limits: HttpLimits) -> type[asyncio.Protocol]:
-    """Return uvicorn's factory of connections that keep these limits."""
+    """Return a protocol factory for uvicorn that enforces ``limits``."""
     return cast(type[asyncio.Protocol], partial(LimitedHttpProtocol, limits=limits))
 
 
 class UvicornHttpServer:
-    """Serves applications by uvicorn; implements ``runtime.interfaces.HttpServer``.
+    """Serves applications with uvicorn; implements ``runtime.interfaces.HttpServer``.
 
     Parameters
     ----------
     sockets
-        Those that listen already; other addresses are listened on when they are served.
+        Sockets that already listen; others are opened when their address is served.
     """
 
     def __init__(self, sockets: ListeningSockets | None = None) -> None:
         self._sockets = sockets or ListeningSockets()
-        # Each write to a connection that is gone would be a line on standard error.
-        for noisy in ("uvicorn.error", "asyncio"):
-            logging.getLogger(noisy).setLevel(logging.CRITICAL)
+        # Each write to a closed connection would log a line to standard error.
+        for logger_name in ("uvicorn.error", "asyncio"):
+            logging.getLogger(logger_name).setLevel(logging.CRITICAL)
 
     async def serve(
         self,
@@ -77,12 +77,12 @@
         application: AsgiApplication,
         limits: HttpLimits | None = None,
     ) -> None:
-        """Serve until cancelled; then let requests in flight finish and return.
+        """Serve until cancelled, then let requests in flight finish.
 
         Raises
         ------
         OSError
-            When the address cannot be listened on.
+            When listening on the address fails.
         """
         config = Config(
             application,
@@ -97,7 +97,7 @@
         )
         limits = limits or HttpLimits()
         server = _Server(config)
-        # Bound here, since uvicorn would end the process where that fails.
+        # Bound here because uvicorn exits the process when binding fails.
         listening = self._sockets.take(str(address)) or bound_socket(address.host, address.port)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._run_shielded, server, listening)
@@ -108,6 +108,6 @@
 
     @staticmethod
     async def _run_shielded(server: _Server, listening: socket.socket) -> None:
-        # Shielded, so that a cancelled server can finish what it has begun.
+        # Shielded so that a cancelled server can finish requests in flight.
         with anyio.CancelScope(shield=True):
             await server.serve(sockets=[listening])
--- a/src/passlane/runtime/interfaces.py
+++ b/src/passlane/runtime/interfaces.py
@@ -1,9 +1,8 @@
-"""Interfaces to the outside world: network, HTTP, disk, randomness.
+"""Interfaces to network, HTTP, disk and randomness.
 
-Every part of the daemons reaches the outside only through an ``Environment``, so
-that the simulation can put its own network, disk and random numbers in their
-place. Time comes from ``anyio.current_time`` and ``anyio.sleep``, which follow the
-virtual clock under trio's ``MockClock``.
+Daemons use these only through an ``Environment``, so that the simulation can replace
+network, disk and random numbers. Time comes from ``anyio.current_time`` and
+``anyio.sleep``, which follow the virtual clock under trio's ``MockClock``.
 """
 
 import random
@@ -24,10 +23,10 @@
 
 
 class Network(Protocol):
-    """Byte streams over TCP, or their simulated kin."""
+    """Byte streams over TCP, or a simulation of them."""
 
     async def connect(self, address: Address) -> ByteStream:
-        """Open a connection; raise ``OSError`` when that fails."""
+        """Open a connection; raise ``OSError`` on failure."""
         ...
 
     async def serve(self, address: Address, handler: ConnectionHandler) -> None:
@@ -36,21 +35,31 @@
         Raises
         ------
         OSError
-            When the address cannot be listened on.
+            When listening on the address fails.
         """
         ...
 
 
 class HttpRequest(msgspec.Struct, frozen=True):
-    """A request to a back end. ``path`` starts with ``/``; ``body`` is whole.
-
-    ``host`` is the value of the header ``Host`` where that is not the address.
-    ``fresh_connection`` asks for a new connection: on a kept one a failure cannot be
-    told from a server that closed it while the request was on its way.
-    ``answer_key`` is what tells answers apart: a connection whose last request had the same
-    one is not used, since an answer too many on it could not be told from the new answer.
-    ``server`` names the process that is to answer: a connection that was opened to another one,
-    which had the address before, is not used.
+    """A request to a backend.
+
+    Attributes
+    ----------
+    path
+        Request target; starts with ``/``.
+    body
+        Complete body.
+    fresh_connection
+        Whether to open a new connection. On a reused connection, a failure may only mean
+        that the server closed it while the request was in transit.
+    host
+        Value of the ``Host`` header if it differs from the address.
+    answer_key
+        Identifies matching responses. A connection whose last request had the same key is
+        not reused, since a surplus response on it could be mistaken for the new one.
+    server
+        Identifies the process that must answer. Connections that were opened to another
+        process at the same address are not reused.
     """
 
     method: str
@@ -65,21 +74,21 @@
 
 
 class HttpResponse(Protocol):
-    """An answer whose head has arrived; header names are in lower case."""
+    """A response whose headers were received; header names are in lower case."""
 
     status: int
     headers: Mapping[str, str]
 
     def chunks(self) -> AsyncGenerator[bytes, None]:
-        """Return the body's parts as they arrive; raise ``OSError`` when it breaks off.
+        """Return the parts of the body as they arrive; raise ``OSError`` if it ends early.
 
-        A reader that stops before the end closes the generator (``contextlib.aclosing``).
+        A reader that stops before the end must close the generator (``contextlib.aclosing``).
         """
         ...
 
 
 class HttpConnectionError(OSError):
-    """A request could not be sent or its answer broke off.
+    """A request could not be sent or its response ended early.
 
     Attributes
     ----------
@@ -93,20 +102,20 @@
 
 
 class HttpClient(Protocol):
-    """Sends requests; owns its connections, one request at a time on each."""
+    """Sends requests, one at a time on each of its connections."""
 
     def exchange(self, request: HttpRequest) -> AbstractAsyncContextManager[HttpResponse]:
-        """Send a request and give its answer; leaving early closes the connection.
+        """Send a request and yield its response; leaving early closes the connection.
 
         Raises
         ------
         HttpConnectionError
-            On entry or while the body is read.
+            On entry, or while the body is read.
         """
         ...
 
     def has_idle_connection(self, address: Address) -> bool:
-        """Whether a request to this address needs no new connection."""
+        """Return whether an idle connection to this address exists."""
         ...
 
 
@@ -118,50 +127,50 @@
 
 
 class WatchedConnection(Protocol):
-    """A connection of a server, on which answers are written."""
+    """A server connection on which responses are written."""
 
     @property
     def peer(self) -> str:
-        """Address of the reader; empty if unknown."""
+        """Address of the client; empty if unknown."""
         ...
 
     @property
     def written_bytes(self) -> int:
-        """Bytes written to it so far."""
+        """Number of bytes written so far."""
         ...
 
     @property
     def unread_bytes(self) -> int:
-        """Bytes of these that the socket hasn't taken."""
+        """Number of written bytes that the socket has not accepted yet."""
         ...
 
     def hold_writers(self, *, is_held: bool) -> None:
-        """Have writers wait as long as anything is unread, or else until the usual bound."""
+        """Pause writers while any bytes are unread, or else only at the write buffer limit."""
         ...
 
     def end(self, reason: str) -> None:
-        """Close the connection at once; the application learns the reason."""
+        """Close the connection immediately and record the reason for the application."""
         ...
 
 
 class ConnectionWatch(Protocol):
-    """Learns of a server's connections."""
+    """Tracks the connections of a server."""
 
     def opened(self, connection: WatchedConnection) -> None:
-        """Watch a connection."""
+        """Start tracking a connection."""
         ...
 
     def closed(self, connection: WatchedConnection) -> None:
-        """Watch a connection no longer."""
+        """Stop tracking a connection."""
         ...
 
 
 ENDING_STATE = "passlane.connection_ending"
-"""Where the state of an ASGI scope holds the ``ConnectionEnding`` of a watched connection."""
+"""Key of a connection's ``ConnectionEnding`` in the state of its ASGI scopes."""
 
 
 class ConnectionEnding(msgspec.Struct):
-    """Why this side has ended a connection; empty unless it has."""
+    """Reason for which this side ended a connection; empty if it did not."""
 
     reason: str = ""
 
@@ -174,13 +183,13 @@
     header_timeout_s
         Time from the first byte of a request to the end of its headers.
     idle_timeout_s
-        How long a connection may rest between two requests.
+        Maximum idle time of a connection between two requests.
     finish_s
-        How long a server that was cancelled goes on with the requests in flight.
+        Time that a cancelled server gives requests in flight to finish.
     write_buffer_bytes
-        Unread bytes of one connection from which on its writers wait.
+        Unread bytes of one connection above which its writers pause.
     watch
-        Learns of each connection; ``None`` for nobody.
+        Tracks each connection; ``None`` disables it.
     """
 
     max_header_bytes: int = DEFAULT_HEADER_BYTES
@@ -205,7 +214,7 @@
 
 
 class AppendFile(Protocol):
-    """A file that is only appended to. Written data lasts once ``sync`` returned."""
+    """An append-only file. Written data is durable once ``sync`` returned."""
 
     def write(self, data: bytes) -> None:
         """Append ``data``; raise ``OSError`` (``ENOSPC`` when the disk is full)."""
@@ -221,9 +230,9 @@
 
 
 class ReadableFile(Protocol):
-    """A file opened for reading in pieces; it is closed when it is dropped.
+    """A file opened for random reads; it is closed when it is garbage collected.
 
-    It goes on reading the same bytes after its name was replaced or removed.
+    It continues to read the same bytes after its name was replaced or removed.
     """
 
     @property
@@ -240,45 +249,45 @@
     """Files below one data folder. Names are relative, with ``/`` between parts."""
 
     def list_files(self, folder: str) -> list[str]:
-        """Return the sorted names of the files in ``folder``; empty if there is none."""
+        """Return the sorted names of the files in ``folder``; empty if it is missing."""
         ...
 
     def read(self, name: str) -> bytes:
-        """Return the whole file; raise ``FileNotFoundError`` if there is none."""
+        """Return the whole file; raise ``FileNotFoundError`` if it is missing."""
         ...
 
     def open_read(self, name: str) -> ReadableFile:
-        """Open a file for reading; raise ``FileNotFoundError`` if there is none."""
+        """Open a file for reading; raise ``FileNotFoundError`` if it is missing."""
         ...
 
     def open_append(self, name: str) -> AppendFile:
-        """Open a file for appending; make it and its folders if there is none."""
+        """Open a file for appending; create it and its folders if they are missing."""
         ...
 
     async def replace(self, name: str, data: bytes) -> None:
-        """Put ``data`` in place of the file, whole and durable or not at all."""
+        """Replace the file with ``data``, atomically and durably."""
         ...
 
     async def replace_with_parts(self, name: str, parts: Iterable[bytes]) -> None:
-        """Put the joined ``parts`` in place of the file, whole and durable or not at all.
+        """Replace the file with the concatenated ``parts``, atomically and durably.
 
-        The loop goes on between two parts, so that a large file holds nothing up.
+        Other tasks run between two parts, so that a large file does not block the loop.
         """
         ...
 
     async def truncate(self, name: str, length: int) -> None:
-        """Cut the file to ``length`` bytes, durably."""
+        """Truncate the file to ``length`` bytes, durably."""
         ...
 
     async def remove(self, name: str) -> None:
-        """Remove the file, durably; do nothing if there is none."""
+        """Remove the file, durably; do nothing if it is missing."""
         ...
 
 
 class Environment(msgspec.Struct, frozen=True):
-    """All that a daemon may touch outside itself.
+    """All external resources of a daemon.
 
-    ``random`` is for jitter, two-choice routing and identifiers; seeded in simulation.
+    ``random`` is used for jitter, two-choice routing and identifiers; seeded in simulation.
     """
 
     network: Network
--- a/src/passlane/runtime/packages.py
+++ b/src/passlane/runtime/packages.py
@@ -1,4 +1,4 @@
-"""Packages of which a process uses some modules, but not what their ``__init__`` imports."""
+"""Imports modules of packages without running the packages' ``__init__``."""
 
 import importlib.util
 import sys
@@ -8,13 +8,13 @@
 
 
 def skip_initialization(package: str) -> ModuleType:
-    """Let modules of a package be imported without running its ``__init__``.
+    """Register a package so that its modules can be imported without its ``__init__``.
 
     Returns
     -------
     ModuleType
-        The package. Names that its ``__init__`` would have offered are missing, unless it
-        had been imported before.
+        The package, without the names that its ``__init__`` defines, unless it was
+        imported before.
     """
     if package in sys.modules:
         return sys.modules[package]
@@ -27,9 +27,9 @@
 
 @contextmanager
 def initialization_skipped(*packages: str) -> Iterator[None]:
-    """Let modules of packages be imported inside without running what these import.
+    """Skip the ``__init__`` of packages for imports inside the context.
 
-    Whoever imports such a package itself later gets it whole, with the same modules.
+    A later import of such a package runs its ``__init__`` and reuses the loaded modules.
     """
     skipped = [package for package in packages if package not in sys.modules]
     for package in skipped:
--- a/src/passlane/runtime/process_usage.py
+++ b/src/passlane/runtime/process_usage.py
@@ -1,20 +1,20 @@
-"""What this process occupies of its machine, as the kernel tells."""
+"""Resource usage of this process as reported by the kernel."""
 
 import resource
 from pathlib import Path
 
-STATUS_OF_MEMORY = Path("/proc/self/statm")
-DESCRIPTORS = Path("/proc/self/fd")
+MEMORY_STATUS_PATH = Path("/proc/self/statm")
+DESCRIPTORS_PATH = Path("/proc/self/fd")
 _RESIDENT_FIELD = 1
 _PAGE_BYTES = resource.getpagesize()
 
 
 def resident_bytes() -> int:
-    """Return the resident memory in bytes; raise ``OSError`` where that isn't told."""
-    return int(STATUS_OF_MEMORY.read_bytes().split()[_RESIDENT_FIELD]) * _PAGE_BYTES
+    """Return the resident memory in bytes; raise ``OSError`` if it is not available."""
+    return int(MEMORY_STATUS_PATH.read_bytes().split()[_RESIDENT_FIELD]) * _PAGE_BYTES
 
 
 def open_descriptors() -> int:
-    """Return the open descriptors; raise ``OSError`` where that isn't told."""
-    # Listing the folder opens one more.
-    return len(list(DESCRIPTORS.iterdir())) - 1
+    """Return the number of open descriptors; raise ``OSError`` if it is not available."""
+    # Listing the folder opens one descriptor itself.
+    return len(list(DESCRIPTORS_PATH.iterdir())) - 1
--- a/src/passlane/runtime/real.py
+++ b/src/passlane/runtime/real.py
@@ -1,4 +1,4 @@
-"""The real environment of a daemon: TCP, HTTP, disk and a random generator."""
+"""Builds the real environment of a daemon: TCP, HTTP, disk and a random generator."""
 
 import random
 from contextlib import AbstractAsyncContextManager
@@ -20,20 +20,20 @@
 from passlane.runtime.network import TcpNetwork
 
 
-class _NoHttpClient:
-    """Stands for the HTTP client in processes that send no requests."""
+class _DisabledHttpClient:
+    """HTTP client of processes that send no requests; every request fails."""
 
     def exchange(self, request: HttpRequest) -> AbstractAsyncContextManager[HttpResponse]:
-        """Refuse: nothing leaves this process."""
+        """Raise ``HttpConnectionError``."""
         raise HttpConnectionError("this process sends no requests", bytes_left=False)
 
     def has_idle_connection(self, address: Address) -> bool:
-        """Return that there is none."""
+        """Return ``False``."""
         return False
 
 
-class _LateHttpServer:
-    """Imports the HTTP server when it is first used, once replicas are already running."""
+class _LazyHttpServer:
+    """Imports the HTTP server on first use, so that replicas start before the import."""
 
     def __init__(self, sockets: ListeningSockets) -> None:
         self._sockets = sockets
@@ -51,7 +51,7 @@
 
 
 def _http_client(network: Network) -> HttpClient:
-    # Imported late: it takes a fifth of a second that replicas need not spend at a start.
+    # Imported lazily, so that replicas start without the import.
     from passlane.runtime.http_client import SingleConnectionHttpClient
 
     return SingleConnectionHttpClient(network)
@@ -70,21 +70,21 @@
     Parameters
     ----------
     data_folder
-        Holds all files of the process.
+        Folder that contains all files of the process.
     seed
-        Seed of the random generator; ``None`` takes one from the operating system.
+        Seed of the random generator; ``None`` uses one from the operating system.
     network
-        In place of plain TCP, such as one that adds delays between zones.
+        Used instead of plain TCP, such as ``DelayedNetwork``.
     sends_requests
         Whether the process sends HTTP requests.
     sockets
-        Those that listen already.
+        Sockets that already listen.
     """
     network = network or TcpNetwork()
     return Environment(
         network=network,
-        http_client=_http_client(network) if sends_requests else _NoHttpClient(),
-        http_server=_LateHttpServer(sockets or ListeningSockets()),
+        http_client=_http_client(network) if sends_requests else _DisabledHttpClient(),
+        http_server=_LazyHttpServer(sockets or ListeningSockets()),
         disk=RealDisk(data_folder),
         random=random.Random(seed),
     )
--- a/src/passlane/runtime/worker_thread.py
+++ b/src/passlane/runtime/worker_thread.py
@@ -1,8 +1,7 @@
-"""A thread that runs one blocking function again and again for a task on the loop.
+"""A dedicated thread that runs one blocking function repeatedly for tasks on the event loop.
 
-To hand a call to a thread of anyio's pool and back costs 90 to 120 us of processor time, to
-one that is kept for it 33 us (3,000 calls on a busy machine). A replica syncs its log some
-hundred times a second.
+A dedicated thread costs less processor time per call than anyio's thread pool, which matters
+for the frequent syncs of a replica's log.
 """
 
 import asyncio
@@ -18,12 +17,12 @@
 
 
 class WorkerThread:
-    """Runs ``work`` on a thread of its own, which starts with the first call.
+    """Runs ``work`` on a dedicated thread, which starts with the first call.
 
     Parameters
     ----------
     work
-        Runs on the thread; what it raises is raised to the caller.
+        Function to run on the thread; its exceptions are raised to the caller.
     """
 
     def __init__(self, work: Callable[[], None]) -> None:
@@ -32,9 +31,9 @@
         self._thread: threading.Thread | None = None
 
     async def run(self) -> None:
-        """Return once the work is done; a cancellation waits for that too."""
+        """Run ``work`` and wait until it is done, also when cancelled."""
         if self._thread is None:
-            self._thread = threading.Thread(target=self._serve, daemon=True)
+            self._thread = threading.Thread(target=self._process_calls, daemon=True)
             self._thread.start()
         future = asyncio.get_running_loop().create_future()
         self._calls.put(future)
@@ -42,12 +41,12 @@
             await future
 
     def stop(self) -> None:
-        """End the thread after the calls that were made."""
+        """End the thread after all pending calls."""
         if self._thread is not None:
             self._calls.put(None)
             self._thread = None
 
-    def _serve(self) -> None:
+    def _process_calls(self) -> None:
         while (future := self._calls.get()) is not None:
             error: Exception | None = None
             try:
@@ -55,13 +54,13 @@
             except Exception as caught:
                 error = caught
             try:
-                future.get_loop().call_soon_threadsafe(_finish, future, error)
+                future.get_loop().call_soon_threadsafe(_complete, future, error)
             except RuntimeError:
                 _log.warning("loop_ended_before_work", error=str(error))
 
 
-def _finish(future: "asyncio.Future[None]", error: Exception | None) -> None:
-    """Give the result to the caller, unless it has gone away."""
+def _complete(future: "asyncio.Future[None]", error: Exception | None) -> None:
+    """Set the result for the caller unless the future is already done."""
     if future.done():
         return
     if error is not None:
--- a/tests/runtime/one_exchange.py
+++ b/tests/runtime/one_exchange.py
@@ -1,4 +1,4 @@
-"""One request over loopback by the real HTTP client and server."""
+"""Sends one request over loopback with the real HTTP client and server."""
 
 import anyio
 
@@ -17,8 +17,8 @@
 
 
 async def _exchange():
-    with bound_socket("127.0.0.1", 0) as made:
-        address = Address("127.0.0.1", made.getsockname()[1])
+    with bound_socket("127.0.0.1", 0) as bound:
+        address = Address("127.0.0.1", bound.getsockname()[1])
     sockets = ListeningSockets()
     sockets.listen([str(address)])
     async with anyio.create_task_group() as tasks:
@@ -32,5 +32,5 @@
 
 
 def exchange_over_loopback():
-    """Return status and body of the answer."""
+    """Return the status and body of the response."""
     return anyio.run(_exchange)
--- a/tests/runtime/test_accepted_stream.py
+++ b/tests/runtime/test_accepted_stream.py
@@ -1,4 +1,4 @@
-"""Accepted TCP connections on loopback: large transfers, slow readers, ends and breaks."""
+"""Tests of accepted TCP streams on loopback: large transfers, slow readers, closes and resets."""
 
 import socket
 import unittest
@@ -8,7 +8,7 @@
 
 from passlane.bench.loopback import free_address
 from passlane.messages.common import Address
-from passlane.runtime.accepted_stream import UNREAD_LIMIT_BYTES
+from passlane.runtime.accepted_stream import MAX_UNREAD_BYTES
 from passlane.runtime.network import TcpNetwork
 
 RUNS_ALONE = "listens on real sockets"
@@ -26,7 +26,7 @@
 
 
 def on_connection(handler_name):
-    """Run a test's body with the client's end of a connection that a handler serves."""
+    """Run a test with the client side of a connection that the named handler serves."""
 
     def decorate(body):
         def test(self):
@@ -52,7 +52,7 @@
         self.outcome = None
         self.has_outcome = anyio.Event()
 
-    def note(self, outcome):
+    def record_outcome(self, outcome):
         self.outcome = outcome
         self.has_outcome.set()
 
@@ -60,9 +60,9 @@
         async for data in stream:
             await stream.send(data)
 
-    async def read_late(self, stream):
+    async def read_after_delay(self, stream):
         await anyio.sleep(0.5)
-        self.note(stream._unread_bytes)
+        self.record_outcome(stream._unread_bytes)
         total = 0
         async for data in stream:
             total += len(data)
@@ -73,14 +73,14 @@
             while True:
                 await stream.receive()
         except (anyio.BrokenResourceError, anyio.EndOfStream) as error:
-            self.note(error)
+            self.record_outcome(error)
 
     async def send_until_broken(self, stream):
         try:
             while True:
                 await stream.send(LARGE)
         except anyio.BrokenResourceError as error:
-            self.note(error)
+            self.record_outcome(error)
 
     async def close_while_reading(self, stream):
         async with anyio.create_task_group() as tasks:
@@ -88,10 +88,10 @@
             try:
                 await stream.receive()
             except anyio.ClosedResourceError as error:
-                self.note(error)
+                self.record_outcome(error)
 
     @on_connection("echo")
-    async def test_what_is_sent_comes_back_whole_and_in_order(self, client):
+    async def test_large_data_is_echoed_complete_and_in_order(self, client):
         received = bytearray()
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(client.send, LARGE)
@@ -99,28 +99,28 @@
                 received += await client.receive()
         self.assertEqual(bytes(received), LARGE)
 
-    @on_connection("read_late")
-    async def test_what_is_not_read_holds_the_sender_up(self, client):
+    @on_connection("read_after_delay")
+    async def test_unread_data_blocks_the_sender(self, client):
         await client.send(LARGE)
         await client.send_eof()
         self.assertEqual(await client.receive(), str(len(LARGE)).encode())
-        self.assertLess(self.outcome, 3 * UNREAD_LIMIT_BYTES)
+        self.assertLess(self.outcome, 3 * MAX_UNREAD_BYTES)
 
     @on_connection("read_until_broken")
-    async def test_the_end_of_a_connection_is_told(self, client):
+    async def test_a_closed_connection_ends_the_stream(self, client):
         await client.send(b"x")
         await client.aclose()
         await self.has_outcome.wait()
         self.assertIsInstance(self.outcome, anyio.EndOfStream)
 
     @on_connection("read_until_broken")
-    async def test_a_reset_connection_is_broken(self, client):
+    async def test_a_reset_breaks_the_stream(self, client):
         self.reset(client)
         await self.has_outcome.wait()
         self.assertIsInstance(self.outcome, anyio.BrokenResourceError)
 
     @on_connection("send_until_broken")
-    async def test_a_sender_that_waits_is_woken_by_a_reset(self, client):
+    async def test_a_reset_wakes_a_blocked_sender(self, client):
         await anyio.sleep(0.2)
         self.reset(client)
         await self.has_outcome.wait()
--- a/tests/runtime/test_early_listening.py
+++ b/tests/runtime/test_early_listening.py
@@ -1,4 +1,4 @@
-"""Sockets that listen before their server runs; on loopback, with real sockets."""
+"""Tests of sockets that listen before their server runs, on loopback."""
 
 import socket
 import unittest
@@ -12,8 +12,8 @@
 
 RUNS_ALONE = "listens on real sockets"
 
-GUARD_S = 10.0
-"""Against hanging; no time is asserted."""
+TIMEOUT_S = 10.0
+"""Fails a test that hangs."""
 REQUEST = b"GET / HTTP/1.1\r\nHost: test\r\nConnection: close\r\n\r\n"
 
 
@@ -28,7 +28,7 @@
 
 
 class EarlyListeningTest(unittest.TestCase):
-    def test_a_client_that_came_early_is_served_once_the_server_runs(self):
+    def test_an_early_connection_is_served_once_the_server_runs(self):
         address = free_address()
         sockets = ListeningSockets()
         sockets.listen([str(address)])
@@ -39,14 +39,14 @@
         async def main():
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(UvicornHttpServer(sockets).serve, address, say_hello)
-                with anyio.fail_after(GUARD_S):
+                with anyio.fail_after(TIMEOUT_S):
                     answer = await anyio.to_thread.run_sync(_read_all, client)
                 tasks.cancel_scope.cancel()
                 return answer
 
         self.assertIn(b"hello", anyio.run(main))
 
-    def test_a_socket_is_handed_out_once(self):
+    def test_a_socket_can_be_taken_once(self):
         address = str(free_address())
         sockets = ListeningSockets()
         sockets.listen([address])
@@ -54,7 +54,7 @@
         self.addCleanup(listening.close)
         self.assertIsNone(sockets.take(address))
 
-    def test_what_cannot_be_listened_on_is_left_to_the_server(self):
+    def test_addresses_that_cannot_be_listened_on_are_skipped(self):
         with closing(bound_socket("127.0.0.1", 0)) as taken:
             taken.listen()
             port = taken.getsockname()[1]
--- a/tests/runtime/test_http.py
+++ b/tests/runtime/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP client says honestly what left; abandoned connections are not used again."""
+"""Tests that the HTTP client reports whether bytes left and never reuses abandoned connections."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 RUNS_ALONE = "listens on real sockets"
 
 CLIENT_HOST = "10.0.0.1"
-BACK_END = Address("10.0.0.2", 8000)
+BACKEND = Address("10.0.0.2", 8000)
 
 
 async def application(scope: Any, receive: Any, send: Any) -> None:
@@ -42,7 +42,7 @@
 
 
 class CountingStream:
-    """A byte stream that counts its sends and has one answer to give."""
+    """A byte stream that records its sends and has one response."""
 
     def __init__(self, answer: bytes) -> None:
         self.sent: list[bytes] = []
@@ -64,7 +64,7 @@
 
 
 class OneStreamNetwork:
-    """Connects every address to one stream."""
+    """A network that connects every address to one stream."""
 
     def __init__(self, stream: CountingStream) -> None:
         self._stream = stream
@@ -79,7 +79,7 @@
 
         async def main() -> None:
             client = SingleConnectionHttpClient(OneStreamNetwork(stream))  # type: ignore[arg-type]
-            request = HttpRequest("POST", BACK_END, "/x", body=b"body")
+            request = HttpRequest("POST", BACKEND, "/x", body=b"body")
             async with client.exchange(request) as response:
                 parts = [part async for part in response.chunks()]
             self.assertEqual(b"".join(parts), b"ok")
@@ -90,7 +90,7 @@
 
 
 class FailingStream(CountingStream):
-    """A byte stream that raises errors, when it is sent to or read from, after some answers."""
+    """A byte stream that fails to send or receive after the given responses."""
 
     def __init__(
         self, *answers: bytes, at_send: Exception | None = None, at_read: Exception | None = None
@@ -111,23 +111,23 @@
         return await super().receive(max_bytes)
 
 
-WHOLE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
+COMPLETE_RESPONSE = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 UNEXPECTED = (OSError("no buffer space"), TimeoutError(), RuntimeError("busy"), KeyError("odd"))
-"""Failures that neither the network nor the HTTP library is known to have."""
+"""Errors that neither the network nor the HTTP library normally raises."""
 
 
 class UnexpectedFailureTest(unittest.TestCase):
-    """Whatever fails, and whatever the library calls it, it is told what left."""
+    """Any error reports whether bytes of the request left."""
 
     def fail_on(self, stream: FailingStream, requests: int = 1) -> HttpConnectionError:
-        """Send requests; return the error of the last one, after whole answers to the others."""
+        """Send requests, of which only the last one fails; return its error."""
         caught: list[HttpConnectionError] = []
 
         async def main() -> None:
             client = SingleConnectionHttpClient(OneStreamNetwork(stream))  # type: ignore[arg-type]
             for _ in range(requests):
                 try:
-                    async with client.exchange(HttpRequest("POST", BACK_END, "/x")) as response:
+                    async with client.exchange(HttpRequest("POST", BACKEND, "/x")) as response:
                         async for _ in response.chunks():
                             pass
                 except HttpConnectionError as error:
@@ -150,21 +150,21 @@
     def test_a_failure_within_the_body_may_have_sent(self) -> None:
         for error in UNEXPECTED:
             with self.subTest(repr(error)):
-                stream = FailingStream(WHOLE[:-1], at_read=error)
+                stream = FailingStream(COMPLETE_RESPONSE[:-1], at_read=error)
                 self.assertTrue(self.fail_on(stream).bytes_left)
 
     def test_a_kept_connection_that_the_server_has_half_closed_may_have_sent(self) -> None:
-        stream = FailingStream(WHOLE, at_read=anyio.EndOfStream())
+        stream = FailingStream(COMPLETE_RESPONSE, at_read=anyio.EndOfStream())
         self.assertTrue(self.fail_on(stream, requests=2).bytes_left)
 
     def test_a_kept_connection_that_is_reset_while_it_is_written_to_may_have_sent(self) -> None:
         reset = anyio.BrokenResourceError()
-        stream = FailingStream(WHOLE, at_send=reset, at_read=reset)
+        stream = FailingStream(COMPLETE_RESPONSE, at_send=reset, at_read=reset)
         self.assertTrue(self.fail_on(stream, requests=2).bytes_left)
 
-    def test_a_connection_that_the_library_will_not_use_sent_nothing(self) -> None:
+    def test_a_connection_refused_by_the_library_sent_nothing(self) -> None:
         handle = httpcore.AsyncHTTP11Connection.handle_async_request
-        for answers in ([], [WHOLE]):
+        for answers in ([], [COMPLETE_RESPONSE]):
             with self.subTest(kept=bool(answers)):
                 stream = FailingStream(*answers)
                 left = len(answers)
@@ -183,12 +183,12 @@
                 self.assertFalse(error.bytes_left)
                 self.assertEqual(len(stream.sent), len(answers))
 
-    def test_a_request_that_http_cannot_write_is_not_offered_to_others(self) -> None:
-        stream = FailingStream(WHOLE)
+    def test_an_invalid_request_counts_as_sent(self) -> None:
+        stream = FailingStream(COMPLETE_RESPONSE)
 
         async def main() -> None:
             client = SingleConnectionHttpClient(OneStreamNetwork(stream))  # type: ignore[arg-type]
-            request = HttpRequest("POST", BACK_END, "/x", headers={"x": "a\nb"})
+            request = HttpRequest("POST", BACKEND, "/x", headers={"x": "a\nb"})
             with self.assertRaises(HttpConnectionError) as caught:
                 async with client.exchange(request):
                     pass
@@ -208,83 +208,83 @@
                 async def main() -> None:
                     client = SingleConnectionHttpClient(Unconnectable())  # type: ignore[arg-type]
                     with self.assertRaises(HttpConnectionError) as caught:
-                        async with client.exchange(HttpRequest("GET", BACK_END, "/x")):
+                        async with client.exchange(HttpRequest("GET", BACKEND, "/x")):
                             pass
                     self.assertFalse(caught.exception.bytes_left)
 
                 run_simulation(main, 1)
 
 
-class Ground:
-    """A simulated network with one back end and one client; counts connections."""
+class Fixture:
+    """A simulated network with one backend and one client."""
 
     def __init__(self) -> None:
         self.network = SimulatedNetwork(random.Random(2), DelayModel({}))
         self.client = SingleConnectionHttpClient(self.network.host(CLIENT_HOST))
 
     async def serve(self) -> None:
-        server = SimulatedHttpServer(self.network.host(BACK_END.host))
-        await server.serve(BACK_END, application)
+        server = SimulatedHttpServer(self.network.host(BACKEND.host))
+        await server.serve(BACKEND, application)
 
     async def fetch(self, path: str) -> str:
-        request = HttpRequest("POST", BACK_END, path, body=b"{}")
+        request = HttpRequest("POST", BACKEND, path, body=b"{}")
         async with self.client.exchange(request) as response:
             return b"".join([part async for part in response.chunks()]).decode()
 
 
-def simulate(body: Callable[[Ground], Awaitable[None]]) -> None:
+def simulate(body: Callable[[Fixture], Awaitable[None]]) -> None:
     async def main() -> None:
-        ground = Ground()
+        fixture = Fixture()
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(ground.serve)
+            tasks.start_soon(fixture.serve)
             await anyio.sleep(0.01)
-            await body(ground)
+            await body(fixture)
             tasks.cancel_scope.cancel()
 
     run_simulation(main, seed=1)
 
 
 class BytesLeftTest(unittest.TestCase):
-    async def expect_error(self, ground: Ground, path: str, *, bytes_left: bool) -> None:
+    async def expect_error(self, fixture: Fixture, path: str, *, bytes_left: bool) -> None:
         with self.assertRaises(HttpConnectionError) as caught:
-            await ground.fetch(path)
+            await fixture.fetch(path)
         self.assertIs(caught.exception.bytes_left, bytes_left)
 
     def test_refused_connection_sent_nothing(self) -> None:
-        async def body(ground: Ground) -> None:
-            ground.network.remove_listeners(BACK_END.host)
-            await self.expect_error(ground, "/x", bytes_left=False)
+        async def body(fixture: Fixture) -> None:
+            fixture.network.remove_listeners(BACKEND.host)
+            await self.expect_error(fixture, "/x", bytes_left=False)
 
         simulate(body)
 
     def test_silent_connection_attempt_sent_nothing_and_ends(self) -> None:
-        async def body(ground: Ground) -> None:
-            ground.network.cut({CLIENT_HOST}, {BACK_END.host})
-            await self.expect_error(ground, "/x", bytes_left=False)
+        async def body(fixture: Fixture) -> None:
+            fixture.network.cut({CLIENT_HOST}, {BACKEND.host})
+            await self.expect_error(fixture, "/x", bytes_left=False)
             self.assertLess(anyio.current_time(), 5.0)
 
         simulate(body)
 
     def test_loss_before_and_in_the_answer_may_have_sent(self) -> None:
-        async def body(ground: Ground) -> None:
+        async def body(fixture: Fixture) -> None:
             for path, after_s in (("/hang", 0.5), ("/x", 0.5)):
                 async with anyio.create_task_group() as tasks:
-                    tasks.start_soon(lambda p: self.expect_error(ground, p, bytes_left=True), path)
+                    tasks.start_soon(lambda p: self.expect_error(fixture, p, bytes_left=True), path)
                     await anyio.sleep(after_s)
-                    ground.network.break_connections(BACK_END.host)
+                    fixture.network.break_connections(BACKEND.host)
 
         simulate(body)
 
     def test_abandoned_answer_never_reaches_the_next_request(self) -> None:
-        async def body(ground: Ground) -> None:
+        async def body(fixture: Fixture) -> None:
             for number in range(5):
-                request = HttpRequest("POST", BACK_END, f"/abandoned{number}", body=b"{}")
-                async with ground.client.exchange(request) as response:
+                request = HttpRequest("POST", BACKEND, f"/abandoned{number}", body=b"{}")
+                async with fixture.client.exchange(request) as response:
                     async for _ in response.chunks():
                         break
                 with anyio.move_on_after(0.35):
-                    await ground.fetch(f"/cancelled{number}")
-                answer = await ground.fetch(f"/wanted{number}")
+                    await fixture.fetch(f"/cancelled{number}")
+                answer = await fixture.fetch(f"/wanted{number}")
                 self.assertEqual(answer, "".join(f"/wanted{number} {n};" for n in range(10)))
 
         simulate(body)
@@ -331,7 +331,7 @@
 
         anyio.run(main, backend="asyncio")
 
-    def test_a_request_that_outlasts_the_stop_gets_what_its_handler_says_at_last(self) -> None:
+    def test_a_request_in_flight_after_the_stop_gets_its_handler_s_last_response(self) -> None:
         async def refuse_when_stopped(scope: Any, receive: Any, send: Any) -> None:
             try:
                 await anyio.sleep_forever()
@@ -347,7 +347,7 @@
             address = Address("127.0.0.1", listening.getsockname()[1])
             listening.close()
             client = SingleConnectionHttpClient(TcpNetwork())
-            told: list[tuple[int, bytes]] = []
+            responses: list[tuple[int, bytes]] = []
             server_scope = anyio.CancelScope()
 
             async def serve() -> None:
@@ -358,7 +358,7 @@
             async def fetch() -> None:
                 async with client.exchange(HttpRequest("GET", address, "/x")) as response:
                     body = b"".join([part async for part in response.chunks()])
-                    told.append((response.status, body))
+                    responses.append((response.status, body))
 
             with anyio.fail_after(10):
                 async with anyio.create_task_group() as tasks:
@@ -367,26 +367,28 @@
                     tasks.start_soon(fetch)
                     await anyio.sleep(0.3)
                     server_scope.cancel()
-            self.assertEqual(told, [(503, b"busy")])
+            self.assertEqual(responses, [(503, b"busy")])
 
         anyio.run(main, backend="asyncio")
 
 
 class AcceptedSocketTest(unittest.TestCase):
     def test_accepted_connections_send_small_parts_at_once(self) -> None:
-        """Nagle's algorithm is off, so no part of an answer waits for an acknowledgement."""
+        """Nagle's algorithm is off, so no part of a response waits for an acknowledgement."""
 
         async def accept_one() -> int:
             accepted: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
-            async def note(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def record_no_delay(
+                _: asyncio.StreamReader, writer: asyncio.StreamWriter
+            ) -> None:
                 raw = writer.get_extra_info("socket")
                 accepted.set_result(raw.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
                 writer.close()
 
             listening = bound_socket("127.0.0.1", 0)
             host, port = listening.getsockname()
-            server = await asyncio.start_server(note, sock=listening)
+            server = await asyncio.start_server(record_no_delay, sock=listening)
             async with server:
                 _, writer = await asyncio.open_connection(host, port)
                 no_delay = await accepted
--- a/tests/runtime/test_http_limits.py
+++ b/tests/runtime/test_http_limits.py
@@ -1,4 +1,4 @@
-"""Limits of the HTTP server on headers, bodies and time, over real loopback connections."""
+"""Tests of the HTTP server's limits on headers, bodies and time, on loopback."""
 
 import socket
 import unittest
@@ -40,7 +40,7 @@
 
 class HttpLimitsTest(unittest.TestCase):
     def exchange(self, *parts):
-        """Send parts on one connection; return all that the server sent until it closed."""
+        """Send parts on one connection; return all bytes received until the server closed it."""
 
         async def main():
             port = free_port()
@@ -63,14 +63,14 @@
             except OSError:
                 await anyio.sleep(0.01)
 
-    def test_half_a_header_is_closed_after_the_header_time(self):
+    def test_incomplete_headers_time_out(self):
         received = self.exchange(b"GET / HTTP/1.1\r\nHost: a\r\nX-Half: ")
         self.assertTrue(received.startswith(b"HTTP/1.1 408 "))
 
-    def test_a_connection_that_says_nothing_is_closed_in_silence(self):
+    def test_an_unused_connection_is_closed_without_a_response(self):
         self.assertEqual(self.exchange(), b"")
 
-    def test_a_rested_connection_is_closed_after_its_answer(self):
+    def test_an_idle_connection_is_closed_after_its_response(self):
         received = self.exchange(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
         self.assertTrue(received.startswith(b"HTTP/1.1 200 "))
         self.assertTrue(received.endswith(b"ok"))
@@ -80,7 +80,7 @@
         self.assertTrue(received.startswith(b"HTTP/1.1 431 "))
         self.assertNotIn(b"200", received)
 
-    def test_two_lengths_are_refused(self):
+    def test_conflicting_content_lengths_are_refused(self):
         received = self.exchange(
             b"POST / HTTP/1.1\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc"
         )
--- a/tests/runtime/test_worker_thread.py
+++ b/tests/runtime/test_worker_thread.py
@@ -1,4 +1,4 @@
-"""Blocking work for a task on the loop: results, errors, cancellation, ends."""
+"""Tests of blocking work on a dedicated thread: results, errors, cancellation and stop."""
 
 import threading
 import time
@@ -12,7 +12,7 @@
 
 
 class WorkerThreadTest(unittest.TestCase):
-    def test_the_loop_goes_on_while_the_work_runs_on_another_thread(self):
+    def test_the_loop_is_not_blocked_while_the_work_runs(self):
         threads = []
 
         def work():
@@ -36,7 +36,7 @@
         self.assertEqual(len(set(threads)), 1)
         self.assertNotEqual(threads[0], threading.get_ident())
 
-    def test_an_error_is_raised_to_the_caller_and_the_thread_goes_on(self):
+    def test_an_error_is_raised_to_the_caller_and_the_thread_continues(self):
         errors = [OSError("the disk failed"), None]
 
         def work():
@@ -72,7 +72,7 @@
 
         anyio.run(main)
 
-    def test_the_thread_ends_after_the_calls_that_were_made(self):
+    def test_the_thread_ends_after_pending_calls(self):
         async def main():
             worker = WorkerThread(lambda: None)
             await worker.run()
