--- a/src/passlane/cli/policy_explain.py
+++ b/src/passlane/cli/policy_explain.py
@@ -132,7 +132,7 @@
         service: ServiceBody | None,
     ) -> PolicyExplanation:
         facts = importlib.import_module("passlane.policy.facts")
-        governor = importlib.import_module("passlane.policy.governor").PolicyGovernor()
+        governor = importlib.import_module("passlane.policy.active_policies").PolicyGovernor()
         governor.update(documents)
         is_sub_agent = bool(self.option("sub-agent"))
         call = governor.classify(
--- a/src/passlane/node/call_records.py
+++ b/src/passlane/node/call_records.py
@@ -4,7 +4,7 @@
 
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.store import BeginCall, BeginCallResult, EngineHold, FinishCall
-from passlane.node.call_set_up import CallSetUp
+from passlane.node.call_context import CallSetUp
 from passlane.node.led_program import LedProgram, OpenCall
 from passlane.node.program_store import ProgramStore
 from passlane.programs.call_events import (
--- a/src/passlane/node/call_reports.py
+++ b/src/passlane/node/call_reports.py
@@ -15,7 +15,7 @@
     CreateProgramRequest,
 )
 from passlane.messages.store import CallKind
-from passlane.policy.governor import PolicyProblemReport
+from passlane.policy.active_policies import PolicyProblemReport
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/passlane/node/call_runner.py
+++ b/src/passlane/node/call_runner.py
@@ -14,10 +14,10 @@
     CallKind,
     EngineHold,
 )
+from passlane.node.call_context import CallSetUp, arrival_event
 from passlane.node.call_records import CallRecords
 from passlane.node.call_reports import CallReport
 from passlane.node.call_services import LEADERSHIP_CODES, CallServices
-from passlane.node.call_set_up import CallSetUp, arrival_event
 from passlane.node.led_program import LedProgram
 from passlane.node.model_attempt import ModelAttempt
 from passlane.node.subscription import Subscription
--- a/src/passlane/node/call_services.py
+++ b/src/passlane/node/call_services.py
@@ -17,7 +17,7 @@
 from passlane.node.model_dispatcher import ModelDispatcher
 from passlane.node.program_store import ProgramStore
 from passlane.node.tool_dispatcher import ToolDispatcher
-from passlane.policy.governor import PolicyGovernor
+from passlane.policy.active_policies import PolicyGovernor
 from passlane.runtime.interfaces import HttpClient
 
 HOLD_TIMEOUT_S = 5.0
--- a/src/passlane/node/engine_poller.py
+++ b/src/passlane/node/engine_poller.py
@@ -16,7 +16,7 @@
 from passlane.identifiers import EngineId
 from passlane.messages.backends import CacheSnapshot, EngineLoad
 from passlane.node.call_services import CallServices
-from passlane.node.poll_pace import PollPace
+from passlane.node.poll_intervals import PollPace
 from passlane.observability.logging import get_logger
 
 _log = get_logger(__name__)
--- a/src/passlane/node/leader_service.py
+++ b/src/passlane/node/leader_service.py
@@ -44,7 +44,7 @@
 from passlane.node.release_loop import ReleaseLoop
 from passlane.node.subscription import Subscription
 from passlane.observability.logging import get_logger
-from passlane.policy.governor import BudgetDecision
+from passlane.policy.active_policies import BudgetDecision
 from passlane.programs.call_identity import call_id_of
 from passlane.transport.interfaces import Caller
 
--- a/src/passlane/node/node_core.py
+++ b/src/passlane/node/node_core.py
@@ -36,13 +36,13 @@
 from passlane.node.leadership import Leadership
 from passlane.node.memory_sweep import MemorySweep
 from passlane.node.model_dispatcher import ModelDispatcher
-from passlane.node.poll_pace import PollPace
+from passlane.node.poll_intervals import PollPace
 from passlane.node.program_directory import ProgramDirectory
 from passlane.node.program_store import ProgramStore
 from passlane.node.release_loop import PendingRelease, ReleaseLoop
 from passlane.node.tool_dispatcher import ToolDispatcher
 from passlane.observability.logging import get_logger
-from passlane.policy.governor import PolicyGovernor
+from passlane.policy.active_policies import PolicyGovernor
 from passlane.runtime.interfaces import Environment
 from passlane.settings.model import Settings
 from passlane.transport.interfaces import Caller, Router
--- a/src/passlane/node/node_metrics.py
+++ b/src/passlane/node/node_metrics.py
@@ -10,7 +10,7 @@
 from passlane.node.call_reports import AttemptReport, CallReport
 from passlane.node.node_core import NodeCore
 from passlane.observability.metrics import Metrics
-from passlane.policy.governor import PolicyProblemReport
+from passlane.policy.active_policies import PolicyProblemReport
 
 ANSWERED = "answered"
 
--- a/src/passlane/node/operation_recovery.py
+++ b/src/passlane/node/operation_recovery.py
@@ -4,10 +4,10 @@
 
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.node import CallRequest
+from passlane.node.call_context import CallSetUp
 from passlane.node.call_planning import plan_recovery
 from passlane.node.call_runner import CallRunner
 from passlane.node.call_services import CallServices
-from passlane.node.call_set_up import CallSetUp
 from passlane.node.led_program import LedProgram, OpenCall
 
 RECOVERY_TIMEOUT_S = 30.0
--- a/src/passlane/node/program_host.py
+++ b/src/passlane/node/program_host.py
@@ -15,11 +15,11 @@
 from passlane.identifiers import CallId
 from passlane.messages.node import CallRefused, CallRequest
 from passlane.messages.store import CallKind, CallRecord, CallState, FinishCall
+from passlane.node.call_context import CallSetUp
 from passlane.node.call_planning import PlannedCall
 from passlane.node.call_records import STORE_TIMEOUT_S
 from passlane.node.call_runner import CallRunner
 from passlane.node.call_services import CallServices
-from passlane.node.call_set_up import CallSetUp
 from passlane.node.led_program import LedProgram, OpenCall
 from passlane.node.operation_recovery import resolve_operation
 from passlane.node.subscription import Subscription
--- a/src/passlane/node/service.py
+++ b/src/passlane/node/service.py
@@ -48,7 +48,7 @@
 from passlane.node.trace_recorder import TraceRecorder
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
-from passlane.policy.governor import PolicyGovernor
+from passlane.policy.active_policies import PolicyGovernor
 from passlane.replication.client import GroupClient
 from passlane.runtime.interfaces import Environment
 from passlane.settings.model import Settings
--- a/tests/node/nodes.py
+++ b/tests/node/nodes.py
@@ -36,7 +36,7 @@
 from passlane.node.call_reports import CallReports
 from passlane.node.node_core import NodeCore, build_core, register_handlers
 from passlane.node.program_store import ProgramStore
-from passlane.policy.governor import PolicyGovernor
+from passlane.policy.active_policies import PolicyGovernor
 from passlane.simulation.runner import run_simulation
 from passlane.transport.router import MessageRouter
 
--- a/tests/node/test_poll_pace.py
+++ b/tests/node/test_poll_intervals.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from passlane.identifiers import EngineId
-from passlane.node.poll_pace import ACTIVE_WINDOW_S, PollPace
+from passlane.node.poll_intervals import ACTIVE_WINDOW_S, PollPace
 
 ACTIVE_INTERVAL_S = 0.25
 IDLE_INTERVAL_S = 2.0
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -11,11 +11,11 @@
 from passlane.configuration.parsing import parse_body
 from passlane.identifiers import ProgramId, TenantId
 from passlane.messages.common import Amounts
+from passlane.policy.active_policies import PolicyGovernor
 from passlane.policy.checking import check_policy
 from passlane.policy.compiled import CompiledPolicy
 from passlane.policy.evaluator import PolicyEvaluator
 from passlane.policy.facts import CallFacts, ProgramFacts
-from passlane.policy.governor import PolicyGovernor
 
 EXAMPLES = Path(__file__).parents[2] / "examples" / "policies"
 MAX_STEPS = 20_000
