--- a/src/passlane/node/call_records.py
+++ b/src/passlane/node/call_records.py
@@ -8,7 +8,7 @@
 from passlane.node.led_program import LedProgram, OpenCall
 from passlane.node.program_store import ProgramStore
 from passlane.programs.call_events import (
-    CallEventIn,
+    CallMachineEvent,
     IntentRecorded,
     IntentRefused,
     OutcomeRecorded,
@@ -58,7 +58,7 @@
         self._set_up = set_up
         self._settle_open_call = settle_open_call
 
-    async def record_intent(self) -> CallEventIn:
+    async def record_intent(self) -> CallMachineEvent:
         """Record the intent and return the resulting event."""
         try:
             result = await self._begin_call()
@@ -103,7 +103,7 @@
 
     async def record_outcome(
         self, instruction: RecordOutcome, hold: EngineHold | None
-    ) -> CallEventIn:
+    ) -> CallMachineEvent:
         """Record the outcome and the engine's hold, if any, and return the resulting event."""
         call_id = self._set_up.plan.call_id
         command = FinishCall(
--- a/src/passlane/node/call_runner.py
+++ b/src/passlane/node/call_runner.py
@@ -24,16 +24,16 @@
 from passlane.node.tool_attempt import ToolAttempt, query_status
 from passlane.observability.logging import get_logger
 from passlane.programs.call_events import (
-    CallerGone,
-    CallEventIn,
+    CallerDisconnected,
+    CallMachineEvent,
     DeadlinePassed,
     RetryDue,
     StatusReceived,
 )
 from passlane.programs.call_instructions import (
-    AskStatus,
     CallInstruction,
     CancelAttempt,
+    QueryStatus,
     RecordIntent,
     RecordOutcome,
     RequestPlacement,
@@ -87,7 +87,7 @@
         self._on_finished = on_finished
         self._subscriptions: list[Subscription] = []
         self._answer: CallAnswered | CallRefused | None = None
-        self._pending_events: deque[CallEventIn] = deque()
+        self._pending_events: deque[CallMachineEvent] = deque()
         self._is_handling = False
         self._scopes: set[anyio.CancelScope] = set()
         self._attempt_scopes: dict[str, anyio.CancelScope] = {}
@@ -115,7 +115,7 @@
         if subscription in self._subscriptions:
             self._subscriptions.remove(subscription)
         if not self._subscriptions and not self._is_finished:
-            self.post(CallerGone())
+            self.post(CallerDisconnected())
 
     # Lifecycle.
 
@@ -133,7 +133,7 @@
         if self._is_finished:
             return
         self._is_finished = True
-        error = error_with_verdict(error, self.machine.verdict_if_cut_off)
+        error = error_with_verdict(error, self.machine.verdict_if_aborted)
         for subscription in self._subscriptions:
             subscription.fail(error)
         self._subscriptions.clear()
@@ -141,7 +141,7 @@
             self._services.models.withdraw(self.call_id)
         self._cancel_tasks()
 
-    def post(self, event: CallEventIn) -> None:
+    def post(self, event: CallMachineEvent) -> None:
         """Pass an event to the state machine and execute its instructions."""
         self._pending_events.append(event)
         if self._is_handling or self._is_finished:
@@ -220,7 +220,7 @@
                 self._start_attempt(instruction)
             case CancelAttempt(attempt_id):
                 self._cancel_attempt(attempt_id)
-            case AskStatus():
+            case QueryStatus():
                 self._start_task(self._query_status)
             case WaitBeforeRetry(delay_s):
                 self._start_task(partial(self._wait_before_retry, delay_s))
--- a/src/passlane/node/model_attempt.py
+++ b/src/passlane/node/model_attempt.py
@@ -19,7 +19,7 @@
 from passlane.programs.call_events import (
     AttemptFailed,
     AttemptFinished,
-    CallEventIn,
+    CallMachineEvent,
     TokenReceived,
 )
 from passlane.programs.call_instructions import StartAttempt
@@ -40,7 +40,7 @@
     program: LedProgram
     plan: CallPlan
     start: StartAttempt
-    post: Callable[[CallEventIn], None]
+    post: Callable[[CallMachineEvent], None]
     on_hold: Callable[[EngineHold], None]
     _has_token: bool = False
 
--- a/src/passlane/node/model_dispatcher.py
+++ b/src/passlane/node/model_dispatcher.py
@@ -32,12 +32,12 @@
     WatchEngines,
 )
 from passlane.identifiers import CallId, EngineId, ProgramId
-from passlane.programs.call_events import CallEventIn, StartOrdered, StartRefused
+from passlane.programs.call_events import CallMachineEvent, PlacementGranted, PlacementRefused
 
 MAX_PLACEMENT_REASONS = 2_000
 """Programs for which the reason of the last placement is retained."""
 
-PlacementListener = Callable[[CallEventIn], None]
+PlacementListener = Callable[[CallMachineEvent], None]
 
 
 class CallSchedulerInterface(Protocol):
@@ -107,7 +107,7 @@
         self.orders: CacheOrders | None = None
 
     def place(self, call: CallArrived, listener: PlacementListener) -> None:
-        """Request placement; ``listener`` gets ``StartOrdered`` or ``StartRefused``."""
+        """Request placement; ``listener`` gets ``PlacementGranted`` or ``PlacementRefused``."""
         self._waiting[call.call_id] = _WaitingCall(call.program_id, listener)
         self.tell(call)
 
@@ -177,9 +177,9 @@
             case StartCall(call_id, engine_id, priority, reason):
                 self._record_reason(call_id, reason)
                 self._report_use(engine_id)
-                self._notify(call_id, StartOrdered(engine_id, priority))
+                self._notify(call_id, PlacementGranted(engine_id, priority))
             case RefuseCall(call_id, code, message, retry_after_s):
-                self._notify(call_id, StartRefused(code, message, retry_after_s))
+                self._notify(call_id, PlacementRefused(code, message, retry_after_s))
             case WakeAt(time):
                 self._schedule_wake(time)
             case _:
@@ -215,11 +215,11 @@
         """Return the scheduler's reason for the placement of the program's last call."""
         return self._placement_reasons.get(program_id, "")
 
-    def _notify(self, call_id: CallId, event: CallEventIn) -> None:
+    def _notify(self, call_id: CallId, event: CallMachineEvent) -> None:
         waiting = self._waiting.pop(call_id, None)
         if waiting is None:
             # The call was withdrawn meanwhile, so the slot is released.
-            if isinstance(event, StartOrdered):
+            if isinstance(event, PlacementGranted):
                 self.tell(CallWithdrawn(call_id))
             return
         waiting.listener(event)
--- a/src/passlane/node/tool_attempt.py
+++ b/src/passlane/node/tool_attempt.py
@@ -16,7 +16,7 @@
 from passlane.programs.call_events import (
     AttemptFailed,
     AttemptFinished,
-    CallEventIn,
+    CallMachineEvent,
     StatusReceived,
 )
 from passlane.programs.call_instructions import StartAttempt
@@ -33,13 +33,13 @@
     offer: ToolOffer
     arguments: str
     start: StartAttempt
-    post: Callable[[CallEventIn], None]
+    post: Callable[[CallMachineEvent], None]
 
     async def run(self) -> None:
         """Run the attempt and report its result."""
         healthy: bool | None = None
         verdict = Verdict.MAY_HAVE_RUN
-        event: CallEventIn
+        event: CallMachineEvent
         try:
             if not self.services.leads(self.program):
                 raise self.services.not_leader_error(self.program)
@@ -87,7 +87,10 @@
 
 
 async def query_status(
-    services: CallServices, offer: ToolOffer, plan: CallPlan, post: Callable[[CallEventIn], None]
+    services: CallServices,
+    offer: ToolOffer,
+    plan: CallPlan,
+    post: Callable[[CallMachineEvent], None],
 ) -> None:
     """Query the status of the operation and report ``StatusReceived``."""
     client = ApplicationClient(services.http, offer.application.address)
--- a/src/passlane/node/tool_dispatcher.py
+++ b/src/passlane/node/tool_dispatcher.py
@@ -11,7 +11,7 @@
 from passlane.decisions.inputs.call_scheduler_config import BreakerConfig
 from passlane.errors import ErrorCode
 from passlane.identifiers import ApplicationId
-from passlane.programs.call_events import StartOrdered, StartRefused
+from passlane.programs.call_events import PlacementGranted, PlacementRefused
 
 BUSY_RETRY_AFTER_S = 0.5
 """Minimum retry-after when an application is at its limit or its circuit breaker is open."""
@@ -32,24 +32,24 @@
 
     def check(
         self, application_id: ApplicationId, max_in_flight: int, now: float
-    ) -> StartRefused | None:
+    ) -> PlacementRefused | None:
         """Return the refusal that a call would get now, or ``None``."""
         state = self._state_of(application_id)
         if not state.breaker.allows(now):
             opens_at = state.breaker.opens_next_at(now)
             retry_after_s = BUSY_RETRY_AFTER_S if opens_at is None else opens_at - now
             message = f"application {application_id} is failing; its circuit breaker is open"
-            return StartRefused(
+            return PlacementRefused(
                 ErrorCode.UNAVAILABLE, message, max(retry_after_s, BUSY_RETRY_AFTER_S)
             )
         if state.in_flight >= max_in_flight:
             message = f"application {application_id} is at its limit of calls in flight"
-            return StartRefused(ErrorCode.QUEUE_FULL, message, BUSY_RETRY_AFTER_S)
+            return PlacementRefused(ErrorCode.QUEUE_FULL, message, BUSY_RETRY_AFTER_S)
         return None
 
     def start(
         self, application_id: ApplicationId, max_in_flight: int, now: float
-    ) -> StartOrdered | StartRefused:
+    ) -> PlacementGranted | PlacementRefused:
         """Acquire a slot at the application, which ``finish`` releases."""
         refusal = self.check(application_id, max_in_flight, now)
         if refusal is not None:
@@ -58,7 +58,7 @@
         state.breaker.record_start(now)
         state.budget.record_request()
         state.in_flight += 1
-        return StartOrdered(application_id)
+        return PlacementGranted(application_id)
 
     def finish(self, application_id: ApplicationId, *, healthy: bool | None, now: float) -> None:
         """Release a slot; ``healthy`` is ``None`` if the attempt gave no health signal."""
--- a/src/passlane/programs/call_events.py
+++ b/src/passlane/programs/call_events.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartOrdered:
+class PlacementGranted:
     """The scheduler placed the call on ``backend``, an engine or an application."""
 
     backend: str
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartRefused:
+class PlacementRefused:
     """The scheduler refused the call before any attempt was started."""
 
     code: ErrorCode
@@ -131,7 +131,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """The last caller waiting for this answer disconnected."""
 
 
@@ -148,11 +148,11 @@
     message: str
 
 
-CallEventIn = (
+CallMachineEvent = (
     IntentRecorded
     | IntentRefused
-    | StartOrdered
-    | StartRefused
+    | PlacementGranted
+    | PlacementRefused
     | TokenReceived
     | AttemptFinished
     | AttemptFailed
@@ -160,7 +160,7 @@
     | RetryDue
     | OutcomeRecorded
     | OutcomeRefused
-    | CallerGone
+    | CallerDisconnected
     | DeadlinePassed
     | StopRequested
 )
--- a/src/passlane/programs/call_instructions.py
+++ b/src/passlane/programs/call_instructions.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AskStatus:
+class QueryStatus:
     """Query the application for the status of the operation; report ``StatusReceived``."""
 
 
@@ -93,7 +93,7 @@
     | WithdrawPlacement
     | StartAttempt
     | CancelAttempt
-    | AskStatus
+    | QueryStatus
     | WaitBeforeRetry
     | RecordOutcome
     | SendToken
--- a/src/passlane/programs/call_machine.py
+++ b/src/passlane/programs/call_machine.py
@@ -13,24 +13,24 @@
 from passlane.programs.call_events import (
     AttemptFailed,
     AttemptFinished,
-    CallerGone,
-    CallEventIn,
+    CallerDisconnected,
+    CallMachineEvent,
     DeadlinePassed,
     IntentRecorded,
     IntentRefused,
     OutcomeRecorded,
     OutcomeRefused,
+    PlacementGranted,
+    PlacementRefused,
     RetryDue,
-    StartOrdered,
-    StartRefused,
     StatusReceived,
     StopRequested,
     TokenReceived,
 )
 from passlane.programs.call_instructions import (
-    AskStatus,
     CallInstruction,
     CancelAttempt,
+    QueryStatus,
     RecordIntent,
     RecordOutcome,
     RequestPlacement,
@@ -93,7 +93,7 @@
         return self._attempt_id
 
     @property
-    def verdict_if_cut_off(self) -> Verdict:
+    def verdict_if_aborted(self) -> Verdict:
         """Verdict of the call if its leader aborted it now."""
         may_have_run = self._may_have_run or self._attempt_id is not None
         return Verdict.MAY_HAVE_RUN if may_have_run else Verdict.NOT_RUN
@@ -103,7 +103,7 @@
         self.phase = CallPhase.RECORDING_INTENT
         return [RecordIntent()]
 
-    def handle(self, event: CallEventIn, now: float) -> list[CallInstruction]:
+    def handle(self, event: CallMachineEvent, now: float) -> list[CallInstruction]:
         """Handle one event at local monotonic time ``now`` (seconds); return the instructions."""
         del now
         if self.phase is CallPhase.ANSWERED:
@@ -115,9 +115,9 @@
                 return self._on_intent_recorded(event)
             case IntentRefused():
                 return self._refuse(event.code, event.message, event.retry_after_s)
-            case StartOrdered():
+            case PlacementGranted():
                 return self._on_start_ordered(event)
-            case StartRefused():
+            case PlacementRefused():
                 return self._on_start_refused(event)
             case AttemptFinished():
                 return self._on_attempt_finished(event)
@@ -131,7 +131,7 @@
                 return self._on_outcome_recorded()
             case OutcomeRefused():
                 return self._on_outcome_refused(event)
-            case CallerGone():
+            case CallerDisconnected():
                 return self._on_caller_disconnected()
             case DeadlinePassed():
                 return self._on_deadline()
@@ -152,7 +152,7 @@
         if event.already_recorded and not event.proved_not_run:
             # An earlier leader or an earlier request may already have sent the call.
             self._may_have_run = True
-            if not self._may_repeat_after_doubt:
+            if not self._may_retry_in_doubt:
                 return self._resolve_doubt()
             self._failed_attempt_tokens += self.plan.max_tokens
         return self._place()
@@ -160,7 +160,7 @@
     # Placement and attempts.
 
     @property
-    def _may_repeat_after_doubt(self) -> bool:
+    def _may_retry_in_doubt(self) -> bool:
         return self.plan.kind is CallKind.MODEL or self.plan.repeatable
 
     def _place(self) -> list[CallInstruction]:
@@ -168,7 +168,7 @@
         excluded = frozenset(self._failed_backends)
         return [RequestPlacement(excluded=excluded, resume_from=len(self.texts))]
 
-    def _on_start_ordered(self, event: StartOrdered) -> list[CallInstruction]:
+    def _on_start_ordered(self, event: PlacementGranted) -> list[CallInstruction]:
         if self.phase is not CallPhase.PLACING:
             return []
         self.phase = CallPhase.RUNNING
@@ -186,7 +186,7 @@
             )
         ]
 
-    def _on_start_refused(self, event: StartRefused) -> list[CallInstruction]:
+    def _on_start_refused(self, event: PlacementRefused) -> list[CallInstruction]:
         if self.phase is not CallPhase.PLACING:
             return []
         return self._refuse(event.code, event.message, event.retry_after_s)
@@ -250,7 +250,7 @@
         if event.verdict is not Verdict.NOT_RUN:
             self._may_have_run = True
             self._failed_attempt_tokens += self.plan.max_tokens - self._resumed_from
-            if not self._may_repeat_after_doubt:
+            if not self._may_retry_in_doubt:
                 return self._resolve_doubt()
         if event.is_final:
             # The rejection covers this attempt only; an earlier one may have run.
@@ -273,7 +273,7 @@
             return self._place()
         if self.phase is CallPhase.PAUSED_BEFORE_STATUS:
             self.phase = CallPhase.QUERYING_STATUS
-            return [AskStatus()]
+            return [QueryStatus()]
         return []
 
     # Operations in doubt.
@@ -285,7 +285,7 @@
         self._status_queries += 1
         if self._status_queries == 1:
             self.phase = CallPhase.QUERYING_STATUS
-            return [AskStatus()]
+            return [QueryStatus()]
         self.phase = CallPhase.PAUSED_BEFORE_STATUS
         return [WaitBeforeRetry(self._retry_delay(self._status_queries))]
 
--- a/src/passlane/simulation/defects/programs.py
+++ b/src/passlane/simulation/defects/programs.py
@@ -165,9 +165,7 @@
         "faulty-application",
         0,
         "a charge that may have run is sent again",
-        replacing(
-            Replacement(CallMachine, "_may_repeat_after_doubt", property(_repeat_after_doubt))
-        ),
+        replacing(Replacement(CallMachine, "_may_retry_in_doubt", property(_repeat_after_doubt))),
     ),
 )
 """Defects of programs, calls and their records."""
--- a/tests/node/test_calls_under_failure.py
+++ b/tests/node/test_calls_under_failure.py
@@ -528,7 +528,7 @@
         name = "test_unnamed_charge_aborted_by_its_leader_is_not_refused_as_not_run"
         suite = unittest.TestSuite([LeaderChangeTest(name)])
         defect = Replacement(
-            CallMachine, "verdict_if_cut_off", property(lambda _machine: Verdict.NOT_RUN)
+            CallMachine, "verdict_if_aborted", property(lambda _machine: Verdict.NOT_RUN)
         )
         with replaced([defect]):
             result = unittest.TextTestRunner(stream=io.StringIO()).run(suite)
--- a/tests/programs/call_driver.py
+++ b/tests/programs/call_driver.py
@@ -10,10 +10,10 @@
 from passlane.programs.call_events import (
     AttemptFailed,
     AttemptFinished,
-    CallEventIn,
+    CallMachineEvent,
     IntentRecorded,
     OutcomeRecorded,
-    StartOrdered,
+    PlacementGranted,
     TokenReceived,
 )
 from passlane.programs.call_instructions import (
@@ -96,7 +96,7 @@
         self.machine = CallMachine(self.plan, self.prefix, may_have_run=self.may_have_run)
         self.machine.start()
 
-    def post(self, event: CallEventIn) -> list[CallInstruction]:
+    def post(self, event: CallMachineEvent) -> list[CallInstruction]:
         """Pass the machine an event and record its instructions."""
         instructions = self.machine.handle(event, 0.0)
         for instruction in instructions:
@@ -121,7 +121,7 @@
 
     def dispatch(self, backend: str = "engine-1") -> str:
         """Report that the call is placed; return the attempt's id."""
-        self.post(StartOrdered(backend))
+        self.post(PlacementGranted(backend))
         return self.started[-1].attempt_id
 
     def token(self, position: int, attempt_id: str | None = None) -> list[CallInstruction]:
--- a/tests/programs/test_call_machine.py
+++ b/tests/programs/test_call_machine.py
@@ -7,19 +7,19 @@
 from passlane.messages.common import Amounts
 from passlane.messages.store import CallKind, CallOutcome
 from passlane.programs.call_events import (
-    CallerGone,
+    CallerDisconnected,
     DeadlinePassed,
     IntentRecorded,
     IntentRefused,
     OutcomeRefused,
+    PlacementGranted,
+    PlacementRefused,
     RetryDue,
-    StartOrdered,
-    StartRefused,
     StatusReceived,
     StopRequested,
 )
 from passlane.programs.call_instructions import (
-    AskStatus,
+    QueryStatus,
     RequestPlacement,
     WaitBeforeRetry,
     WithdrawPlacement,
@@ -164,7 +164,7 @@
         for state, verdict in results.items():
             with self.subTest(state):
                 driver = charge()
-                self.assertEqual(driver.fail(Verdict.MAY_HAVE_RUN), [AskStatus()])
+                self.assertEqual(driver.fail(Verdict.MAY_HAVE_RUN), [QueryStatus()])
                 driver.post(StatusReceived(state, "{}"))
                 driver.record_outcome()
                 self.assertEqual(driver.answers[0].answer.verdict, verdict)
@@ -244,7 +244,7 @@
     def test_refused_repeat_of_an_open_model_call_may_have_run(self) -> None:
         driver = CallDriver(call_plan())
         driver.begin(already_recorded=True)
-        driver.post(StartRefused(ErrorCode.QUEUE_FULL, "full", 2.0))
+        driver.post(PlacementRefused(ErrorCode.QUEUE_FULL, "full", 2.0))
         self.assertEqual(driver.refused.verdict, Verdict.MAY_HAVE_RUN)
         self.assertEqual(driver.refused.retry_after_s, 2.0)
 
@@ -275,13 +275,13 @@
 class CallerAndStopTest(unittest.TestCase):
     def test_unnamed_call_is_cancelled_when_its_caller_disconnects(self) -> None:
         driver = model_call(is_named=False)
-        driver.post(CallerGone())
+        driver.post(CallerDisconnected())
         self.assertEqual(driver.cancelled, [driver.started[0].attempt_id])
         self.assertEqual(driver.machine.phase, CallPhase.ANSWERED)
 
     def test_disconnect_while_the_intent_is_recorded_starts_no_attempt(self) -> None:
         driver = CallDriver(call_plan(is_named=False))
-        driver.post(CallerGone())
+        driver.post(CallerDisconnected())
         self.assertEqual(driver.answers, [])
         driver.begin()
         self.assertEqual(driver.started, [])
@@ -290,19 +290,19 @@
     def test_disconnect_while_placing_withdraws_the_placement_request(self) -> None:
         driver = CallDriver(call_plan(is_named=False))
         driver.begin()
-        self.assertIn(WithdrawPlacement(), driver.post(CallerGone()))
-        driver.post(StartOrdered("engine-1"))
+        self.assertIn(WithdrawPlacement(), driver.post(CallerDisconnected()))
+        driver.post(PlacementGranted("engine-1"))
         self.assertEqual(driver.started, [])
 
     def test_named_call_continues_after_its_caller_disconnects(self) -> None:
         driver = model_call()
-        driver.post(CallerGone())
+        driver.post(CallerDisconnected())
         driver.token(0)
         driver.finish(answer_tokens=1)
         self.assertEqual(driver.outcomes[0].outcome.body, "t0")
 
     def test_cancelled_attempt_may_have_run(self) -> None:
-        for event in (CallerGone(), STOP, DeadlinePassed()):
+        for event in (CallerDisconnected(), STOP, DeadlinePassed()):
             with self.subTest(type(event).__name__):
                 driver = model_call(is_named=False)
                 driver.post(event)
@@ -344,7 +344,7 @@
         driver = CallDriver(call_plan())
         driver.begin()
         self.check(driver, Verdict.NOT_RUN)
-        driver.post(StartOrdered("engine-1"))
+        driver.post(PlacementGranted("engine-1"))
         self.assertEqual(driver.started, [])
 
     def test_while_the_answer_streams(self) -> None:
@@ -391,22 +391,22 @@
 
     def test_not_run_before_the_first_attempt(self) -> None:
         driver = CallDriver(call_plan())
-        self.assertIs(driver.machine.verdict_if_cut_off, Verdict.NOT_RUN)
+        self.assertIs(driver.machine.verdict_if_aborted, Verdict.NOT_RUN)
         driver.begin()
-        self.assertIs(driver.machine.verdict_if_cut_off, Verdict.NOT_RUN)
+        self.assertIs(driver.machine.verdict_if_aborted, Verdict.NOT_RUN)
 
     def test_may_have_run_if_an_earlier_request_may_have_run_it(self) -> None:
         machine = CallMachine(call_plan(), "a", may_have_run=True)
-        self.assertIs(machine.verdict_if_cut_off, Verdict.MAY_HAVE_RUN)
+        self.assertIs(machine.verdict_if_aborted, Verdict.MAY_HAVE_RUN)
 
     def test_started_attempt_may_have_run_until_it_is_refused_as_not_run(self) -> None:
         driver = model_call()
-        self.assertIs(driver.machine.verdict_if_cut_off, Verdict.MAY_HAVE_RUN)
+        self.assertIs(driver.machine.verdict_if_aborted, Verdict.MAY_HAVE_RUN)
         driver.fail(Verdict.NOT_RUN)
-        self.assertIs(driver.machine.verdict_if_cut_off, Verdict.NOT_RUN)
+        self.assertIs(driver.machine.verdict_if_aborted, Verdict.NOT_RUN)
         driver.dispatch("engine-2")
         driver.fail(Verdict.MAY_HAVE_RUN)
-        self.assertIs(driver.machine.verdict_if_cut_off, Verdict.MAY_HAVE_RUN)
+        self.assertIs(driver.machine.verdict_if_aborted, Verdict.MAY_HAVE_RUN)
 
 
 if __name__ == "__main__":
--- a/tests/programs/test_call_orders.py
+++ b/tests/programs/test_call_orders.py
@@ -17,15 +17,15 @@
 from passlane.messages.backends import OperationState
 from passlane.messages.store import CallKind, CallOutcome
 from passlane.programs.call_events import (
-    CallerGone,
+    CallerDisconnected,
     DeadlinePassed,
     IntentRecorded,
     IntentRefused,
     OutcomeRecorded,
     OutcomeRefused,
+    PlacementGranted,
+    PlacementRefused,
     RetryDue,
-    StartOrdered,
-    StartRefused,
     StatusReceived,
     StopRequested,
 )
@@ -126,7 +126,7 @@
     def a_backend_is_assigned(self, backend: str) -> None:
         if self.kind in (CHARGE, CHARGE_WITHOUT_STATUS):
             assert not self.possibly_run, "a charge was dispatched twice"
-        self.driver.post(StartOrdered(backend))
+        self.driver.post(PlacementGranted(backend))
         start = self.driver.started[-1]
         assert start.attempt_id not in self.attempt_ids, "an attempt id was used twice"
         assert start.resume_from == len(self.received_texts)
@@ -138,7 +138,7 @@
     def no_backend_is_assigned(self, weight: int) -> None:
         if weight > 0:
             return
-        self.driver.post(StartRefused(ErrorCode.QUEUE_FULL, "full", 1.0))
+        self.driver.post(PlacementRefused(ErrorCode.QUEUE_FULL, "full", 1.0))
 
     @precondition(lambda self: self.kind == MODEL and self.attempt_ids)
     @rule(is_stale=st.booleans(), skew=st.sampled_from((0, 0, 0, -1, 1)))
@@ -199,7 +199,7 @@
     @rule(
         event=st.sampled_from(
             (
-                CallerGone(),
+                CallerDisconnected(),
                 DeadlinePassed(),
                 StopRequested(ErrorCode.PROGRAM_ENDED, "ending"),
             )
@@ -207,7 +207,7 @@
         weight=st.integers(0, 3),
     )
     def the_call_is_abandoned(
-        self, event: CallerGone | DeadlinePassed | StopRequested, weight: int
+        self, event: CallerDisconnected | DeadlinePassed | StopRequested, weight: int
     ) -> None:
         if weight > 0:
             return  # Without this, most calls would end in an early phase.
--- a/tests/recorded_machines/test_recorded_call.py
+++ b/tests/recorded_machines/test_recorded_call.py
@@ -16,13 +16,13 @@
 from passlane.programs.call_plan import CallPlan
 from recorded_machines.recording import Recording
 
-EVENTS = get_args(events.CallEventIn)
+EVENTS = get_args(events.CallMachineEvent)
 INSTRUCTIONS = get_args(instructions.CallInstruction)
 KINDS: dict[type[Any], str] = {
     events.IntentRecorded: "intent recorded",
     events.IntentRefused: "intent refused",
-    events.StartOrdered: "start ordered",
-    events.StartRefused: "start refused",
+    events.PlacementGranted: "start ordered",
+    events.PlacementRefused: "start refused",
     events.TokenReceived: "token received",
     events.AttemptFinished: "attempt finished",
     events.AttemptFailed: "attempt failed",
@@ -30,7 +30,7 @@
     events.RetryDue: "retry due",
     events.OutcomeRecorded: "outcome recorded",
     events.OutcomeRefused: "outcome refused",
-    events.CallerGone: "caller gone",
+    events.CallerDisconnected: "caller gone",
     events.DeadlinePassed: "deadline passed",
     events.StopRequested: "stop requested",
     instructions.RecordIntent: "record intent",
@@ -38,7 +38,7 @@
     instructions.WithdrawPlacement: "withdraw placement",
     instructions.StartAttempt: "start attempt",
     instructions.CancelAttempt: "cancel attempt",
-    instructions.AskStatus: "ask status",
+    instructions.QueryStatus: "ask status",
     instructions.WaitBeforeRetry: "wait before retry",
     instructions.RecordOutcome: "record outcome",
     instructions.SendToken: "send token",
@@ -97,7 +97,7 @@
 
     def _seen(self) -> list[Any]:
         machine = self.machine
-        return [machine.attempt_id, machine.verdict_if_cut_off, machine.attempts, machine.texts]
+        return [machine.attempt_id, machine.verdict_if_aborted, machine.attempts, machine.texts]
 
     def _next_event(self, given: list[Any]) -> Any:
         if self._is_drawn(self.surprise):
@@ -108,15 +108,17 @@
                 return self._drawn(events.IntentRefused if is_refused else events.IntentRecorded)
             case instructions.RequestPlacement():
                 is_refused = self._is_drawn(self.failure / 6)
-                return self._drawn(events.StartRefused if is_refused else events.StartOrdered)
+                return self._drawn(
+                    events.PlacementRefused if is_refused else events.PlacementGranted
+                )
             case instructions.StartAttempt() | instructions.SendToken():
                 return self._of_attempt()
-            case instructions.AskStatus():
+            case instructions.QueryStatus():
                 return self._drawn(events.StatusReceived)
             case instructions.WaitBeforeRetry():
                 return events.RetryDue()
             case _ if self._is_drawn(0.1):
-                return events.CallerGone()
+                return events.CallerDisconnected()
             case _:
                 is_refused = self._is_drawn(0.1)
                 return self._drawn(events.OutcomeRefused if is_refused else events.OutcomeRecorded)
@@ -134,7 +136,7 @@
         """Return an event of a kind with contents that fit, mostly."""
         makers = {
             events.IntentRecorded: self._intent_recorded,
-            events.StartOrdered: lambda: events.StartOrdered(self._name("b"), 2),
+            events.PlacementGranted: lambda: events.PlacementGranted(self._name("b"), 2),
             events.TokenReceived: self._token,
             events.AttemptFinished: self._finished,
             events.AttemptFailed: self._failed,
@@ -142,7 +144,7 @@
         }
         if kind in makers:
             return makers[kind]()
-        if kind in (events.IntentRefused, events.StartRefused):
+        if kind in (events.IntentRefused, events.PlacementRefused):
             return kind(self._code(), "refused", self.random.choice((None, 2.5)))
         if kind in (events.OutcomeRefused, events.StopRequested):
             return kind(self._code(), "ended")
