--- a/src/passlane/membership/lease_table.py
+++ b/src/passlane/membership/lease_table.py
@@ -17,7 +17,7 @@
     is_draining,
 )
 from passlane.membership.partition_planner import Candidates, PartitionPlanner
-from passlane.membership.placement import NodeLife
+from passlane.membership.placement import NodeIncarnation
 from passlane.messages.common import Address
 from passlane.messages.membership import HandoverOrder, NodeHeartbeat, NodeView
 from passlane.messages.store import PartitionAssignment
@@ -81,7 +81,7 @@
         """
         member = self._members.record_heartbeat(heartbeat, now)
         node = member.node
-        self._planner.take_releases(node, heartbeat.released)
+        self._planner.record_releases(node, heartbeat.released)
         if not self._members.grant(member, node in self._planner.leading, required_revision, now):
             return LeaseDecision(lease_s=0.0)
         if not self._planner.has_moves_from(node):
@@ -96,7 +96,7 @@
         before the next call.
         """
         self._members.expire(self._planner.leading, now)
-        if not self._planner.leading and not self.knows_all_members(now):
+        if not self._planner.leading and not self.tracks_all_members(now):
             # Before the first assignment, wait for more nodes to spread partitions evenly.
             return ()
         active = self._members.active(now)
@@ -107,13 +107,13 @@
         )
         return self._planner.plan(candidates)
 
-    def knows_all_members(self, now: float) -> bool:
+    def tracks_all_members(self, now: float) -> bool:
         """Return whether each node with a lease has sent a heartbeat to this leader."""
         return now >= self._all_tracked_at
 
     def progress(self, held_revision: Revision, now: float) -> ConfigurationProgress | None:
         """Return the members' configuration progress, ``None`` until all members are tracked."""
-        if not self.knows_all_members(now):
+        if not self.tracks_all_members(now):
             return None
         return self._members.progress(held_revision, now)
 
@@ -125,7 +125,7 @@
             if member.heartbeat is not None
         )
 
-    def _eligible(self, now: float) -> dict[NodeLife, Address]:
+    def _eligible(self, now: float) -> dict[NodeIncarnation, Address]:
         """Return the nodes that may get new partitions, with their addresses."""
         return {
             member.node: member.heartbeat.address
--- a/src/passlane/membership/members.py
+++ b/src/passlane/membership/members.py
@@ -8,7 +8,7 @@
 
 from passlane.configuration.in_flight import sum_in_flight
 from passlane.identifiers import NodeId, Revision
-from passlane.membership.placement import NodeLife
+from passlane.membership.placement import NodeIncarnation
 from passlane.membership.rejoin_backoff import RejoinBackoff
 from passlane.messages.control import MemberVersion, TargetInFlight
 from passlane.messages.membership import NodeHeartbeat
@@ -27,7 +27,7 @@
     ``heartbeat`` is ``None`` if the member is known only from the partition table.
     """
 
-    node: NodeLife
+    node: NodeIncarnation
     last_heartbeat_at: float
     heartbeat: NodeHeartbeat | None = None
     lease_until: float = NO_LEASE
@@ -66,16 +66,16 @@
 
     def __init__(self, lease_with_drift_s: float, rejoin_delay_s: float) -> None:
         self._lease_with_drift_s = lease_with_drift_s
-        self._members: dict[NodeLife, Member] = {}
+        self._members: dict[NodeIncarnation, Member] = {}
         self._backoff = RejoinBackoff(rejoin_delay_s)
 
-    def add_recovered(self, node: NodeLife, now: float) -> None:
+    def add_recovered(self, node: NodeIncarnation, now: float) -> None:
         """Assume a full lease for a node, which the previous store leader may have granted."""
         self._members[node] = Member(node, now, lease_until=now + self._lease_with_drift_s)
 
     def record_heartbeat(self, heartbeat: NodeHeartbeat, now: float) -> Member:
         """Record a heartbeat and return its member."""
-        node = NodeLife(heartbeat.node_id, heartbeat.incarnation)
+        node = NodeIncarnation(heartbeat.node_id, heartbeat.incarnation)
         member = self._members.setdefault(node, Member(node, now))
         member.heartbeat = heartbeat
         member.last_heartbeat_at = now
@@ -98,7 +98,7 @@
             return False
         return heartbeat.prepared_revision >= required_revision
 
-    def expire(self, leading: Collection[NodeLife], now: float) -> None:
+    def expire(self, leading: Collection[NodeIncarnation], now: float) -> None:
         """End expired leases and remove members without recent heartbeats.
 
         ``leading`` are the nodes in the partition table. Losing a lease while leading is
--- a/src/passlane/membership/node_lease.py
+++ b/src/passlane/membership/node_lease.py
@@ -86,7 +86,7 @@
         self, reply: HeartbeatReply, sent_at: float, now: float
     ) -> list[MembershipChange]:
         """Apply the reply to a heartbeat that was sent at ``sent_at``."""
-        changes = self.handle_time(now)
+        changes = self.check_expiry(now)
         if reply.lease_s > 0:
             ends_at = sent_at + reply.lease_s * self._usable_fraction
             self._valid_until = max(self._valid_until, ends_at)
@@ -97,7 +97,7 @@
             return changes
         return changes + self._update_led(now) + self._update_handovers(reply)
 
-    def handle_time(self, now: float) -> list[MembershipChange]:
+    def check_expiry(self, now: float) -> list[MembershipChange]:
         """Stop leading all partitions once the lease has ended.
 
         The partitions are treated as released. Even if the lease is granted again, the
--- a/src/passlane/membership/partition_planner.py
+++ b/src/passlane/membership/partition_planner.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from passlane.identifiers import Epoch, Partition
-from passlane.membership.placement import Move, NodeLife, balancing_moves, choose_target
+from passlane.membership.placement import Move, NodeIncarnation, balancing_moves, choose_target
 from passlane.messages.common import Address
 from passlane.messages.membership import HandoverOrder, PartitionRelease
 from passlane.messages.store import PartitionAssignment
@@ -35,9 +35,9 @@
         Nodes of ``active`` that must hand over their partitions.
     """
 
-    active: frozenset[NodeLife]
-    eligible: Mapping[NodeLife, Address]
-    draining: Sequence[NodeLife]
+    active: frozenset[NodeIncarnation]
+    eligible: Mapping[NodeIncarnation, Address]
+    draining: Sequence[NodeIncarnation]
 
 
 class PartitionPlanner:
@@ -59,8 +59,8 @@
         self._max_balancing_moves = max(
             MIN_BALANCING_MOVES, partition_count // PARTITIONS_PER_BALANCING_MOVE
         )
-        self.leading: frozenset[NodeLife] = frozenset()
-        self._leaders: dict[Partition, NodeLife] = {}
+        self.leading: frozenset[NodeIncarnation] = frozenset()
+        self._leaders: dict[Partition, NodeIncarnation] = {}
         self._epochs: dict[Partition, Epoch] = {}
         self._released: dict[Partition, Epoch] = {}
         self._moves: dict[Partition, Move] = {}
@@ -71,7 +71,7 @@
         self._epochs.clear()
         for assignment in assignments:
             partition = assignment.partition
-            self._leaders[partition] = NodeLife(assignment.node_id, assignment.incarnation)
+            self._leaders[partition] = NodeIncarnation(assignment.node_id, assignment.incarnation)
             self._epochs[partition] = assignment.epoch
         self.leading = frozenset(self._leaders.values())
         self._released = {
@@ -85,15 +85,15 @@
             if self._leaders.get(partition) == move.source
         }
 
-    def has_moves_from(self, node: NodeLife) -> bool:
+    def has_moves_from(self, node: NodeIncarnation) -> bool:
         """Return whether ``node`` has partitions to hand over."""
         return any(move.source == node for move in self._moves.values())
 
-    def count_led(self, node: NodeLife) -> int:
+    def count_led(self, node: NodeIncarnation) -> int:
         """Return the number of partitions that the table assigns to ``node``."""
         return sum(1 for leader in self._leaders.values() if leader == node)
 
-    def take_releases(self, node: NodeLife, releases: Iterable[PartitionRelease]) -> None:
+    def record_releases(self, node: NodeIncarnation, releases: Iterable[PartitionRelease]) -> None:
         """Record the partitions that a node has stopped leading."""
         for release in releases:
             partition = release.partition
@@ -102,7 +102,7 @@
                 self._released[partition] = release.epoch
 
     def orders_for(
-        self, node: NodeLife, addresses: Mapping[NodeLife, Address]
+        self, node: NodeIncarnation, addresses: Mapping[NodeIncarnation, Address]
     ) -> tuple[HandoverOrder, ...]:
         """Return the handovers that ``node`` has to perform."""
         return tuple(
@@ -137,7 +137,7 @@
             )
         return tuple(planned)
 
-    def _leaderless(self, active: Collection[NodeLife]) -> list[Partition]:
+    def _leaderless(self, active: Collection[NodeIncarnation]) -> list[Partition]:
         """Return the partitions that have no active leader or were released."""
         return [
             partition
@@ -146,16 +146,16 @@
         ]
 
     def _target_for(
-        self, partition: Partition, candidates: Candidates, loads: Mapping[NodeLife, int]
-    ) -> NodeLife | None:
+        self, partition: Partition, candidates: Candidates, loads: Mapping[NodeIncarnation, int]
+    ) -> NodeIncarnation | None:
         move = self._moves.get(partition)
         if move is not None and move.target in candidates.eligible:
             return move.target
         return choose_target(partition, candidates.eligible, loads)
 
-    def _loads(self, active: Collection[NodeLife]) -> dict[NodeLife, int]:
+    def _loads(self, active: Collection[NodeIncarnation]) -> dict[NodeIncarnation, int]:
         """Return the number of partitions of each node after the current moves."""
-        loads: dict[NodeLife, int] = {}
+        loads: dict[NodeIncarnation, int] = {}
         for partition, leader in self._leaders.items():
             move = self._moves.get(partition)
             node = leader if move is None else move.target
@@ -179,7 +179,7 @@
             self._balance(candidates)
 
     def _drain(
-        self, source: NodeLife, partitions: Iterable[Partition], candidates: Candidates
+        self, source: NodeIncarnation, partitions: Iterable[Partition], candidates: Candidates
     ) -> None:
         loads = self._loads(candidates.active)
         for partition in partitions:
@@ -197,9 +197,9 @@
         for move in balancing_moves(led, self._max_balancing_moves):
             self._moves[move.partition] = move
 
-    def _stable_partitions(self) -> dict[NodeLife, list[Partition]]:
+    def _stable_partitions(self) -> dict[NodeIncarnation, list[Partition]]:
         """Return the partitions of each node that are not moving, ordered by number."""
-        stable: dict[NodeLife, list[Partition]] = {}
+        stable: dict[NodeIncarnation, list[Partition]] = {}
         for partition in sorted(self._leaders):
             if partition not in self._moves and partition not in self._released:
                 stable.setdefault(self._leaders[partition], []).append(partition)
--- a/src/passlane/membership/placement.py
+++ b/src/passlane/membership/placement.py
@@ -12,7 +12,7 @@
 from passlane.identifiers import NodeId, Partition
 
 
-class NodeLife(NamedTuple):
+class NodeIncarnation(NamedTuple):
     """One incarnation of a node, that is, one run of its process.
 
     A named tuple, because planning hashes and compares it very often.
@@ -27,8 +27,8 @@
     """A planned handover of a partition between two active nodes."""
 
     partition: Partition
-    source: NodeLife
-    target: NodeLife
+    source: NodeIncarnation
+    target: NodeIncarnation
 
 
 def rendezvous_weight(partition: Partition, node_id: NodeId) -> int:
@@ -41,10 +41,12 @@
 
 
 def choose_target(
-    partition: Partition, candidates: Iterable[NodeLife], loads: Mapping[NodeLife, int]
-) -> NodeLife | None:
+    partition: Partition,
+    candidates: Iterable[NodeIncarnation],
+    loads: Mapping[NodeIncarnation, int],
+) -> NodeIncarnation | None:
     """Return the least loaded candidate; of several, the one with the highest weight."""
-    least_loaded: list[NodeLife] = []
+    least_loaded: list[NodeIncarnation] = []
     least_load = 0
     for node in candidates:
         load = loads.get(node, 0)
@@ -62,7 +64,7 @@
 
 
 def balancing_moves(
-    led: Mapping[NodeLife, Sequence[Partition]], max_moves: int
+    led: Mapping[NodeIncarnation, Sequence[Partition]], max_moves: int
 ) -> tuple[Move, ...]:
     """Return moves that even out the loads, at most ``max_moves``.
 
@@ -83,5 +85,5 @@
     return tuple(moves)
 
 
-def _preferred_partition(partitions: Sequence[Partition], target: NodeLife) -> Partition:
+def _preferred_partition(partitions: Sequence[Partition], target: NodeIncarnation) -> Partition:
     return max(partitions, key=lambda partition: rendezvous_weight(partition, target.node_id))
--- a/src/passlane/node/heartbeat.py
+++ b/src/passlane/node/heartbeat.py
@@ -232,7 +232,7 @@
         """Handle the end of the lease when it expires, also while no heartbeat is answered."""
         while True:
             now = anyio.current_time()
-            lost = self.lease.handle_time(now)
+            lost = self.lease.check_expiry(now)
             if lost:
                 logger.warning("lease_lost", partitions=len(lost))
                 self._notify_listener(lost)
--- a/tests/membership/lease_simulation.py
+++ b/tests/membership/lease_simulation.py
@@ -221,7 +221,7 @@
             self.schedule(node.frozen_until - self.now, lambda: self._send_heartbeat(node))
             return
         self.schedule(SETTINGS.heartbeat_s, lambda: self._send_heartbeat(node))
-        self._apply_changes(node, node.lease.handle_time(node.clock.at(self.now)))
+        self._apply_changes(node, node.lease.check_expiry(node.clock.at(self.now)))
         heartbeat = heartbeat_of(node.lease, node.is_draining)
         sent_at = node.clock.at(self.now)
         for replica in self.replicas:
--- a/tests/recorded_machines/test_recorded_membership.py
+++ b/tests/recorded_machines/test_recorded_membership.py
@@ -11,7 +11,7 @@
 from passlane.membership.lease_table import LeaseDecision, LeaseTable
 from passlane.membership.members import ConfigurationProgress
 from passlane.membership.partition_planner import Candidates, PartitionPlanner
-from passlane.membership.placement import NodeLife
+from passlane.membership.placement import NodeIncarnation
 from passlane.messages.common import Address
 from passlane.messages.control import MemberVersion, TargetInFlight
 from passlane.messages.membership import (
@@ -130,7 +130,7 @@
         if self.random.random() < 0.85:
             self.recorded.update((assignment.partition, assignment) for assignment in planned)
         self.table.record_assignments(self.recorded.values())
-        told = [self.table.knows_all_members(self.now), self.table.views(self.now)]
+        told = [self.table.tracks_all_members(self.now), self.table.views(self.now)]
         progress = self.table.progress(Revision(self.revision), self.now)
         return [[self.now, "plan"], [planned, told, progress]]
 
@@ -195,12 +195,12 @@
         planner.record_assignments(recorded.values())
         for life, given in zip(sorted(candidates.active), orders, strict=True):
             done = [PartitionRelease(order.partition, order.epoch) for order in given]
-            planner.take_releases(life, done[: draw.randrange(5)])
+            planner.record_releases(life, done[: draw.randrange(5)])
 
 
 def draw_candidates(draw: random.Random) -> Candidates:
     """Return most lives as active, some of them draining; seldom none that is eligible."""
-    lives = [NodeLife(NodeId(f"n{n}"), 1 + int(draw.random() < 0.05)) for n in range(6)]
+    lives = [NodeIncarnation(NodeId(f"n{n}"), 1 + int(draw.random() < 0.05)) for n in range(6)]
     active = [life for life in lives if draw.random() < 0.95]
     draining = [life for life in active if draw.random() < draw.choice((0.0, 0.0, 0.3))]
     if draw.random() < 0.03:
