--- a/src/passlane/control/state/idempotency.py
+++ b/src/passlane/control/state/idempotency.py
@@ -23,7 +23,7 @@
 KeyedResult = PutResult | VersionConflict | ControlRefusal
 
 
-class RememberedCommand(msgspec.Struct, frozen=True, gc=False):
+class RetainedCommand(msgspec.Struct, frozen=True, gc=False):
     """An applied command: its key, a digest of the request, and its result."""
 
     key: str
@@ -39,9 +39,9 @@
 
     def __init__(self, retained_keys: int = MAX_RETAINED_KEYS) -> None:
         self._retained_keys = retained_keys
-        self._commands: dict[str, RememberedCommand] = {}
+        self._commands: dict[str, RetainedCommand] = {}
 
-    def find(self, key: str) -> RememberedCommand | None:
+    def find(self, key: str) -> RetainedCommand | None:
         """Return the command with ``key``, or ``None`` if it is not retained."""
         return self._commands.get(key)
 
@@ -52,16 +52,16 @@
         """
         if isinstance(command, PutDocument):
             result = _without_body(result)
-        retained = RememberedCommand(command.idempotency_key, digest_of(command), result)
+        retained = RetainedCommand(command.idempotency_key, digest_of(command), result)
         self._commands[command.idempotency_key] = retained
         while len(self._commands) > self._retained_keys:
             del self._commands[next(iter(self._commands))]
 
-    def dump(self) -> tuple[RememberedCommand, ...]:
+    def dump(self) -> tuple[RetainedCommand, ...]:
         """Return all retained commands, oldest first."""
         return tuple(self._commands.values())
 
-    def load(self, commands: tuple[RememberedCommand, ...]) -> None:
+    def load(self, commands: tuple[RetainedCommand, ...]) -> None:
         """Replace the retained commands with ``commands``, a result of ``dump``."""
         self._commands = {command.key: command for command in commands}
 
@@ -71,7 +71,7 @@
     return xxhash.xxh3_128_digest(encode_message(command))
 
 
-def repeated_result(retained: RememberedCommand, command: KeyedCommand) -> KeyedResult:
+def repeated_result(retained: RetainedCommand, command: KeyedCommand) -> KeyedResult:
     """Return the first result for the repeated ``command``."""
     result = retained.result
     if isinstance(command, PutDocument) and isinstance(result, PutResult):
--- a/src/passlane/control/state/snapshot.py
+++ b/src/passlane/control/state/snapshot.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from passlane.control.state.idempotency import RememberedCommand
+from passlane.control.state.idempotency import RetainedCommand
 from passlane.control.state.withdrawals import Withdrawal
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.identifiers import Revision
@@ -25,7 +25,7 @@
     accepted: tuple[Document, ...]
     pending: tuple[Document, ...]
     withdrawals: tuple[Withdrawal, ...]
-    remembered: tuple[RememberedCommand, ...]
+    remembered: tuple[RetainedCommand, ...]
 
 
 _decoder = msgspec.msgpack.Decoder(ControlSnapshot)
--- a/src/passlane/simulation/defects/configuration.py
+++ b/src/passlane/simulation/defects/configuration.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from passlane.control.state.idempotency import IdempotencyTable, KeyedResult, RememberedCommand
+from passlane.control.state.idempotency import IdempotencyTable, KeyedResult, RetainedCommand
 from passlane.control.state.machine import ControlStateMachine
 from passlane.messages.control import PutDocument
 from passlane.simulation.defects.base import Defect, replacing
@@ -18,7 +18,7 @@
     return _put(machine, msgspec.structs.replace(command, expected_version=version))
 
 
-def _dump_no_keys(_table: IdempotencyTable) -> tuple[RememberedCommand, ...]:
+def _dump_no_keys(_table: IdempotencyTable) -> tuple[RetainedCommand, ...]:
     return ()
 
 
