--- a/src/passlane/cli/policy_explain.py
+++ b/src/passlane/cli/policy_explain.py
@@ -132,7 +132,7 @@
         service: ServiceBody | None,
     ) -> PolicyExplanation:
         facts = importlib.import_module("passlane.policy.facts")
-        governor = importlib.import_module("passlane.policy.active_policies").PolicyGovernor()
+        governor = importlib.import_module("passlane.policy.active_policies").ActivePolicies()
         governor.update(documents)
         is_sub_agent = bool(self.option("sub-agent"))
         call = governor.classify(
@@ -194,7 +194,7 @@
         return (f"there is no service {tenant.service!r}",)
     if service.policy is not None and service.policy not in policies:
         return (f"there is no policy {service.policy!r}",)
-    return tuple(f"{report.policy}: {report.message}" for report in governor.take_problems())
+    return tuple(f"{report.policy}: {report.message}" for report in governor.collect_problems())
 
 
 def _describe(explanation: PolicyExplanation) -> list[str]:
--- a/src/passlane/node/call_services.py
+++ b/src/passlane/node/call_services.py
@@ -17,7 +17,7 @@
 from passlane.node.model_dispatcher import ModelDispatcher
 from passlane.node.program_store import ProgramStore
 from passlane.node.tool_dispatcher import ToolDispatcher
-from passlane.policy.active_policies import PolicyGovernor
+from passlane.policy.active_policies import ActivePolicies
 from passlane.runtime.interfaces import HttpClient
 
 HOLD_TIMEOUT_S = 5.0
@@ -47,7 +47,7 @@
     configuration: Callable[[], ConfigurationView]
     tasks: TaskGroup
     reports: CallReports
-    policies: PolicyGovernor
+    policies: ActivePolicies
 
     def leads(self, program: LedProgram) -> bool:
         """Return whether this node still leads the program in the epoch it was loaded in."""
--- a/src/passlane/node/housekeeping.py
+++ b/src/passlane/node/housekeeping.py
@@ -34,7 +34,7 @@
             self._end_overdue_programs(now)
 
     def _report_policy_problems(self) -> None:
-        for report in self._core.services.policies.take_problems():
+        for report in self._core.services.policies.collect_problems():
             self._core.services.reports.publish_policy_failure(report)
             _log.warning(
                 "policy failed", policy=report.policy, error=report.message, times=report.times
--- a/src/passlane/node/node_core.py
+++ b/src/passlane/node/node_core.py
@@ -42,7 +42,7 @@
 from passlane.node.release_loop import PendingRelease, ReleaseLoop
 from passlane.node.tool_dispatcher import ToolDispatcher
 from passlane.observability.logging import get_logger
-from passlane.policy.active_policies import PolicyGovernor
+from passlane.policy.active_policies import ActivePolicies
 from passlane.runtime.interfaces import Environment
 from passlane.settings.model import Settings
 from passlane.transport.interfaces import Caller, Router
@@ -148,7 +148,7 @@
     leadership: Leadership,
     configuration: Callable[[], ConfigurationView],
     reports: CallReports,
-    policies: PolicyGovernor,
+    policies: ActivePolicies,
 ) -> NodeCore:
     """Create and connect the parts of a node; their tasks run in ``tasks``."""
     source = environment.random
--- a/src/passlane/node/service.py
+++ b/src/passlane/node/service.py
@@ -48,7 +48,7 @@
 from passlane.node.trace_recorder import TraceRecorder
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
-from passlane.policy.active_policies import PolicyGovernor
+from passlane.policy.active_policies import ActivePolicies
 from passlane.replication.client import GroupClient
 from passlane.runtime.interfaces import Environment
 from passlane.settings.model import Settings
@@ -98,7 +98,7 @@
             [sink for sink in sinks if sink is not None],
             [] if self._metrics is None else [self._metrics],
         )
-        self._policies = PolicyGovernor()
+        self._policies = ActivePolicies()
         self._configuration = ConfigurationView()
         self._leaving_engines: frozenset[EngineId] = frozenset()
         self._is_draining = False
--- a/src/passlane/policy/active_policies.py
+++ b/src/passlane/policy/active_policies.py
@@ -71,7 +71,7 @@
     evaluator: PolicyEvaluator
 
 
-class PolicyGovernor:
+class ActivePolicies:
     """Evaluates the policies in force for all tenants."""
 
     def __init__(self) -> None:
@@ -138,7 +138,7 @@
             f"weight {decision.value.weight:g}{problem}"
         )
 
-    def take_problems(self) -> list[PolicyProblemReport]:
+    def collect_problems(self) -> list[PolicyProblemReport]:
         """Return the problems since the last call, for logs and metrics, and clear them."""
         reports = [
             PolicyProblemReport(policy, message, times)
--- a/tests/node/nodes.py
+++ b/tests/node/nodes.py
@@ -36,7 +36,7 @@
 from passlane.node.call_reports import CallReports
 from passlane.node.node_core import NodeCore, build_core, register_handlers
 from passlane.node.program_store import ProgramStore
-from passlane.policy.active_policies import PolicyGovernor
+from passlane.policy.active_policies import ActivePolicies
 from passlane.simulation.runner import run_simulation
 from passlane.transport.router import MessageRouter
 
@@ -135,7 +135,7 @@
         self.http.servers[self.addresses["application"]] = self.application.serve
         self.configuration = make_configuration(self.addresses, **tool)
         self.reports = CallReports()
-        self.policies = PolicyGovernor()
+        self.policies = ActivePolicies()
         self.policies.update(self.configuration)
         self.leaderships = [FakeLeadership(f"n{one}", 7000 + 10 * one) for one in range(nodes)]
         self.nodes = [self._build(leadership) for leadership in self.leaderships]
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -11,7 +11,7 @@
 from passlane.configuration.parsing import parse_body
 from passlane.identifiers import ProgramId, TenantId
 from passlane.messages.common import Amounts
-from passlane.policy.active_policies import PolicyGovernor
+from passlane.policy.active_policies import ActivePolicies
 from passlane.policy.checking import check_policy
 from passlane.policy.compiled import CompiledPolicy
 from passlane.policy.evaluator import PolicyEvaluator
@@ -112,8 +112,8 @@
 
 
 class PolicyGovernorTest(unittest.TestCase):
-    def governor(self, source: str | None) -> PolicyGovernor:
-        governor = PolicyGovernor()
+    def governor(self, source: str | None) -> ActivePolicies:
+        governor = ActivePolicies()
         governor.update(configuration(source))
         return governor
 
@@ -137,10 +137,10 @@
         self.assertEqual(6.0, governor.classify(facts()).weight)
         for _ in range(3):
             self.assertEqual(1, governor.classify(facts(prompt_tokens=77)).service_class)
-        problems = governor.take_problems()
+        problems = governor.collect_problems()
         self.assertEqual([("p", 3)], [(item.policy, item.times) for item in problems])
         self.assertIn("zero", problems[0].message)
-        self.assertEqual([], governor.take_problems())
+        self.assertEqual([], governor.collect_problems())
         self.assertIn("default", governor.explain(facts(prompt_tokens=77)))
 
     def test_replaced_policy_applies_to_the_next_decision(self):
@@ -150,7 +150,7 @@
         self.assertEqual(4, governor.classify(facts()).service_class)
         governor.update(configuration("def f(:"))
         self.assertEqual(1, governor.classify(facts()).service_class)
-        self.assertEqual(1, len(governor.take_problems()))
+        self.assertEqual(1, len(governor.collect_problems()))
         governor.update(configuration(None))
         self.assertEqual(1, governor.classify(facts(tenant=TenantId("x"))).service_class)
 
@@ -159,7 +159,7 @@
             "seen = []\ndef classify(call):\n  seen.append(1)\n  return {'class': len(seen)}"
         )
         self.assertEqual(1, governor.classify(facts()).service_class)
-        self.assertIn("classify", governor.take_problems()[0].message)
+        self.assertIn("classify", governor.collect_problems()[0].message)
 
 
 if __name__ == "__main__":
