--- a/.ci/dead_code_exceptions.py
+++ b/.ci/dead_code_exceptions.py
@@ -70,7 +70,7 @@
 _.starvation_bound_s  # No younger call of a tenant and class goes ahead after it.
 _.active_tenants  # Tenants that use nothing share nothing.
 _.running_calls  # Recorded decisions of the scheduler of calls.
-_.remembered_tenants  # A node's memory of tenants is bounded.
+_.tracked_tenants  # A node's memory of tenants is bounded.
 _.breaks  # The promise by which each seeded defect of the Raft group must be found.
 _.within_seeds  # Within how many seeds it must be found.
 _.node_files  # Calls are recorded on a node's disk as they were made.
--- a/src/passlane/node/admission.py
+++ b/src/passlane/node/admission.py
@@ -36,7 +36,7 @@
         self._sweep_threshold = MIN_LIMITERS_BEFORE_SWEEP
 
     @property
-    def remembered_tenants(self) -> int:
+    def tracked_tenants(self) -> int:
         """Number of tenants that have a limiter in memory."""
         return len(self._limiters)
 
@@ -45,7 +45,7 @@
         """Number of requests that were admitted and not answered yet."""
         return self._in_flight
 
-    def limit_requests(self, max_requests: int) -> None:
+    def set_max_requests(self, max_requests: int) -> None:
         """Change the maximum number of requests; requests in flight continue."""
         self._max_requests = max_requests
 
--- a/src/passlane/node/call_context.py
+++ b/src/passlane/node/call_context.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True)
-class CallSetUp:
+class CallContext:
     """Inputs of a call that starts.
 
     Attributes
@@ -44,11 +44,14 @@
 
 
 def arrival_event(
-    services: CallServices, program: LedProgram, set_up: CallSetUp, failed_backends: frozenset[str]
+    services: CallServices,
+    program: LedProgram,
+    context: CallContext,
+    failed_backends: frozenset[str],
 ) -> CallArrived:
     """Return the event that requests placement, excluding ``failed_backends`` where possible."""
-    plan = set_up.plan
-    facts = call_facts(program, plan.target, set_up.sequence, plan.max_tokens)
+    plan = context.plan
+    facts = call_facts(program, plan.target, context.sequence, plan.max_tokens)
     decision = services.policies.classify(facts)
     return CallArrived(
         call_id=plan.call_id,
@@ -57,7 +60,7 @@
         model=plan.target,
         prompt_tokens=program.prompt_tokens,
         max_tokens=plan.max_tokens,
-        deadline=set_up.deadline,
+        deadline=context.deadline,
         service_class=decision.service_class,
         weight=decision.weight,
         excluded=_engines_to_exclude(services, plan.target, failed_backends),
--- a/src/passlane/node/call_records.py
+++ b/src/passlane/node/call_records.py
@@ -4,7 +4,7 @@
 
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.store import BeginCall, BeginCallResult, EngineHold, FinishCall
-from passlane.node.call_context import CallSetUp
+from passlane.node.call_context import CallContext
 from passlane.node.led_program import LedProgram, OpenCall
 from passlane.node.program_store import ProgramStore
 from passlane.programs.call_events import (
@@ -49,13 +49,13 @@
         self,
         store: ProgramStore,
         program: LedProgram,
-        set_up: CallSetUp,
+        context: CallContext,
         settle_open_call: Callable[[], Awaitable[None]],
     ) -> None:
         self.may_be_inconsistent = False
         self._store = store
         self._program = program
-        self._set_up = set_up
+        self._context = context
         self._settle_open_call = settle_open_call
 
     async def record_intent(self) -> CallMachineEvent:
@@ -66,8 +66,8 @@
             if error.code not in DEFINITE_REFUSALS:
                 self.may_be_inconsistent = True
             return IntentRefused(error.code, error.message, error.retry_after_s)
-        self._program.note_begun(result.call, self._set_up.request.turns)
-        reopened = self._set_up.reopened
+        self._program.apply_begun_call(result.call, self._context.request.turns)
+        reopened = self._context.reopened
         # Without an open call nothing was sent in this epoch: such a record is this command's own.
         is_own_record = reopened is None and result.call.epoch == self._program.epoch
         is_proved_not_run = is_own_record or (reopened is not None and reopened.proved_not_run)
@@ -75,18 +75,18 @@
 
     async def _begin_call(self) -> BeginCallResult:
         await self._settle_open_call()
-        reopened = self._set_up.reopened
+        reopened = self._context.reopened
         if reopened is not None and not self._needs_new_reservation(reopened):
             return BeginCallResult(call=reopened.call, already_recorded=True)
-        plan = self._set_up.plan
-        request = self._set_up.request
-        offer = self._set_up.offer
+        plan = self._context.plan
+        request = self._context.request
+        offer = self._context.offer
         command = BeginCall(
             program_id=self._program.program_id,
             partition=self._program.partition,
             epoch=self._program.epoch,
             call_id=plan.call_id,
-            sequence=self._set_up.sequence,
+            sequence=self._context.sequence,
             kind=plan.kind,
             target=plan.target,
             repeatable=plan.repeatable,
@@ -105,7 +105,7 @@
         self, instruction: RecordOutcome, hold: EngineHold | None
     ) -> CallMachineEvent:
         """Record the outcome and the engine's hold, if any, and return the resulting event."""
-        call_id = self._set_up.plan.call_id
+        call_id = self._context.plan.call_id
         command = FinishCall(
             program_id=self._program.program_id,
             partition=self._program.partition,
@@ -120,7 +120,7 @@
         except PasslaneError as error:
             self.may_be_inconsistent = True
             return OutcomeRefused(error.code, error.message)
-        self._program.note_finished(call_id, instruction.outcome, instruction.turns)
+        self._program.apply_finished_call(call_id, instruction.outcome, instruction.turns)
         if hold is not None:
-            self._program.note_hold(hold)
+            self._program.add_hold(hold)
         return OutcomeRecorded()
--- a/src/passlane/node/call_reports.py
+++ b/src/passlane/node/call_reports.py
@@ -47,15 +47,15 @@
 class ReportSink(Protocol):
     """Receives reports of programs and finished calls; its methods must not raise."""
 
-    def take(self, report: CallReport) -> None:
+    def record_call(self, report: CallReport) -> None:
         """Record an answered call."""
         ...
 
-    def take_created(self, request: CreateProgramRequest) -> None:
+    def record_created(self, request: CreateProgramRequest) -> None:
         """Record a new program."""
         ...
 
-    def take_ended(self, program_id: ProgramId) -> None:
+    def record_ended(self, program_id: ProgramId) -> None:
         """Record the end of a program."""
         ...
 
@@ -63,15 +63,15 @@
 class FailureSink(Protocol):
     """Receives reports of attempts, refusals and policy failures; its methods must not raise."""
 
-    def take_attempt(self, report: AttemptReport) -> None:
+    def record_attempt(self, report: AttemptReport) -> None:
         """Record a finished attempt at a back end."""
         ...
 
-    def take_refusal(self, code: ErrorCode, verdict: Verdict) -> None:
+    def record_refusal(self, code: ErrorCode, verdict: Verdict) -> None:
         """Record a request of this node that was answered with an error."""
         ...
 
-    def take_policy_failure(self, report: PolicyProblemReport) -> None:
+    def record_policy_failure(self, report: PolicyProblemReport) -> None:
         """Record a policy that failed, so that its default was used."""
         ...
 
@@ -86,29 +86,29 @@
     def publish(self, report: CallReport) -> None:
         """Report an answered call to every sink."""
         for sink in self.sinks:
-            sink.take(report)
+            sink.record_call(report)
 
     def publish_created(self, request: CreateProgramRequest) -> None:
         """Report a new program to every sink."""
         for sink in self.sinks:
-            sink.take_created(request)
+            sink.record_created(request)
 
     def publish_ended(self, program_id: ProgramId) -> None:
         """Report the end of a program to every sink."""
         for sink in self.sinks:
-            sink.take_ended(program_id)
+            sink.record_ended(program_id)
 
     def publish_attempt(self, report: AttemptReport) -> None:
         """Report a finished attempt to every failure sink."""
         for sink in self.failure_sinks:
-            sink.take_attempt(report)
+            sink.record_attempt(report)
 
     def publish_refusal(self, code: ErrorCode, verdict: Verdict) -> None:
         """Report a refusal to every failure sink."""
         for sink in self.failure_sinks:
-            sink.take_refusal(code, verdict)
+            sink.record_refusal(code, verdict)
 
     def publish_policy_failure(self, report: PolicyProblemReport) -> None:
         """Report a policy that failed to every failure sink."""
         for sink in self.failure_sinks:
-            sink.take_policy_failure(report)
+            sink.record_policy_failure(report)
--- a/src/passlane/node/call_runner.py
+++ b/src/passlane/node/call_runner.py
@@ -14,7 +14,7 @@
     CallKind,
     EngineHold,
 )
-from passlane.node.call_context import CallSetUp, arrival_event
+from passlane.node.call_context import CallContext, arrival_event
 from passlane.node.call_records import CallRecords
 from passlane.node.call_reports import CallReport
 from passlane.node.call_services import LEADERSHIP_CODES, CallServices
@@ -71,19 +71,19 @@
         self,
         services: CallServices,
         program: LedProgram,
-        set_up: CallSetUp,
+        context: CallContext,
         settle_open_call: Callable[[], Awaitable[None]],
         on_finished: Callable[["CallRunner"], None],
     ) -> None:
-        self.set_up = set_up
-        self.call_id = set_up.plan.call_id
+        self.context = context
+        self.call_id = context.plan.call_id
         self.program = program
         self.left_open: SendAnswer | None = None
         self.machine = CallMachine(
-            set_up.plan, set_up.attempt_prefix, may_have_run=set_up.may_have_run
+            context.plan, context.attempt_prefix, may_have_run=context.may_have_run
         )
         self._services = services
-        self._records = CallRecords(services.store, program, set_up, settle_open_call)
+        self._records = CallRecords(services.store, program, context, settle_open_call)
         self._on_finished = on_finished
         self._subscriptions: list[Subscription] = []
         self._answer: CallAnswered | CallRefused | None = None
@@ -137,7 +137,7 @@
         for subscription in self._subscriptions:
             subscription.fail(error)
         self._subscriptions.clear()
-        if self.machine.phase is CallPhase.PLACING and self.set_up.plan.kind is CallKind.MODEL:
+        if self.machine.phase is CallPhase.PLACING and self.context.plan.kind is CallKind.MODEL:
             self._services.models.withdraw(self.call_id)
         self._cancel_tasks()
 
@@ -200,7 +200,7 @@
         self._on_finished(self)
 
     async def _watch_deadline(self) -> None:
-        await anyio.sleep_until(self.set_up.deadline)
+        await anyio.sleep_until(self.context.deadline)
         self.post(DeadlinePassed())
 
     # Instructions.
@@ -214,7 +214,7 @@
             case RequestPlacement(excluded, _):
                 self._request_placement(excluded)
             case WithdrawPlacement():
-                if self.set_up.plan.kind is CallKind.MODEL:
+                if self.context.plan.kind is CallKind.MODEL:
                     self._services.models.withdraw(self.call_id)
             case StartAttempt():
                 self._start_attempt(instruction)
@@ -257,10 +257,10 @@
 
     def _publish_report(self, answer: CallAnswered | CallRefused) -> None:
         report = CallReport(
-            request=self.set_up.request,
+            request=self.context.request,
             call_id=self.call_id,
-            sequence=self.set_up.sequence,
-            arrived_at=self.set_up.arrived_at,
+            sequence=self.context.sequence,
+            arrived_at=self.context.arrived_at,
             first_token_at=self._first_token_at,
             ended_at=anyio.current_time(),
             backend=self._backend,
@@ -291,13 +291,13 @@
     # Placement and attempts.
 
     def _request_placement(self, excluded: frozenset[str]) -> None:
-        offer = self.set_up.offer
+        offer = self.context.offer
         if offer is not None:
             now = anyio.current_time()
             limit = offer.application.max_in_flight
             self.post(self._services.tools.start(offer.application_id, limit, now))
             return
-        arrival = arrival_event(self._services, self.program, self.set_up, excluded)
+        arrival = arrival_event(self._services, self.program, self.context, excluded)
         self._services.models.place(arrival, self.post)
 
     def _start_attempt(self, start: StartAttempt) -> None:
@@ -305,13 +305,13 @@
         scope = anyio.CancelScope()
         self._attempt_scopes[start.attempt_id] = scope
         work = partial(self._run_model, start)
-        if self.set_up.offer is not None:
-            work = partial(self._run_tool, start, self.set_up.offer)
+        if self.context.offer is not None:
+            work = partial(self._run_tool, start, self.context.offer)
         self._start_task(work, scope)
 
     async def _run_model(self, start: StartAttempt) -> None:
         attempt = ModelAttempt(
-            self._services, self.program, self.set_up.plan, start, self.post, self._set_hold
+            self._services, self.program, self.context.plan, start, self.post, self._set_hold
         )
         await attempt.run()
 
@@ -319,9 +319,9 @@
         self._hold = hold
 
     async def _run_tool(self, start: StartAttempt, offer: ToolOffer) -> None:
-        arguments = self.set_up.request.arguments
+        arguments = self.context.request.arguments
         attempt = ToolAttempt(
-            self._services, self.program, self.set_up.plan, offer, arguments, start, self.post
+            self._services, self.program, self.context.plan, offer, arguments, start, self.post
         )
         await attempt.run()
 
@@ -332,10 +332,10 @@
             scope.cancel()
 
     async def _query_status(self) -> None:
-        if self.set_up.offer is None:
+        if self.context.offer is None:
             self.post(StatusReceived(None))
             return
-        await query_status(self._services, self.set_up.offer, self.set_up.plan, self.post)
+        await query_status(self._services, self.context.offer, self.context.plan, self.post)
 
     async def _wait_before_retry(self, delay_s: float) -> None:
         await anyio.sleep(delay_s)
--- a/src/passlane/node/call_services.py
+++ b/src/passlane/node/call_services.py
@@ -79,7 +79,7 @@
             raise PasslaneError(
                 error.code, error.message, verdict=Verdict.NOT_RUN, retry_after_s=1.0
             ) from error
-        program.note_hold(hold)
+        program.add_hold(hold)
 
     def not_leader_error(
         self, program: LedProgram, verdict: Verdict = Verdict.NOT_RUN
--- a/src/passlane/node/engine_poller.py
+++ b/src/passlane/node/engine_poller.py
@@ -16,7 +16,7 @@
 from passlane.identifiers import EngineId
 from passlane.messages.backends import CacheSnapshot, EngineLoad
 from passlane.node.call_services import CallServices
-from passlane.node.poll_intervals import PollPace
+from passlane.node.poll_intervals import PollIntervals
 from passlane.observability.logging import get_logger
 
 _log = get_logger(__name__)
@@ -41,7 +41,7 @@
     """
 
     def __init__(
-        self, services: CallServices, tasks: TaskGroup, pace: PollPace, source: random.Random
+        self, services: CallServices, tasks: TaskGroup, pace: PollIntervals, source: random.Random
     ) -> None:
         self._services = services
         self._tasks = tasks
@@ -65,10 +65,10 @@
             self._watches[engine_id] = watch
             self._tasks.start_soon(self._poll_forever, engine_id, watch)
 
-    def note_use(self, engine_id: EngineId) -> None:
+    def record_use(self, engine_id: EngineId) -> None:
         """Record a call that starts on an engine; an engine that was idle is polled at once."""
         watch = self._watches.get(engine_id)
-        if watch is not None and self._pace.note_use(engine_id, anyio.current_time()):
+        if watch is not None and self._pace.record_use(engine_id, anyio.current_time()):
             watch.first_use.set()
 
     async def _poll_forever(self, engine_id: EngineId, watch: _Watch) -> None:
@@ -77,7 +77,7 @@
                 try:
                     await self._poll(engine_id, watch)
                 except BackendError:
-                    self._services.models.tell(EngineUnreachable(engine_id))
+                    self._services.models.handle_event(EngineUnreachable(engine_id))
                 await self._wait(engine_id, watch)
 
     async def _wait(self, engine_id: EngineId, watch: _Watch) -> None:
@@ -94,7 +94,7 @@
         client = self._services.engines.client(engine.address)
         load = await client.read_load()
         self._services.engines.record_incarnation(engine_id, load.incarnation)
-        self._services.models.tell(LoadReported(load))
+        self._services.models.handle_event(LoadReported(load))
         if load.incarnation != watch.incarnation:
             watch.incarnation = load.incarnation
             watch.last_event_read = 0
@@ -105,7 +105,7 @@
             return
         if events.events:
             watch.last_event_read = max(event.number for event in events.events)
-            self._services.models.tell(CacheEventsReported(engine_id, events))
+            self._services.models.handle_event(CacheEventsReported(engine_id, events))
 
     def fetch_snapshot(self, engine_id: EngineId) -> None:
         """Start fetching a cache snapshot for the scheduler, unless a fetch is running."""
@@ -126,7 +126,7 @@
         watch = self._watches.get(engine_id)
         if watch is not None and snapshot.incarnation == watch.incarnation:
             watch.last_event_read = max(watch.last_event_read, snapshot.number)
-        self._services.models.tell(CacheSnapshotReported(engine_id, snapshot))
+        self._services.models.handle_event(CacheSnapshotReported(engine_id, snapshot))
 
     async def read_cache(self, engine_id: EngineId) -> CacheSnapshot | None:
         """Return an engine's cache snapshot; ``None`` for an engine that is not configured."""
--- a/src/passlane/node/forwarder.py
+++ b/src/passlane/node/forwarder.py
@@ -158,7 +158,7 @@
             verdict=Verdict.MAY_HAVE_RUN,
         )
 
-    async def ask(
+    async def send_request(
         self,
         program_id: ProgramId,
         request: Message,
--- a/src/passlane/node/heartbeat.py
+++ b/src/passlane/node/heartbeat.py
@@ -34,7 +34,7 @@
 logger = get_logger(__name__)
 
 
-def longest_pause_s(heartbeat_s: float) -> float:
+def max_heartbeat_interval_s(heartbeat_s: float) -> float:
     """Return the maximum time in seconds between two heartbeats of a node with a lease."""
     return heartbeat_s * (1.0 + JITTER_FRACTION)
 
@@ -76,17 +76,17 @@
         """Number of calls in flight at each drained target."""
         ...
 
-    def take_configuration(
+    def apply_configuration(
         self, delta: ConfigurationDelta | None, accepted_revision: Revision
     ) -> None:
         """Add changes, then apply the newest revision that is both accepted and received."""
         ...
 
-    def take_leaving_engines(self, names: Sequence[EngineId]) -> None:
+    def set_leaving_engines(self, names: Sequence[EngineId]) -> None:
         """Send no new work to the engines of these names."""
         ...
 
-    def take_membership_change(self, change: MembershipChange) -> None:
+    def apply_membership_change(self, change: MembershipChange) -> None:
         """Start or stop leading a partition, or start or cancel its handover."""
         ...
 
@@ -126,7 +126,7 @@
         """Whether the node may act as a leader now."""
         return self.lease.is_valid(anyio.current_time())
 
-    def beat_soon(self) -> None:
+    def request_heartbeat(self) -> None:
         """Send the next heartbeat immediately, because the node's state has changed."""
         self._send_requested.set()
 
@@ -144,13 +144,13 @@
             with anyio.move_on_after(self.lease.valid_until - anyio.current_time()):
                 await self._reply_received.wait()
 
-    def expect(self, partition: Partition) -> None:
+    def expect_assignment(self, partition: Partition) -> None:
         """Send heartbeats often until a released partition is assigned, for at most ``lease_s``."""
         self._await_assignment(partition)
 
     def _await_assignment(self, partition: Partition) -> None:
         self._awaited_until[partition] = anyio.current_time() + self._settings.membership.lease_s
-        self.beat_soon()
+        self.request_heartbeat()
 
     def _drop_assigned(self, reply: HeartbeatReply) -> None:
         """Stop waiting for partitions that the reply assigns, or whose waiting time is over."""
@@ -215,14 +215,14 @@
     def _handle_reply(self, reply: HeartbeatReply, sent_at: float) -> None:
         # Configuration first: a node applies the newest accepted revision before it leads.
         revision_before = self._listener.configuration.held_revision
-        self._listener.take_configuration(reply.configuration, reply.accepted_revision)
-        self._listener.take_leaving_engines(reply.leaving_engines)
+        self._listener.apply_configuration(reply.configuration, reply.accepted_revision)
+        self._listener.set_leaving_engines(reply.leaving_engines)
         self._drop_assigned(reply)
         had_lease = self.has_lease
         self._notify_listener(self.lease.handle_reply(reply, sent_at, anyio.current_time()))
         if self._listener.configuration.held_revision > revision_before:
             # The store leader waits for this acknowledgement, or has more changes to send.
-            self.beat_soon()
+            self.request_heartbeat()
         self._reply_received.set()
         self._reply_received = anyio.Event()
         if self.has_lease != had_lease:
@@ -242,4 +242,4 @@
 
     def _notify_listener(self, changes: Sequence[MembershipChange]) -> None:
         for change in changes:
-            self._listener.take_membership_change(change)
+            self._listener.apply_membership_change(change)
--- a/src/passlane/node/leader_service.py
+++ b/src/passlane/node/leader_service.py
@@ -40,7 +40,7 @@
 from passlane.node.policy_facts import call_facts, program_facts
 from passlane.node.program_directory import ProgramDirectory
 from passlane.node.program_host import ProgramHost
-from passlane.node.refusal_verdicts import RefusalJudge, refusal_with_verdict
+from passlane.node.refusal_verdicts import RefusalVerdictResolver, refusal_with_verdict
 from passlane.node.release_loop import ReleaseLoop
 from passlane.node.subscription import Subscription
 from passlane.observability.logging import get_logger
@@ -90,11 +90,11 @@
         PasslaneError
             If the call was refused at once, or must be sent to another node.
         """
-        judge = RefusalJudge(request)
+        judge = RefusalVerdictResolver(request)
         in_memory = self._directory.host_in_memory(request.program_id)
         if in_memory is not None:
-            is_under_way = in_memory.is_under_way(call_id_of(request))
-            judge.note_record(in_memory.program, is_under_way=is_under_way)
+            is_in_flight = in_memory.is_in_flight(call_id_of(request))
+            judge.note_record(in_memory.program, is_in_flight=is_in_flight)
         try:
             async with self._subscribe(request, judge) as subscription:
                 async for event in subscription:
@@ -104,16 +104,16 @@
         except PasslaneError as error:
             raise error_with_verdict(error, self._verdict(judge, request)) from error
 
-    def _verdict(self, judge: RefusalJudge, request: CallRequest) -> Verdict:
+    def _verdict(self, judge: RefusalVerdictResolver, request: CallRequest) -> Verdict:
         return judge.verdict(self._directory.program_in_memory(request.program_id))
 
-    def limit_requests(self, max_requests: int) -> None:
+    def set_max_requests(self, max_requests: int) -> None:
         """Change the maximum number of calls in flight."""
-        self._admission.limit_requests(max_requests)
+        self._admission.set_max_requests(max_requests)
 
     @asynccontextmanager
     async def _subscribe(
-        self, request: CallRequest, judge: RefusalJudge
+        self, request: CallRequest, judge: RefusalVerdictResolver
     ) -> AsyncIterator[Subscription]:
         """Admit a call and yield the subscription to its events."""
         deadline = anyio.current_time() + request.timeout_s
@@ -128,10 +128,10 @@
         with self._admission.admit(request.tenant_id, tenant, now):
             host = await self._host_before_deadline(request, deadline)
             self._require_not_moving(request.program_id)
-            is_under_way = host.is_under_way(call_id_of(request))
-            judge.note_record(host.program, is_under_way=is_under_way)
+            is_in_flight = host.is_in_flight(call_id_of(request))
+            judge.note_record(host.program, is_in_flight=is_in_flight)
             subscription = self._submit(host, request, deadline)
-            judge.note_joined(host.program)
+            judge.record_join(host.program)
             try:
                 yield subscription
             finally:
@@ -228,7 +228,7 @@
         return ProgramExplanation(
             program_id=program.program_id,
             leader=self._own_name,
-            placement=self._services.models.reason_of(program.program_id),
+            placement=self._services.models.placement_reason(program.program_id),
             policy=self._services.policies.explain(facts),
         )
 
@@ -328,7 +328,7 @@
     def _busy_hosts(self, partition: Partition) -> list[ProgramHost]:
         return [host for host in self._directory.hosts_of(partition) if not host.is_idle]
 
-    def forget_partition(self, partition: Partition) -> None:
+    def unload_partition(self, partition: Partition) -> None:
         """Drop the programs of a partition from memory, because another node leads it now."""
         self._directory.drop_partition(partition)
 
--- a/src/passlane/node/led_program.py
+++ b/src/passlane/node/led_program.py
@@ -95,14 +95,16 @@
                 return OpenCall(call)
         return None
 
-    def note_begun(self, call: CallRecord, turns: tuple[Turn, ...]) -> None:
+    def apply_begun_call(self, call: CallRecord, turns: tuple[Turn, ...]) -> None:
         """Apply a recorded intent of a call; its turns are appended only once."""
         if call.call_id not in self.calls:
             self._append(turns)
         self.calls[call.call_id] = call
         self.next_sequence = max(self.next_sequence, call.sequence + 1)
 
-    def note_finished(self, call_id: CallId, outcome: CallOutcome, turns: tuple[Turn, ...]) -> None:
+    def apply_finished_call(
+        self, call_id: CallId, outcome: CallOutcome, turns: tuple[Turn, ...]
+    ) -> None:
         """Apply the recorded outcome of a call."""
         call = self.calls[call_id]
         self.calls[call_id] = msgspec.structs.replace(
@@ -117,7 +119,7 @@
         self.turns.extend(turns)
         self.prompt_tokens += estimate_tokens(turns)
 
-    def note_hold(self, hold: EngineHold) -> None:
+    def add_hold(self, hold: EngineHold) -> None:
         """Add an engine that may have cache for the program."""
         self.holds[hold.engine_id] = max(hold.incarnation, self.holds.get(hold.engine_id, 0))
 
--- a/src/passlane/node/model_dispatcher.py
+++ b/src/passlane/node/model_dispatcher.py
@@ -57,7 +57,7 @@
         ...
 
 
-class CacheOrders(Protocol):
+class EngineCommands(Protocol):
     """Executes the scheduler's instructions about engine caches and polling."""
 
     def release_cache(self, program_id: ProgramId, engine_id: EngineId) -> None:
@@ -68,7 +68,7 @@
         """Tell ``destination`` to import a program's cache from ``source``."""
         ...
 
-    def note_use(self, engine_id: EngineId) -> None:
+    def record_use(self, engine_id: EngineId) -> None:
         """Record a call that starts on an engine."""
         ...
 
@@ -92,7 +92,7 @@
 class ModelDispatcher:
     """Connects the model calls of a node with the scheduler.
 
-    ``orders`` must be set before the first event.
+    ``engine_commands`` must be set before the first event.
     """
 
     def __init__(self, scheduler: CallSchedulerInterface) -> None:
@@ -104,43 +104,43 @@
         self._wake_at: float | None = None
         self._wake_changed = anyio.Event()
         self._placement_reasons: OrderedDict[ProgramId, str] = OrderedDict()
-        self.orders: CacheOrders | None = None
+        self.engine_commands: EngineCommands | None = None
 
     def place(self, call: CallArrived, listener: PlacementListener) -> None:
         """Request placement; ``listener`` gets ``PlacementGranted`` or ``PlacementRefused``."""
         self._waiting[call.call_id] = _WaitingCall(call.program_id, listener)
-        self.tell(call)
+        self.handle_event(call)
 
     def withdraw(self, call_id: CallId) -> None:
         """Withdraw a call, whether queued or started."""
         self._waiting.pop(call_id, None)
-        self.tell(CallWithdrawn(call_id))
+        self.handle_event(CallWithdrawn(call_id))
 
     def report_first_token(self, call_id: CallId) -> None:
         """Report the first token of a started call."""
-        self.tell(CallFirstToken(call_id))
+        self.handle_event(CallFirstToken(call_id))
 
     def note_ended(self, ended: CallEnded, engine_id: str) -> None:
         """Report that a started call ended at its engine."""
         self._waiting.pop(ended.call_id, None)
         if ended.succeeded:
             self._budget_of(engine_id).record_request()
-        self.tell(ended)
+        self.handle_event(ended)
 
     def note_program_paused(self, program_id: ProgramId, expected_s: float) -> None:
         """Report that a program paused; ``expected_s`` is the expected pause in seconds."""
-        self.tell(ProgramPaused(program_id, expected_s))
+        self.handle_event(ProgramPaused(program_id, expected_s))
 
     def note_program_ended(self, program_id: ProgramId) -> None:
         """Report that a program ended."""
-        self.tell(ProgramEnded(program_id))
+        self.handle_event(ProgramEnded(program_id))
 
     def change_engines(
         self, engines: dict[EngineId, EngineBody], leaving: frozenset[EngineId]
     ) -> None:
         """Report the configured engines and those that are leaving or drained."""
-        self.tell(EnginesChanged(engines))
-        self.tell(EnginesLeaving(leaving))
+        self.handle_event(EnginesChanged(engines))
+        self.handle_event(EnginesLeaving(leaving))
 
     def try_retry(self, engine_id: str) -> bool:
         """Spend one retry of the engine's retry budget; return ``False`` if it is exhausted."""
@@ -158,7 +158,7 @@
     def _budget_of(self, engine_id: str) -> RetryBudget:
         return self._budgets.setdefault(engine_id, RetryBudget())
 
-    def tell(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Pass an event to the scheduler and execute its instructions."""
         self._events.append(event)
         if self._is_handling:
@@ -186,21 +186,21 @@
                 self._execute_engine_command(instruction)
 
     def _report_use(self, engine_id: EngineId) -> None:
-        if self.orders is not None:
-            self.orders.note_use(engine_id)
+        if self.engine_commands is not None:
+            self.engine_commands.record_use(engine_id)
 
     def _execute_engine_command(self, instruction: Instruction) -> None:
-        if self.orders is None:
+        if self.engine_commands is None:
             return
         match instruction:
             case ReleaseCache(program_id, engine_id):
-                self.orders.release_cache(program_id, engine_id)
+                self.engine_commands.release_cache(program_id, engine_id)
             case MoveCache(program_id, source, destination):
-                self.orders.move_cache(program_id, source, destination)
+                self.engine_commands.move_cache(program_id, source, destination)
             case WatchEngines(engine_ids):
-                self.orders.watch(engine_ids)
+                self.engine_commands.watch(engine_ids)
             case RequestCacheSnapshot(engine_id):
-                self.orders.fetch_snapshot(engine_id)
+                self.engine_commands.fetch_snapshot(engine_id)
 
     def _record_reason(self, call_id: CallId, reason: str) -> None:
         waiting = self._waiting.get(call_id)
@@ -211,7 +211,7 @@
         if len(self._placement_reasons) > MAX_PLACEMENT_REASONS:
             self._placement_reasons.popitem(last=False)
 
-    def reason_of(self, program_id: ProgramId) -> str:
+    def placement_reason(self, program_id: ProgramId) -> str:
         """Return the scheduler's reason for the placement of the program's last call."""
         return self._placement_reasons.get(program_id, "")
 
@@ -220,7 +220,7 @@
         if waiting is None:
             # The call was withdrawn meanwhile, so the slot is released.
             if isinstance(event, PlacementGranted):
-                self.tell(CallWithdrawn(call_id))
+                self.handle_event(CallWithdrawn(call_id))
             return
         waiting.listener(event)
 
@@ -242,4 +242,4 @@
                     await self._wake_changed.wait()
                     continue
             self._wake_at = None
-            self.tell(TimeAdvanced())
+            self.handle_event(TimeAdvanced())
--- a/src/passlane/node/node_core.py
+++ b/src/passlane/node/node_core.py
@@ -36,7 +36,7 @@
 from passlane.node.leadership import Leadership
 from passlane.node.memory_sweep import MemorySweep
 from passlane.node.model_dispatcher import ModelDispatcher
-from passlane.node.poll_intervals import PollPace
+from passlane.node.poll_intervals import PollIntervals
 from passlane.node.program_directory import ProgramDirectory
 from passlane.node.program_store import ProgramStore
 from passlane.node.release_loop import PendingRelease, ReleaseLoop
@@ -65,7 +65,7 @@
 
 
 class CacheOrderExecutor:
-    """Executes the scheduler's orders about caches on engines; implements ``CacheOrders``."""
+    """Executes the scheduler's orders about caches on engines; implements ``EngineCommands``."""
 
     def __init__(
         self,
@@ -113,9 +113,9 @@
             # The cache is recomputed where it is missing; nothing else depends on the move.
             _log.info("cache not moved", program_id=program_id, code=error.code.value)
 
-    def note_use(self, engine_id: EngineId) -> None:
+    def record_use(self, engine_id: EngineId) -> None:
         """Record that this node uses an engine, so that it is polled often."""
-        self._poller.note_use(engine_id)
+        self._poller.record_use(engine_id)
 
     def watch(self, engine_ids: frozenset[EngineId]) -> None:
         """Poll these engines from now on."""
@@ -174,7 +174,7 @@
     leader = LeaderService(
         services, directory, admission, releases, caller, NodeId(settings.process.name), incoming
     )
-    services.models.orders = CacheOrderExecutor(services, directory, releases, poller)
+    services.models.engine_commands = CacheOrderExecutor(services, directory, releases, poller)
     return NodeCore(
         services=services,
         directory=directory,
@@ -187,9 +187,9 @@
     )
 
 
-def _poll_pace(settings: Settings) -> PollPace:
+def _poll_pace(settings: Settings) -> PollIntervals:
     node = settings.node
-    return PollPace(node.engine_poll_s, node.idle_engine_poll_s, node.max_engine_polls_per_s)
+    return PollIntervals(node.engine_poll_s, node.idle_engine_poll_s, node.max_engine_polls_per_s)
 
 
 def _build_scheduler(settings: Settings, environment: Environment) -> Scheduler:
--- a/src/passlane/node/node_metrics.py
+++ b/src/passlane/node/node_metrics.py
@@ -38,7 +38,7 @@
         )
         self._programs = metrics.counter("programs", "Programs created and ended", ("event",))
 
-    def take(self, report: CallReport) -> None:
+    def record_call(self, report: CallReport) -> None:
         """Count a finished call and record its latency."""
         kind = report.request.kind.value
         answer = report.answer
@@ -48,23 +48,23 @@
         if report.first_token_at is not None:
             self._first_token.observe(report.first_token_at - report.arrived_at)
 
-    def take_created(self, request: CreateProgramRequest) -> None:
+    def record_created(self, request: CreateProgramRequest) -> None:
         """Count a created program."""
         self._programs.labels("created").inc()
 
-    def take_ended(self, program_id: ProgramId) -> None:
+    def record_ended(self, program_id: ProgramId) -> None:
         """Count an ended program."""
         self._programs.labels("ended").inc()
 
-    def take_attempt(self, report: AttemptReport) -> None:
+    def record_attempt(self, report: AttemptReport) -> None:
         """Count an attempt at a backend."""
         self._attempts.labels(report.kind.value, report.verdict.value).inc()
 
-    def take_refusal(self, code: ErrorCode, verdict: Verdict) -> None:
+    def record_refusal(self, code: ErrorCode, verdict: Verdict) -> None:
         """Count an error returned to a caller."""
         self._refusals.labels(code.value, verdict.value).inc()
 
-    def take_policy_failure(self, report: PolicyProblemReport) -> None:
+    def record_policy_failure(self, report: PolicyProblemReport) -> None:
         """Count the failures of a policy."""
         self._policy_failures.labels(report.policy).inc(report.times)
 
--- a/src/passlane/node/operation_recovery.py
+++ b/src/passlane/node/operation_recovery.py
@@ -4,7 +4,7 @@
 
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.node import CallRequest
-from passlane.node.call_context import CallSetUp
+from passlane.node.call_context import CallContext
 from passlane.node.call_planning import plan_recovery
 from passlane.node.call_runner import CallRunner
 from passlane.node.call_services import CallServices
@@ -26,9 +26,9 @@
     PasslaneError
         ``UNAVAILABLE`` when no outcome could be recorded; the call stays open.
     """
-    set_up = _recovery_set_up(services, program, open_call, attempt_prefix)
+    context = _recovery_set_up(services, program, open_call, attempt_prefix)
     finished = anyio.Event()
-    runner = CallRunner(services, program, set_up, _skip_settling, lambda _: finished.set())
+    runner = CallRunner(services, program, context, _skip_settling, lambda _: finished.set())
     runner.start()
     await finished.wait()
     if runner.store_failed or runner.left_open is not None:
@@ -41,7 +41,7 @@
 
 def _recovery_set_up(
     services: CallServices, program: LedProgram, open_call: OpenCall, attempt_prefix: str
-) -> CallSetUp:
+) -> CallContext:
     call = open_call.call
     planned = plan_recovery(call, services.configuration())
     now = anyio.current_time()
@@ -52,7 +52,7 @@
         kind=call.kind,
         target=call.target,
     )
-    return CallSetUp(
+    return CallContext(
         request=request,
         plan=planned.plan,
         sequence=call.sequence,
--- a/src/passlane/node/partition_handover.py
+++ b/src/passlane/node/partition_handover.py
@@ -103,4 +103,4 @@
     async def _handle_notice(self, notice: HandoverNotice) -> None:
         self._incoming.handle_notice(notice, anyio.current_time())
         if notice.stage is HandoverStage.RELEASED:
-            self._heartbeat.expect(notice.partition)
+            self._heartbeat.expect_assignment(notice.partition)
--- a/src/passlane/node/poll_intervals.py
+++ b/src/passlane/node/poll_intervals.py
@@ -13,7 +13,7 @@
 """Time after the start of a call during which its engine counts as active."""
 
 
-class PollPace:
+class PollIntervals:
     """Computes the interval between two polls of an engine.
 
     Parameters
@@ -32,7 +32,7 @@
         self._max_polls_per_s = max_polls_per_s
         self._used_at: dict[EngineId, float] = {}
 
-    def note_use(self, engine_id: EngineId, now: float) -> bool:
+    def record_use(self, engine_id: EngineId, now: float) -> bool:
         """Record a call that starts on an engine; return whether the engine was idle before."""
         was_active = self.is_active(engine_id, now)
         self._used_at[engine_id] = now
--- a/src/passlane/node/program_host.py
+++ b/src/passlane/node/program_host.py
@@ -15,7 +15,7 @@
 from passlane.identifiers import CallId
 from passlane.messages.node import CallRefused, CallRequest
 from passlane.messages.store import CallKind, CallRecord, CallState, FinishCall
-from passlane.node.call_context import CallSetUp
+from passlane.node.call_context import CallContext
 from passlane.node.call_planning import PlannedCall
 from passlane.node.call_records import STORE_TIMEOUT_S
 from passlane.node.call_runner import CallRunner
@@ -90,7 +90,7 @@
         """Number of calls that wait for earlier calls of the program."""
         return len(self._waiting)
 
-    def is_under_way(self, call_id: CallId) -> bool:
+    def is_in_flight(self, call_id: CallId) -> bool:
         """Return whether a call waits or runs."""
         is_running = self._runner is not None and self._runner.call_id == call_id
         return is_running or call_id in self._waiting
@@ -219,7 +219,7 @@
         plan = planned.plan
         if reopened is not None and len(reopened.texts) > len(plan.resume_texts):
             plan = replace(plan, resume_texts=reopened.texts)
-        set_up = CallSetUp(
+        context = CallContext(
             request=waiting.request,
             plan=plan,
             sequence=sequence,
@@ -230,7 +230,7 @@
             reopened=reopened,
         )
         settle = partial(self.settle, keep=plan.call_id)
-        runner = CallRunner(self._services, self.program, set_up, settle, self._on_call_finished)
+        runner = CallRunner(self._services, self.program, context, settle, self._on_call_finished)
         self._runner = runner
         self._idle = anyio.Event()
         for subscription in waiting.subscriptions:
@@ -247,7 +247,7 @@
         self._idle.set()
         self.program.last_used_at = anyio.current_time()
         self._keep_open_call(runner)
-        if runner.set_up.plan.kind is CallKind.MODEL and not self.program.is_ended:
+        if runner.context.plan.kind is CallKind.MODEL and not self.program.is_ended:
             program = self.program
             self._services.models.note_program_paused(program.program_id, program.pause_s)
         if self._is_closed:
@@ -297,7 +297,7 @@
             outcome=outcome,
         )
         await self._services.store.finish_call(command, STORE_TIMEOUT_S)
-        self.program.note_finished(call.call_id, outcome, ())
+        self.program.apply_finished_call(call.call_id, outcome, ())
 
     # Stopping.
 
--- a/src/passlane/node/refusal_verdicts.py
+++ b/src/passlane/node/refusal_verdicts.py
@@ -23,14 +23,14 @@
     return Verdict.MAY_HAVE_RUN if may_be_repeat(request) else Verdict.NOT_RUN
 
 
-class RefusalJudge:
+class RefusalVerdictResolver:
     """Determines, on the program's leader, the verdict of a refusal of one request."""
 
     def __init__(self, request: CallRequest) -> None:
         self._request = request
         self._is_first_request = not may_be_repeat(request)
 
-    def note_record(self, program: LedProgram, *, is_under_way: bool) -> None:
+    def note_record(self, program: LedProgram, *, is_in_flight: bool) -> None:
         """Apply the program's record as it was when the request arrived.
 
         If the record does not contain the call and the call is neither queued nor running,
@@ -38,18 +38,18 @@
 
         Parameters
         ----------
-        is_under_way
+        is_in_flight
             Whether the same call is queued or running here for another request.
         """
-        if call_id_of(self._request) not in program.calls and not is_under_way:
+        if call_id_of(self._request) not in program.calls and not is_in_flight:
             self._is_first_request = True
 
-    def note_joined(self, program: LedProgram) -> None:
+    def record_join(self, program: LedProgram) -> None:
         """Record that the request joined the same call, which is queued or running here.
 
         If the record does not contain the call, the refusal keeps the verdict of that call.
         """
-        self.note_record(program, is_under_way=False)
+        self.note_record(program, is_in_flight=False)
 
     def verdict(self, program: LedProgram | None) -> Verdict:
         """Return the verdict that replaces ``not_run``; ``program`` is the current state."""
--- a/src/passlane/node/service.py
+++ b/src/passlane/node/service.py
@@ -31,7 +31,7 @@
 from passlane.node.call_reports import CallReports, ReportSink
 from passlane.node.drain_progress import in_flight_at_drained
 from passlane.node.forwarder import Emit
-from passlane.node.heartbeat import HeartbeatLoop, longest_pause_s
+from passlane.node.heartbeat import HeartbeatLoop, max_heartbeat_interval_s
 from passlane.node.housekeeping import Housekeeping
 from passlane.node.lease_leadership import LeaseLeadership
 from passlane.node.local_caller import LocalCaller
@@ -200,20 +200,20 @@
     async def drain(self) -> None:
         """Refuse new requests, finish those in flight and hand over all partitions."""
         self._is_draining = True
-        self._heartbeat.beat_soon()
+        self._heartbeat.request_heartbeat()
         with anyio.move_on_after(self._settings.node.drain_timeout_s) as scope:
             while self._requests > 0 or self._heartbeat.lease.led_partitions:
                 self._load_decreased = anyio.Event()
                 await self._load_decreased.wait()
             await self._heartbeat.wait_released()
             # Nodes without the new partition table still send calls here, which are redirected.
-            await anyio.sleep(longest_pause_s(self._settings.membership.heartbeat_s))
+            await anyio.sleep(max_heartbeat_interval_s(self._settings.membership.heartbeat_s))
         if scope.cancelled_caught:
             _log.warning("drain cut short", requests=self._requests)
 
     # Replies to heartbeats.
 
-    def take_configuration(
+    def apply_configuration(
         self, delta: ConfigurationDelta | None, accepted_revision: Revision
     ) -> None:
         """Add changes, then apply the newest revision that is both accepted and received."""
@@ -225,7 +225,7 @@
             self._policies.update(self._configuration)
             self._update_engines()
 
-    def take_leaving_engines(self, names: Sequence[EngineId]) -> None:
+    def set_leaving_engines(self, names: Sequence[EngineId]) -> None:
         """Send no new work to the engines of these names."""
         leaving = frozenset(names)
         if leaving != self._leaving_engines:
@@ -238,7 +238,7 @@
             avoided = engines_to_avoid(configuration, self._leaving_engines)
             self._core.services.models.change_engines(dict(configuration.engines), avoided)
 
-    def take_membership_change(self, change: MembershipChange) -> None:
+    def apply_membership_change(self, change: MembershipChange) -> None:
         """Start or stop leading a partition, or start or cancel its handover."""
         core = self._core
         if core is None:
@@ -249,7 +249,7 @@
                 core.incoming.end_wait(partition)
                 core.sweep.schedule_recovery(partition)
             case LeadershipLost(partition, _):
-                core.leader.forget_partition(partition)
+                core.leader.unload_partition(partition)
                 core.leader.accept_calls(partition)
                 self._load_decreased.set()
             case HandoverRequested():
@@ -296,7 +296,7 @@
         self, request: CreateProgramRequest | ReadProgramRequest
     ) -> ProgramRecord:
         core = self._require_accepting()
-        result = await core.forwarder.ask(
+        result = await core.forwarder.send_request(
             request.program_id, request, ProgramResult, UNARY_TIMEOUT_S
         )
         return result.record
@@ -304,7 +304,7 @@
     async def end_program(self, request: EndProgramRequest) -> None:
         """End a program; raise ``PasslaneError``."""
         core = self._require_accepting()
-        await core.forwarder.ask(request.program_id, request, StoreDone, UNARY_TIMEOUT_S)
+        await core.forwarder.send_request(request.program_id, request, StoreDone, UNARY_TIMEOUT_S)
 
     def _require_accepting(self) -> NodeCore:
         """Return the node's parts; raise ``PasslaneError`` while the node starts or drains."""
--- a/src/passlane/node/trace_recorder.py
+++ b/src/passlane/node/trace_recorder.py
@@ -64,7 +64,7 @@
 
     # Recorded events.
 
-    def take(self, report: CallReport) -> None:
+    def record_call(self, report: CallReport) -> None:
         """Record a call and its outcome."""
         request = report.request
         is_retryable = (
@@ -88,7 +88,7 @@
         )
         self._add(self._outcome(report))
 
-    def take_created(self, request: CreateProgramRequest) -> None:
+    def record_created(self, request: CreateProgramRequest) -> None:
         """Record a new program."""
         self._add(
             ProgramCreated(
@@ -100,7 +100,7 @@
             )
         )
 
-    def take_ended(self, program_id: ProgramId) -> None:
+    def record_ended(self, program_id: ProgramId) -> None:
         """Record the end of a program."""
         self._add(
             ProgramEndAsked(at_s=self._relative_time(anyio.current_time()), program=program_id)
--- a/tests/api/test_callers.py
+++ b/tests/api/test_callers.py
@@ -44,13 +44,17 @@
         await self._forwarder.run_call(request, emit)
 
     async def create_program(self, request: CreateProgramRequest) -> ProgramRecord:
-        return (await self._forwarder.ask(request.program_id, request, ProgramResult, 5)).record
+        return (
+            await self._forwarder.send_request(request.program_id, request, ProgramResult, 5)
+        ).record
 
     async def read_program(self, request: ReadProgramRequest) -> ProgramRecord:
-        return (await self._forwarder.ask(request.program_id, request, ProgramResult, 5)).record
+        return (
+            await self._forwarder.send_request(request.program_id, request, ProgramResult, 5)
+        ).record
 
     async def end_program(self, request: EndProgramRequest) -> None:
-        await self._forwarder.ask(request.program_id, request, StoreDone, 5)
+        await self._forwarder.send_request(request.program_id, request, StoreDone, 5)
 
 
 def build(fleet: Fleet) -> AsgiApplication:
--- a/tests/node/nodes.py
+++ b/tests/node/nodes.py
@@ -171,7 +171,7 @@
             if leadership is not chosen and told:
                 leadership.epoch = None
                 for partition in chosen.led_partitions():
-                    core.leader.forget_partition(partition)
+                    core.leader.unload_partition(partition)
         for partition in chosen.led_partitions():
             self.nodes[number].sweep.schedule_recovery(partition)
 
@@ -182,11 +182,11 @@
             **fields,
         }
         request = CreateProgramRequest(request_id="c", tenant_id=tenant, **values)  # type: ignore[arg-type]
-        await self.nodes[0].forwarder.ask(request.program_id, request, ProgramResult, 5.0)
+        await self.nodes[0].forwarder.send_request(request.program_id, request, ProgramResult, 5.0)
 
     async def end(self, node: int = 0) -> None:
         request = EndProgramRequest(request_id="e", tenant_id=TENANT, program_id=PROGRAM)
-        await self.nodes[node].forwarder.ask(PROGRAM, request, StoreDone, 5.0)
+        await self.nodes[node].forwarder.send_request(PROGRAM, request, StoreDone, 5.0)
 
     async def call(
         self, request: CallRequest, answer: Answer | None = None, node: int = 0
--- a/tests/node/test_admission.py
+++ b/tests/node/test_admission.py
@@ -19,7 +19,7 @@
         admission = Admission(max_requests=100)
         for number in range(39_000):
             self.admit(admission, f"t{number}", number * 0.1)
-        self.assertLessEqual(admission.remembered_tenants, MIN_LIMITERS_BEFORE_SWEEP)
+        self.assertLessEqual(admission.tracked_tenants, MIN_LIMITERS_BEFORE_SWEEP)
 
     def test_limiter_of_a_tenant_without_remaining_rate_is_kept(self):
         """A new limiter would allow the tenant another burst."""
@@ -38,7 +38,7 @@
         with admission.admit(TenantId("long"), TENANT, 0.0):
             for number in range(3 * MIN_LIMITERS_BEFORE_SWEEP):
                 self.admit(admission, f"t{number}", 100.0)
-            self.assertGreaterEqual(admission.remembered_tenants, 1)
+            self.assertGreaterEqual(admission.tracked_tenants, 1)
             contexts = [admission.admit(TenantId("long"), TENANT, 100.0 + i) for i in range(5)]
             for context in contexts[:4]:
                 context.__enter__()
--- a/tests/node/test_calls_under_failure.py
+++ b/tests/node/test_calls_under_failure.py
@@ -264,15 +264,15 @@
             self.assertEqual(without_leader.refused.verdict, Verdict.MAY_HAVE_RUN)
             # The next leader is too busy to read the program's record.
             fleet.lead(1)
-            fleet.nodes[1].leader.limit_requests(0)
+            fleet.nodes[1].leader.set_max_requests(0)
             when_busy = await fleet.call(charge(), node=1)
             self.assertEqual(when_busy.refused.code, ErrorCode.QUEUE_FULL)
             self.assertEqual(when_busy.refused.verdict, Verdict.MAY_HAVE_RUN)
-            fleet.nodes[1].leader.limit_requests(10)
+            fleet.nodes[1].leader.set_max_requests(10)
             again = await fleet.call(charge(), node=1)
             self.assertEqual(again.answered.verdict, Verdict.RAN)
             # With the record in memory, the leader distinguishes a repeat from a new charge.
-            fleet.nodes[1].leader.limit_requests(0)
+            fleet.nodes[1].leader.set_max_requests(0)
             repeat = await fleet.call(charge(), node=1)
             self.assertEqual(repeat.refused.verdict, Verdict.RAN)
             new = await fleet.call(charge("another"), node=1)
@@ -291,7 +291,7 @@
                 self.assertEqual(
                     len(fleet.record().calls), 1, "the charge must not be recorded yet"
                 )
-                fleet.nodes[0].leader.limit_requests(0)
+                fleet.nodes[0].leader.set_max_requests(0)
                 repeat = await fleet.call(charge())
             self.assertEqual(first.answered.verdict, Verdict.RAN)
             self.assertEqual(repeat.refused.code, ErrorCode.QUEUE_FULL)
@@ -328,7 +328,7 @@
                 led = fleet.leaderships[0].led_partitions()
                 fleet.leaderships[0].epoch = None
                 for partition in led:
-                    fleet.nodes[0].leader.forget_partition(partition)
+                    fleet.nodes[0].leader.unload_partition(partition)
             self.assertEqual(answer.refused.code, ErrorCode.UNAVAILABLE)
             self.assertEqual(answer.refused.verdict, Verdict.MAY_HAVE_RUN)
 
@@ -379,7 +379,9 @@
             fleet.network.call = fail  # type: ignore[method-assign]
             with self.assertRaises(PasslaneError) as caught:
                 request = CreateProgramRequest("c", TENANT, ProgramId("new"), Amounts())
-                await fleet.nodes[1].forwarder.ask(request.program_id, request, ProgramResult, 5.0)
+                await fleet.nodes[1].forwarder.send_request(
+                    request.program_id, request, ProgramResult, 5.0
+                )
             self.assertEqual(caught.exception.code, ErrorCode.LIMIT_EXCEEDED)
             self.assertEqual(caught.exception.verdict, Verdict.MAY_HAVE_RUN)
 
@@ -402,7 +404,7 @@
                         tasks.start_soon(fleet.call, request, answer, 1)
                         await anyio.sleep(0.01)
                         fleet.network.cut_off(fleet.leaderships[0].address)
-                        fleet.nodes[1].leader.limit_requests(0)
+                        fleet.nodes[1].leader.set_max_requests(0)
                         fleet.lead(1)
                     self.assertEqual(answer.refused.code, ErrorCode.QUEUE_FULL)
                     self.assertEqual(answer.refused.verdict, verdict)
--- a/tests/node/test_partition_handover.py
+++ b/tests/node/test_partition_handover.py
@@ -30,7 +30,7 @@
         self._fleet.lead(1)
         self._fleet.nodes[1].incoming.end_wait(partition)
 
-    def expect(self, partition: Partition) -> None:
+    def expect_assignment(self, partition: Partition) -> None:
         """Do nothing: ``release`` has already changed the leadership."""
 
 
--- a/tests/node/test_policies_and_limits.py
+++ b/tests/node/test_policies_and_limits.py
@@ -53,19 +53,19 @@
     """Record the arrivals of calls that the scheduler of node 0 receives."""
     arrivals: list[CallArrived] = []
     models = fleet.nodes[0].services.models
-    original_tell = models.tell
+    original_handle_event = models.handle_event
 
     def record_event(event: Event) -> None:
         if isinstance(event, CallArrived):
             arrivals.append(event)
-        original_tell(event)
+        original_handle_event(event)
 
-    models.tell = record_event  # type: ignore[method-assign]
+    models.handle_event = record_event  # type: ignore[method-assign]
     return arrivals
 
 
 async def explain(fleet: Fleet) -> ProgramExplanation:
-    return await fleet.nodes[0].forwarder.ask(
+    return await fleet.nodes[0].forwarder.send_request(
         PROGRAM, ExplainProgram(PROGRAM), ProgramExplanation, 5.0
     )
 
@@ -195,7 +195,7 @@
 class PromptRefusalTest(unittest.TestCase):
     def test_caller_is_refused_at_its_deadline_while_the_store_is_slow(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.nodes[0].leader.forget_partition(record_of(fleet, PROGRAM).partition)
+            fleet.nodes[0].leader.unload_partition(record_of(fleet, PROGRAM).partition)
             fleet.store.delay_s = 4.0
             started_at = anyio.current_time()
             answer = await fleet.call(chat(timeout_s=1.0))
@@ -241,7 +241,7 @@
             self.assertEqual(metric_value(metrics, attempts % "ran"), 2.0)
             self.assertEqual(metric_value(metrics, attempts % "may_have_run"), 2.0)
             self.assertEqual(metric_value(metrics, "held_engine_memories"), 2.0)
-            fleet.nodes[0].leader.limit_requests(0)
+            fleet.nodes[0].leader.set_max_requests(0)
             await fleet.call(chat())
             refusals = 'refusals_total{code="queue_full",verdict="not_run"}'
             self.assertEqual(metric_value(metrics, refusals), 1.0)
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -111,7 +111,7 @@
                 self.assertIn(expected, problems)
 
 
-class PolicyGovernorTest(unittest.TestCase):
+class ActivePoliciesTest(unittest.TestCase):
     def governor(self, source: str | None) -> ActivePolicies:
         governor = ActivePolicies()
         governor.update(configuration(source))
--- a/tests/store/service_fixture.py
+++ b/tests/store/service_fixture.py
@@ -139,17 +139,17 @@
         self.leaving: tuple[EngineId, ...] = ()
         self.changes: list[MembershipChange] = []
 
-    def take_configuration(
+    def apply_configuration(
         self, delta: ConfigurationDelta | None, accepted_revision: Revision
     ) -> None:
         if delta is not None:
             self.configuration = self.configuration.apply_delta(delta)
         self.configuration = self.configuration.accept(accepted_revision)
 
-    def take_leaving_engines(self, names: Sequence[EngineId]) -> None:
+    def set_leaving_engines(self, names: Sequence[EngineId]) -> None:
         self.leaving = tuple(names)
 
-    def take_membership_change(self, change: MembershipChange) -> None:
+    def apply_membership_change(self, change: MembershipChange) -> None:
         self.changes.append(change)
 
     def count(self, kind: type[LeadershipGained] | type[LeadershipLost]) -> int:
--- a/tests/store/test_platform_watch.py
+++ b/tests/store/test_platform_watch.py
@@ -11,7 +11,7 @@
 
 from passlane.membership.events import HandoverRequested
 from passlane.messages.backends import PlatformList, PlatformMachine
-from passlane.node.heartbeat import longest_pause_s
+from passlane.node.heartbeat import max_heartbeat_interval_s
 from passlane.runtime.interfaces import HttpRequest
 from passlane.store.leader_term import PLANS_PER_HEARTBEAT
 from passlane.store.platform_watch import POLL_S
@@ -19,7 +19,7 @@
 from store.service_fixture import HOP_DELAY_S, settings_of
 
 HEARTBEAT_S = settings_of("any").membership.heartbeat_s
-MAX_ENGINE_DELAY_S = POLL_S + longest_pause_s(HEARTBEAT_S) + 10 * HOP_DELAY_S
+MAX_ENGINE_DELAY_S = POLL_S + max_heartbeat_interval_s(HEARTBEAT_S) + 10 * HOP_DELAY_S
 """Maximum delay of one poll of the list and one heartbeat."""
 MAX_NODE_DELAY_S = MAX_ENGINE_DELAY_S + HEARTBEAT_S / PLANS_PER_HEARTBEAT
 
@@ -85,7 +85,7 @@
             self.assertEqual({order.partition for order in orders}, {*leaving.lease.led_partitions})
             for order in orders:
                 leaving.release(order.partition)
-                staying.expect(order.partition)
+                staying.expect_assignment(order.partition)
             await anyio.sleep(30)
             self.assertEqual(leaving.lease.led_partitions, ())
             self.assertEqual(len(staying.lease.led_partitions), 4)
--- a/tests/store/test_service.py
+++ b/tests/store/test_service.py
@@ -110,7 +110,7 @@
             staying, _ = region.start_node("n1")
             await anyio.sleep(5)
             listener.is_draining = True
-            leaving.beat_soon()
+            leaving.request_heartbeat()
             await anyio.sleep(1)
             ordered = [c for c in listener.changes if isinstance(c, HandoverRequested)]
             self.assertEqual({order.to_node for order in ordered}, {"n1"})
@@ -129,11 +129,11 @@
             staying, _ = region.start_node("n1")
             await anyio.sleep(5)
             listener.is_draining = True
-            leaving.beat_soon()
+            leaving.request_heartbeat()
             await anyio.sleep(1)
             for partition in leaving.lease.led_partitions:
                 leaving.release(partition)
-                staying.expect(partition)
+                staying.expect_assignment(partition)
             await leaving.wait_released()
             region.stop_node("n0")
             await anyio.sleep(0.1)
@@ -160,7 +160,7 @@
             loop, _ = region.start_node("n0")
             await anyio.sleep(5)
             usual = await self._barriers_in(region, 10 * SETTINGS.heartbeat_s)
-            loop.expect(Partition(77))
+            loop.expect_assignment(Partition(77))
             self.assertGreater(await self._barriers_in(region, 1.0), usual)
             await anyio.sleep(SETTINGS.lease_s)
             self.assertLessEqual(
