--- a/tests/api/test_callers.py
+++ b/tests/api/test_callers.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from node.fakes import OTHER_TENANT, TENANT, make_settings
-from node.nodes import Fleet, in_fleet, whole_text
+from node.nodes import Fleet, expected_answer, run_in_fleet
 from passlane.api.callers import build_caller_application
 from passlane.configuration.view import ConfigurationView
 from passlane.messages.node import CreateProgramRequest, EndProgramRequest, ReadProgramRequest
@@ -118,7 +118,7 @@
     async def run(fleet: Fleet) -> None:
         await scenario(fleet, build(fleet))
 
-    in_fleet(run)
+    run_in_fleet(run)
 
 
 def chat_body(**fields: object) -> dict[str, object]:
@@ -134,7 +134,7 @@
             self.assertEqual((created.status, again.json), (201, created.json))
             program = {**TOKEN, "passlane-program": created.json["program_id"]}
             whole = await ask(application, "POST", "/v1/chat/completions", chat_body(), program)
-            self.assertEqual(whole.json["choices"][0]["message"]["content"], whole_text())
+            self.assertEqual(whole.json["choices"][0]["message"]["content"], expected_answer())
             streamed = await ask(
                 application, "POST", "/v1/chat/completions", chat_body(stream=True), program
             )
@@ -142,7 +142,7 @@
             self.assertEqual(events[-2:], [b"data: [DONE]", b""])
             chunks = [json.loads(event[6:]) for event in events[:-2]]
             deltas = [chunk["choices"][0]["delta"].get("content", "") for chunk in chunks]
-            self.assertEqual("".join(deltas), whole_text())
+            self.assertEqual("".join(deltas), expected_answer())
             charge = await ask(application, "POST", "/v1/tools/charge", {"sum": 1}, program)
             self.assertEqual(charge.json["result"], {"receipt": 1})
             path = f"/v1/programs/{created.json['program_id']}"
--- a/tests/api/test_explanation.py
+++ b/tests/api/test_explanation.py
@@ -7,7 +7,7 @@
 
 from api.in_process_http import InProcessHttp
 from node.fakes import make_settings
-from node.nodes import PROGRAM, Fleet, chat, in_fleet
+from node.nodes import PROGRAM, Fleet, chat, run_in_fleet
 from passlane.api.operators import build_operator_application
 from passlane.cli.client import OperatorClient
 from passlane.errors import ErrorCode, PasslaneError
@@ -44,7 +44,7 @@
             self.assertIn("engine-", found.placement)
             self.assertIn("class 1", found.policy)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_unknown_program_is_told_as_such(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -52,7 +52,7 @@
                 await operator_client(fleet).explain_program("p-none")
             self.assertEqual(raised.exception.code, ErrorCode.UNKNOWN_PROGRAM)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/node/fakes.py
+++ b/tests/node/fakes.py
@@ -103,7 +103,7 @@
         self.break_after: list[int | None] = []
         self.echo_attempt: str | None = None
         self.requests: list[EngineChatRequest] = []
-        self.held: dict[str, int] = {}
+        self.cached: dict[str, int] = {}
         self.tokens_sent = 0
         self.running = 0
         self.refuses_orders = False
@@ -118,7 +118,7 @@
         if path == "/v1/cache/events":
             return json_response(CacheEvents(self.incarnation, ()))
         if path == "/v1/cache":
-            entries = tuple(CacheEntry(one, tokens) for one, tokens in self.held.items())
+            entries = tuple(CacheEntry(one, tokens) for one, tokens in self.cached.items())
             return json_response(CacheSnapshot(self.incarnation, 0, entries))
         load = EngineLoad(self.engine_id, self.incarnation, self.running, 0, 0, 0, ("m",))
         return json_response(load)
@@ -140,7 +140,7 @@
         self, chat: EngineChatRequest, break_after: int | None
     ) -> AsyncIterator[bytes]:
         self.running += 1
-        self.held[chat.program_id] = len(chat.messages)
+        self.cached[chat.program_id] = len(chat.messages)
         try:
             if self.echo_attempt is not None:
                 yield _event(EngineChunk(self.echo_attempt, chat.resume_from, "LATE"))
@@ -163,7 +163,7 @@
             raise HttpConnectionError("unreachable", bytes_left=False)
         if not self._accept_token(order.scope, order.fencing_token):
             return json_response(OrderReply(False, self.incarnation, 0), 409)
-        self.held.pop(order.program_id or "", None)
+        self.cached.pop(order.program_id or "", None)
         return json_response(OrderReply(True, self.incarnation, order.fencing_token))
 
 
@@ -174,13 +174,13 @@
 class FakeApplication:
     """An application that records the operations that it ran in ``ledger``.
 
-    ``behaviours`` gives the outcomes of the next requests: ``ok``, ``lost`` (runs, response
+    ``next_outcomes`` gives the outcomes of the next requests: ``ok``, ``lost`` (runs, response
     lost), ``unsent`` (does not run, no response), ``hang`` (runs, never responds) or ``refuse``.
     """
 
     def __init__(self) -> None:
         self.ledger: list[str] = []
-        self.behaviours: list[str] = []
+        self.next_outcomes: list[str] = []
         self.rejected: set[str] = set()
         self.requests = 0
 
@@ -189,7 +189,7 @@
             return self._status(request.path.rpartition("/")[2])
         self.requests += 1
         tool = msgspec.json.decode(request.body, type=ToolRequest)
-        behaviour = self.behaviours.pop(0) if self.behaviours else "ok"
+        behaviour = self.next_outcomes.pop(0) if self.next_outcomes else "ok"
         if behaviour == "refuse" or tool.operation_id in self.rejected:
             return json_response(ToolReply(tool.operation_id, OperationState.REJECTED), 503)
         await anyio.sleep(STEP_S)
--- a/tests/node/nodes.py
+++ b/tests/node/nodes.py
@@ -160,15 +160,15 @@
         self.tasks.start_soon(core.services.models.run)
         return core
 
-    def lead(self, number: int, *, told: bool = True) -> None:
-        """Let a node lead all partitions; with ``told``, the other nodes stop leading."""
+    def lead(self, number: int, *, announced: bool = True) -> None:
+        """Let a node lead all partitions; with ``announced``, the other nodes stop leading."""
         self.epoch += 1
         chosen = self.leaderships[number]
         self.store.lead(chosen, self.epoch)
         chosen.epoch = Epoch(self.epoch)
         for leadership, core in zip(self.leaderships, self.nodes, strict=True):
             leadership.leader = chosen.address
-            if leadership is not chosen and told:
+            if leadership is not chosen and announced:
                 leadership.epoch = None
                 for partition in chosen.led_partitions():
                     core.leader.unload_partition(partition)
@@ -236,11 +236,11 @@
     return chat(**values)
 
 
-def whole_text(tokens: int = 12) -> str:
+def expected_answer(tokens: int = 12) -> str:
     return "".join(f"t{position} " for position in range(tokens))
 
 
-def in_fleet(
+def run_in_fleet(
     scenario: Callable[[Fleet], Awaitable[None]], nodes: int = 1, seed: int = 7, **tool: object
 ) -> None:
     """Run a scenario on the virtual clock; node 0 leads and ``PROGRAM`` exists."""
--- a/tests/node/test_calls_under_failure.py
+++ b/tests/node/test_calls_under_failure.py
@@ -7,7 +7,7 @@
 import anyio
 
 from node.fakes import OTHER_TENANT, TENANT
-from node.nodes import PROGRAM, Answer, Fleet, charge, chat, in_fleet, whole_text
+from node.nodes import PROGRAM, Answer, Fleet, charge, chat, expected_answer, run_in_fleet
 from passlane.api.answers import WholeAnswer
 from passlane.configuration.view import ConfigurationView
 from passlane.errors import ErrorCode, PasslaneError, Verdict
@@ -25,36 +25,36 @@
         async def scenario(fleet: Fleet) -> None:
             first = await fleet.call(chat("one"))
             second = await fleet.call(chat("two"))
-            self.assertEqual("".join(first.texts), whole_text())
-            self.assertEqual(first.answered.body, whole_text())
+            self.assertEqual("".join(first.texts), expected_answer())
+            self.assertEqual(first.answered.body, expected_answer())
             self.assertEqual(second.answered.sequence, 1)
             turns = [(turn.role, turn.content) for turn in fleet.record().turns]
-            expected = [("user", "one"), ("assistant", whole_text())]
-            expected += [("user", "two"), ("assistant", whole_text())]
+            expected = [("user", "one"), ("assistant", expected_answer())]
+            expected += [("user", "two"), ("assistant", expected_answer())]
             self.assertEqual(turns, expected)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_call_resumes_on_another_engine_after_a_broken_stream(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             for engine in fleet.engines:
                 engine.break_after = [5]
             answer = await fleet.call(chat())
-            self.assertEqual("".join(answer.texts), whole_text())
+            self.assertEqual("".join(answer.texts), expected_answer())
             self.assertEqual(answer.answered.attempts, 3)
             sent = sum(engine.tokens_sent for engine in fleet.engines)
             self.assertEqual(sent, 12, "each token is generated once")
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_token_of_another_attempt_is_dropped(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             for engine in fleet.engines:
                 engine.echo_attempt = "another"
             answer = await fleet.call(chat())
-            self.assertEqual("".join(answer.texts), whole_text())
+            self.assertEqual("".join(answer.texts), expected_answer())
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_call_without_live_engines_is_refused_and_can_be_repeated(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -67,10 +67,10 @@
             fleet.http.servers.update(servers)
             await anyio.sleep(60)
             again = await fleet.call(request)
-            self.assertEqual(again.answered.body, whole_text())
+            self.assertEqual(again.answered.body, expected_answer())
             self.assertEqual(again.answered.sequence, 0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_refusal_without_live_engines_reaches_the_caller_unchanged(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -82,7 +82,7 @@
             self.assertEqual(caught.exception.verdict, Verdict.NOT_RUN)
             self.assertIsNotNone(caught.exception.retry_after_s)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_repeat_joins_the_running_call_and_later_gets_the_recorded_outcome(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -94,10 +94,10 @@
                 tasks.start_soon(fleet.call, request, answers[1])
             answers.append(await fleet.call(request))
             for answer in answers:
-                self.assertEqual(answer.answered.body, whole_text())
+                self.assertEqual(answer.answered.body, expected_answer())
             self.assertEqual(sum(len(engine.requests) for engine in fleet.engines), 1)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_node_without_configuration_does_not_refuse_the_tenant(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -109,9 +109,9 @@
                 await anyio.sleep(1.0)
                 fleet.configuration = configuration
                 fleet.lead(0)
-            self.assertEqual(answer.answered.body, whole_text())
+            self.assertEqual(answer.answered.body, expected_answer())
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_unnamed_call_is_cancelled_when_its_caller_disconnects(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -121,7 +121,7 @@
             self.assertEqual([engine.running for engine in fleet.engines], [0, 0])
             self.assertEqual((await fleet.call(chat())).answered.sequence, 1)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_calls_run_in_order_of_their_sequence(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -137,7 +137,7 @@
             self.assertEqual(gap.refused.code, ErrorCode.WRONG_SEQUENCE)
             self.assertEqual(gap.refused.verdict, Verdict.NOT_RUN)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_budget_is_never_exceeded(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -151,13 +151,13 @@
             assert program is not None
             self.assertLessEqual(program.account.spent.tokens, 60)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 class ToolCallTest(unittest.TestCase):
     def test_charge_with_lost_response_runs_once_and_is_resolved(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.application.behaviours = ["lost"]
+            fleet.application.next_outcomes = ["lost"]
             answer = await fleet.call(charge())
             self.assertEqual(answer.answered.verdict, Verdict.RAN)
             again = await fleet.call(charge())
@@ -165,31 +165,31 @@
             self.assertEqual(len(fleet.application.ledger), 1)
             self.assertEqual(fleet.record().spent.money_micros, 5)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_charge_without_status_queries_stays_in_doubt_and_is_never_resent(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.application.behaviours = ["lost"]
+            fleet.application.next_outcomes = ["lost"]
             for _ in range(3):
                 answer = await fleet.call(charge())
                 self.assertEqual(answer.refused.verdict, Verdict.MAY_HAVE_RUN)
             self.assertEqual(fleet.application.requests, 1)
 
-        in_fleet(scenario, offers_status=False)
+        run_in_fleet(scenario, offers_status=False)
 
     def test_hung_charge_times_out_and_its_status_is_queried(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.application.behaviours = ["hang"]
+            fleet.application.next_outcomes = ["hang"]
             answer = await fleet.call(charge())
             self.assertEqual(answer.answered.verdict, Verdict.RAN)
             self.assertLess(anyio.current_time(), 2.0)
             self.assertEqual(len(fleet.application.ledger), 1)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_charge_past_its_deadline_is_answered_immediately_and_resolved_later(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.application.behaviours = ["hang"]
+            fleet.application.next_outcomes = ["hang"]
             started_at = anyio.current_time()
             timed_out = await fleet.call(charge(timeout_s=0.5))
             self.assertEqual(timed_out.refused.code, ErrorCode.DEADLINE_EXCEEDED)
@@ -208,11 +208,11 @@
             self.assertEqual(fleet.application.requests, 1)
             self.assertEqual(fleet.record().spent.money_micros, 5)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_charge_in_doubt_is_resolved_before_the_programs_next_call(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.application.behaviours = ["hang"]
+            fleet.application.next_outcomes = ["hang"]
             await fleet.call(charge(timeout_s=0.5))
             self.assertEqual(fleet.record().calls[0].state, CallState.BEGUN)
             await fleet.call(chat())
@@ -221,26 +221,26 @@
             self.assertEqual(outcome.verdict, Verdict.RAN)
             self.assertEqual(fleet.application.requests, 1)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_charge_that_never_arrived_is_recorded_as_not_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.application.behaviours = ["unsent"]
+            fleet.application.next_outcomes = ["unsent"]
             answer = await fleet.call(charge())
             self.assertEqual(answer.refused.verdict, Verdict.NOT_RUN)
             self.assertEqual(fleet.application.ledger, [])
             self.assertEqual(fleet.record().spent.money_micros, 0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_refused_charge_is_retried(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.application.behaviours = ["refuse", "refuse"]
+            fleet.application.next_outcomes = ["refuse", "refuse"]
             answer = await fleet.call(charge())
             self.assertEqual(answer.answered.verdict, Verdict.RAN)
             self.assertEqual(len(fleet.application.ledger), 1)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_repeat_after_a_lost_reply_to_the_intent_runs_the_charge_at_most_once(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -252,7 +252,7 @@
             self.assertNotEqual(second.last, None)
             self.assertLessEqual(len(fleet.application.ledger), 1)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_repeat_of_a_charge_that_ran_is_never_refused_as_not_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -279,7 +279,7 @@
             self.assertEqual(new.refused.verdict, Verdict.NOT_RUN)
             self.assertEqual(len(fleet.application.ledger), 1)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_repeat_refused_before_the_charge_is_recorded_may_have_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -297,7 +297,7 @@
             self.assertEqual(repeat.refused.code, ErrorCode.QUEUE_FULL)
             self.assertEqual(repeat.refused.verdict, Verdict.MAY_HAVE_RUN)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 class LeaderChangeTest(unittest.TestCase):
@@ -309,15 +309,15 @@
                 await anyio.sleep(0.025)
                 fleet.network.cut_off(fleet.leaderships[0].address)
                 await anyio.sleep(0.5)
-                fleet.lead(1, told=False)
-            self.assertEqual("".join(answer.texts), whole_text())
-            self.assertEqual(fleet.record().turns[-1].content, whole_text())
+                fleet.lead(1, announced=False)
+            self.assertEqual("".join(answer.texts), expected_answer())
+            self.assertEqual(fleet.record().turns[-1].content, expected_answer())
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_unnamed_charge_aborted_by_its_leader_is_not_refused_as_not_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.application.behaviours = ["hang"]
+            fleet.application.next_outcomes = ["hang"]
             request = charge(idempotency_key=None, is_named=False, timeout_s=3.0)
             answer = Answer()
             async with anyio.create_task_group() as tasks:
@@ -332,7 +332,7 @@
             self.assertEqual(answer.refused.code, ErrorCode.UNAVAILABLE)
             self.assertEqual(answer.refused.verdict, Verdict.MAY_HAVE_RUN)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_charge_whose_outcome_a_stale_leader_cannot_record_is_not_refused_as_not_run(
         self,
@@ -351,7 +351,7 @@
             self.assertEqual(answer.refused.code, ErrorCode.UNAVAILABLE)
             self.assertEqual(answer.refused.verdict, Verdict.MAY_HAVE_RUN)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_repeat_that_joins_a_queued_charge_is_refused_as_not_run_with_it(
         self,
@@ -366,7 +366,7 @@
                 self.assertEqual(answer.refused.code, ErrorCode.WRONG_SEQUENCE)
                 self.assertEqual(answer.refused.verdict, Verdict.NOT_RUN)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_program_refused_after_a_lost_response_is_not_refused_as_not_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -385,7 +385,7 @@
             self.assertEqual(caught.exception.code, ErrorCode.LIMIT_EXCEEDED)
             self.assertEqual(caught.exception.verdict, Verdict.MAY_HAVE_RUN)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_call_resent_to_a_busy_leader_is_not_refused_as_not_run(self) -> None:
         # The next leader resolves the charge by a status query to the application.
@@ -397,7 +397,7 @@
                     make: Callable[..., CallRequest] = make,
                     verdict: Verdict = verdict,
                 ) -> None:
-                    fleet.application.behaviours = ["hang"]
+                    fleet.application.next_outcomes = ["hang"]
                     request = make(idempotency_key=None, is_named=False, timeout_s=3.0)
                     answer = Answer()
                     async with anyio.create_task_group() as tasks:
@@ -409,7 +409,7 @@
                     self.assertEqual(answer.refused.code, ErrorCode.QUEUE_FULL)
                     self.assertEqual(answer.refused.verdict, verdict)
 
-                in_fleet(scenario, nodes=2)
+                run_in_fleet(scenario, nodes=2)
 
     def test_resent_call_without_a_record_is_refused_as_not_run(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -418,7 +418,7 @@
             self.assertEqual(answer.refused.code, ErrorCode.WRONG_SEQUENCE)
             self.assertEqual(answer.refused.verdict, Verdict.NOT_RUN)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_leader_change_between_intent_and_outcome_of_a_charge(self) -> None:
         # With "hang" the application runs the charge after 5 ms, with "unsent" it never does.
@@ -432,7 +432,7 @@
                     change_after_s: float = change_after_s,
                     verdict: Verdict = verdict,
                 ) -> None:
-                    fleet.application.behaviours = [behaviour]
+                    fleet.application.next_outcomes = [behaviour]
                     answer = Answer()
                     async with anyio.create_task_group() as tasks:
                         tasks.start_soon(fleet.call, charge(), answer, 1)
@@ -444,7 +444,7 @@
                     self.assertEqual(len(fleet.application.ledger), verdict is Verdict.RAN)
                     self.assertEqual(fleet.application.requests, 1)
 
-                in_fleet(scenario, nodes=2)
+                run_in_fleet(scenario, nodes=2)
 
     def test_two_leaders_write_one_consistent_history(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -453,17 +453,17 @@
                 tasks.start_soon(fleet.call, chat("old", timeout_s=8.0), answers[0], 0)
                 await anyio.sleep(0.02)
                 # Node 0 still acts as the leader.
-                fleet.lead(1, told=False)
+                fleet.lead(1, announced=False)
                 fleet.leaderships[0].leader = fleet.leaderships[0].address
                 tasks.start_soon(fleet.call, chat("new"), answers[1], 1)
                 await anyio.sleep(1.0)
                 fleet.leaderships[0].leader = fleet.leaderships[1].address
                 fleet.leaderships[0].epoch = None
-            self.assertEqual(answers[1].answered.body, whole_text())
+            self.assertEqual(answers[1].answered.body, expected_answer())
             turns = [turn.content for turn in fleet.record().turns]
-            self.assertEqual(turns, ["old", "new", whole_text()])
+            self.assertEqual(turns, ["old", "new", expected_answer()])
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
 
 class MemoryAndEndTest(unittest.TestCase):
@@ -481,11 +481,11 @@
             for engine in fleet.engines:
                 engine.refuses_orders = False
             await anyio.sleep(10)
-            self.assertEqual([engine.held for engine in fleet.engines], [{}, {}])
+            self.assertEqual([engine.cached for engine in fleet.engines], [{}, {}])
             self.assertEqual(fleet.record().holds, ())
             self.assertEqual(fleet.nodes[0].releases.pending_count, 0)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_end_stops_a_running_call_and_releases_its_memory(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -498,22 +498,22 @@
             after = await fleet.call(chat())
             self.assertEqual(after.refused.code, ErrorCode.PROGRAM_ENDED)
             await anyio.sleep(1)
-            self.assertEqual([engine.held for engine in fleet.engines], [{}, {}])
+            self.assertEqual([engine.cached for engine in fleet.engines], [{}, {}])
             self.assertEqual(fleet.record().state, ProgramState.ENDED)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_sweep_releases_memory_without_a_recorded_hold(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             await fleet.call(chat())
-            fleet.engines[0].held["forgotten"] = 4
+            fleet.engines[0].cached["forgotten"] = 4
             fleet.tasks.start_soon(fleet.nodes[0].sweep.run)
             await anyio.sleep(60)
-            self.assertNotIn("forgotten", fleet.engines[0].held)
-            kept = [engine.held.get(PROGRAM) for engine in fleet.engines]
+            self.assertNotIn("forgotten", fleet.engines[0].cached)
+            kept = [engine.cached.get(PROGRAM) for engine in fleet.engines]
             self.assertTrue(any(kept), "a running program must keep its memory")
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_tenants_are_isolated(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -522,7 +522,7 @@
             self.assertEqual(foreign.refused.code, ErrorCode.UNKNOWN_PROGRAM)
             self.assertEqual(len(fleet.record().calls), 1)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 class PlantedDefectTest(unittest.TestCase):
--- a/tests/node/test_incoming_partitions.py
+++ b/tests/node/test_incoming_partitions.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from node.nodes import Answer, Fleet, chat, in_fleet, whole_text
+from node.nodes import Answer, Fleet, chat, expected_answer, run_in_fleet
 from passlane.errors import ErrorCode, PasslaneError, Verdict
 from passlane.identifiers import Epoch
 from passlane.messages.node import HandoverNotice, HandoverStage
@@ -44,13 +44,13 @@
                 await anyio.sleep(1.0)
                 self.assertGreater(fleet.nodes[1].incoming.waiting_bytes, 0)
                 await arrive(fleet)
-            self.assertEqual([one.answered.body for one in answers], [whole_text()] * 3)
+            self.assertEqual([one.answered.body for one in answers], [expected_answer()] * 3)
             contents = [turn.content for turn in fleet.record().turns if turn.role == "user"]
             self.assertEqual(contents, ["0", "1", "2"])
             self.assertLess(anyio.current_time() - started_at, 1.3)
             self.assertEqual(fleet.nodes[1].incoming.waiting_bytes, 0)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_call_is_refused_at_the_time_limit_if_the_partition_does_not_arrive(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -63,7 +63,7 @@
             self.assertEqual(raised.exception.verdict, Verdict.NOT_RUN)
             self.assertAlmostEqual(anyio.current_time() - started_at, MAX_CALL_WAIT_S, places=3)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_call_beyond_the_memory_limit_is_refused_at_once(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -78,7 +78,7 @@
             self.assertEqual(raised.exception.code, ErrorCode.NOT_LEADER)
             self.assertEqual(anyio.current_time(), started_at)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_waiting_calls_return_to_the_leader_after_a_cancelled_handover(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -90,14 +90,14 @@
                 for partition in fleet.leaderships[0].led_partitions():
                     fleet.nodes[0].leader.accept_calls(partition)
                 await announce_cancelled(fleet)
-            self.assertEqual(answer.answered.body, whole_text())
+            self.assertEqual(answer.answered.body, expected_answer())
             self.assertLess(anyio.current_time(), 2.0)
 
         async def announce_cancelled(fleet: Fleet) -> None:
             for notice in notices(fleet, HandoverStage.CANCELLED):
                 fleet.nodes[1].incoming.handle_notice(notice, anyio.current_time())
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
 
 if __name__ == "__main__":
--- a/tests/node/test_partition_handover.py
+++ b/tests/node/test_partition_handover.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from node.nodes import PROGRAM, Answer, Fleet, chat, in_fleet, whole_text
+from node.nodes import PROGRAM, Answer, Fleet, chat, expected_answer, run_in_fleet
 from passlane.identifiers import Epoch, NodeId, Partition, ProgramId
 from passlane.membership.events import HandoverRequested
 from passlane.node.partition_handover import IDLE_WAIT_S, PartitionHandover
@@ -69,14 +69,14 @@
                 tasks.start_soon(handover.hand_over, order)
                 await anyio.sleep(0.1)
                 short = await fleet.call(chat(program_id=OTHER, max_tokens=12))
-                self.assertEqual(short.answered.body, whole_text())
+                self.assertEqual(short.answered.body, expected_answer())
                 self.assertLess(anyio.current_time() - started_at, 0.3)
                 self.assertIsNone(heartbeat.released_at)
-            self.assertEqual(long.answered.body, whole_text(LONG_ANSWER))
+            self.assertEqual(long.answered.body, expected_answer(LONG_ANSWER))
             assert heartbeat.released_at is not None
             self.assertLess(heartbeat.released_at - started_at, 1.3)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_partition_that_is_never_idle_redirects_new_calls_and_interrupts_none(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -98,12 +98,12 @@
                 tasks.start_soon(call_repeatedly, OTHER)
                 tasks.start_soon(handover.hand_over, order)
             bodies = {answer.answered.body for answer in answers}
-            self.assertEqual(bodies, {whole_text(LONG_ANSWER)})
+            self.assertEqual(bodies, {expected_answer(LONG_ANSWER)})
             self.assertEqual(len(answers), 10)
             assert heartbeat.released_at is not None
             self.assertLess(heartbeat.released_at - started_at, 0.6 + IDLE_WAIT_S + 1.3)
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_call_that_waits_for_an_earlier_one_does_not_block_the_handover(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -116,7 +116,7 @@
                 self.assertAlmostEqual(anyio.current_time() - started_at, 1.0)
                 tasks.cancel_scope.cancel()
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
     def test_cancelled_handover_releases_nothing(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -132,9 +132,9 @@
                 await handover.cancel(order.partition, order.epoch)
             self.assertIsNone(heartbeat.released_at)
             again = await fleet.call(chat(max_tokens=12))
-            self.assertEqual(again.answered.body, whole_text())
+            self.assertEqual(again.answered.body, expected_answer())
 
-        in_fleet(scenario, nodes=2)
+        run_in_fleet(scenario, nodes=2)
 
 
 if __name__ == "__main__":
--- a/tests/node/test_policies_and_limits.py
+++ b/tests/node/test_policies_and_limits.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from node.nodes import PROGRAM, Answer, Fleet, charge, chat, in_fleet, whole_text
+from node.nodes import PROGRAM, Answer, Fleet, charge, chat, expected_answer, run_in_fleet
 from passlane.configuration.documents import PolicyBody, ServiceBody
 from passlane.decisions.inputs.call_events import CallArrived, Event
 from passlane.errors import ErrorCode, PasslaneError, Verdict
@@ -81,7 +81,7 @@
             budget = record_of(fleet, "p-2").budget
             self.assertEqual((budget.tokens, budget.calls), (100, 5))
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_policy_is_replaced_while_a_call_runs(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -94,12 +94,12 @@
                 await anyio.sleep(0.02)
                 self.assertEqual(len(arrivals), 1, "one runs, the other waits")
                 apply_policy(fleet, SECOND_POLICY)
-            self.assertEqual([one.answered.body for one in answers], [whole_text()] * 2)
+            self.assertEqual([one.answered.body for one in answers], [expected_answer()] * 2)
             self.assertEqual([one.service_class for one in arrivals], [1, 2])
             await fleet.create(program_id=ProgramId("p-2"))
             self.assertEqual(record_of(fleet, "p-2").budget.tokens, 40)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_explanation_names_engine_and_policy(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -111,18 +111,18 @@
             self.assertIn("engine-", explanation.placement)
             self.assertEqual(explanation.policy, "policy main: class 1, weight 2")
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_failing_policy_is_reported_and_calls_are_still_answered(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             metrics = collect_metrics(fleet)
             apply_policy(fleet, FAULTY_POLICY)
             fleet.tasks.start_soon(Housekeeping(fleet.nodes[0]).run)
-            self.assertEqual((await fleet.call(chat())).answered.body, whole_text())
+            self.assertEqual((await fleet.call(chat())).answered.body, expected_answer())
             await anyio.sleep(2 * INTERVAL_S)
             self.assertEqual(metric_value(metrics, 'policy_failures_total{policy="main"}'), 1.0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 class EndlessProgramTest(unittest.TestCase):
@@ -139,9 +139,9 @@
             self.assertLess(anyio.current_time() - started_at, 2.0 + 2 * INTERVAL_S)
             await anyio.sleep(1.0)
             self.assertEqual(record_of(fleet, "loop").state, ProgramState.ENDED)
-            self.assertEqual([engine.held for engine in fleet.engines], [{}, {}])
+            self.assertEqual([engine.cached for engine in fleet.engines], [{}, {}])
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_turns_and_tokens_of_a_program_are_bounded(self) -> None:
         cases = {
@@ -166,7 +166,7 @@
                     self.assertEqual(answer.refused.verdict, Verdict.NOT_RUN)
                     self.assertEqual(answered, expected)
 
-                in_fleet(scenario)
+                run_in_fleet(scenario)
 
     def test_charges_stop_at_the_money_budget_of_the_program(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -176,7 +176,7 @@
             self.assertEqual(third.refused.code, ErrorCode.BUDGET_EXCEEDED)
             self.assertEqual(len(fleet.application.ledger), 2)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_sub_agents_spend_from_their_parents_budget(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -189,7 +189,7 @@
             self.assertEqual(answer.refused.code, ErrorCode.BUDGET_EXCEEDED)
             self.assertEqual(record_of(fleet, "parent").spent.tokens, 2 * (6 + 12))
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 class PromptRefusalTest(unittest.TestCase):
@@ -204,7 +204,7 @@
             self.assertIsNotNone(answer.refused.retry_after_s)
             self.assertAlmostEqual(anyio.current_time() - started_at, 1.0, places=2)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 def collect_metrics(fleet: Fleet) -> Metrics:
@@ -247,7 +247,7 @@
             self.assertEqual(metric_value(metrics, refusals), 1.0)
             self.assertEqual(metric_value(metrics, "requests_in_flight"), 0.0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_refusal_that_its_receiver_raises_is_counted_once(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -263,7 +263,7 @@
             refusals = 'refusals_total{code="wrong_sequence",verdict="not_run"}'
             self.assertEqual(metric_value(metrics, refusals), 1.0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_calls_that_wait_for_an_engine_are_exposed(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -276,7 +276,7 @@
                 await anyio.sleep(0.1)
                 self.assertEqual(metric_value(metrics, "calls_queued_for_engines"), 1.0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 def _is_refused(answer: Answer) -> bool:
