--- a/tests/node/nodes.py
+++ b/tests/node/nodes.py
@@ -36,7 +36,7 @@
 from passlane.node.call_reports import CallReports
 from passlane.node.node_core import NodeCore, build_core, register_handlers
 from passlane.node.program_store import ProgramStore
-from passlane.policy.governor import PolicyGovernor
+from passlane.policy.active_policies import ActivePolicies
 from passlane.simulation.runner import run_simulation
 from passlane.transport.router import MessageRouter
 
@@ -135,7 +135,7 @@
         self.http.servers[self.addresses["application"]] = self.application.serve
         self.configuration = make_configuration(self.addresses, **tool)
         self.reports = CallReports()
-        self.policies = PolicyGovernor()
+        self.policies = ActivePolicies()
         self.policies.update(self.configuration)
         self.leaderships = [FakeLeadership(f"n{one}", 7000 + 10 * one) for one in range(nodes)]
         self.nodes = [self._build(leadership) for leadership in self.leaderships]
@@ -160,18 +160,18 @@
         self.tasks.start_soon(core.services.models.run)
         return core
 
-    def lead(self, number: int, *, told: bool = True) -> None:
-        """Let a node lead all partitions; with ``told``, the other nodes stop leading."""
+    def lead(self, number: int, *, announced: bool = True) -> None:
+        """Let a node lead all partitions; with ``announced``, the other nodes stop leading."""
         self.epoch += 1
         chosen = self.leaderships[number]
         self.store.lead(chosen, self.epoch)
         chosen.epoch = Epoch(self.epoch)
         for leadership, core in zip(self.leaderships, self.nodes, strict=True):
             leadership.leader = chosen.address
-            if leadership is not chosen and told:
+            if leadership is not chosen and announced:
                 leadership.epoch = None
                 for partition in chosen.led_partitions():
-                    core.leader.forget_partition(partition)
+                    core.leader.unload_partition(partition)
         for partition in chosen.led_partitions():
             self.nodes[number].sweep.schedule_recovery(partition)
 
@@ -182,11 +182,11 @@
             **fields,
         }
         request = CreateProgramRequest(request_id="c", tenant_id=tenant, **values)  # type: ignore[arg-type]
-        await self.nodes[0].forwarder.ask(request.program_id, request, ProgramResult, 5.0)
+        await self.nodes[0].forwarder.send_request(request.program_id, request, ProgramResult, 5.0)
 
     async def end(self, node: int = 0) -> None:
         request = EndProgramRequest(request_id="e", tenant_id=TENANT, program_id=PROGRAM)
-        await self.nodes[node].forwarder.ask(PROGRAM, request, StoreDone, 5.0)
+        await self.nodes[node].forwarder.send_request(PROGRAM, request, StoreDone, 5.0)
 
     async def call(
         self, request: CallRequest, answer: Answer | None = None, node: int = 0
@@ -236,11 +236,11 @@
     return chat(**values)
 
 
-def whole_text(tokens: int = 12) -> str:
+def expected_answer(tokens: int = 12) -> str:
     return "".join(f"t{position} " for position in range(tokens))
 
 
-def in_fleet(
+def run_in_fleet(
     scenario: Callable[[Fleet], Awaitable[None]], nodes: int = 1, seed: int = 7, **tool: object
 ) -> None:
     """Run a scenario on the virtual clock; node 0 leads and ``PROGRAM`` exists."""
--- a/tests/node/test_policies_and_limits.py
+++ b/tests/node/test_policies_and_limits.py
@@ -5,7 +5,7 @@
 
 import anyio
 
-from node.nodes import PROGRAM, Answer, Fleet, charge, chat, in_fleet, whole_text
+from node.nodes import PROGRAM, Answer, Fleet, charge, chat, expected_answer, run_in_fleet
 from passlane.configuration.documents import PolicyBody, ServiceBody
 from passlane.decisions.inputs.call_events import CallArrived, Event
 from passlane.errors import ErrorCode, PasslaneError, Verdict
@@ -53,19 +53,19 @@
     """Record the arrivals of calls that the scheduler of node 0 receives."""
     arrivals: list[CallArrived] = []
     models = fleet.nodes[0].services.models
-    original_tell = models.tell
+    original_handle_event = models.handle_event
 
     def record_event(event: Event) -> None:
         if isinstance(event, CallArrived):
             arrivals.append(event)
-        original_tell(event)
+        original_handle_event(event)
 
-    models.tell = record_event  # type: ignore[method-assign]
+    models.handle_event = record_event  # type: ignore[method-assign]
     return arrivals
 
 
 async def explain(fleet: Fleet) -> ProgramExplanation:
-    return await fleet.nodes[0].forwarder.ask(
+    return await fleet.nodes[0].forwarder.send_request(
         PROGRAM, ExplainProgram(PROGRAM), ProgramExplanation, 5.0
     )
 
@@ -81,7 +81,7 @@
             budget = record_of(fleet, "p-2").budget
             self.assertEqual((budget.tokens, budget.calls), (100, 5))
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_policy_is_replaced_while_a_call_runs(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -94,12 +94,12 @@
                 await anyio.sleep(0.02)
                 self.assertEqual(len(arrivals), 1, "one runs, the other waits")
                 apply_policy(fleet, SECOND_POLICY)
-            self.assertEqual([one.answered.body for one in answers], [whole_text()] * 2)
+            self.assertEqual([one.answered.body for one in answers], [expected_answer()] * 2)
             self.assertEqual([one.service_class for one in arrivals], [1, 2])
             await fleet.create(program_id=ProgramId("p-2"))
             self.assertEqual(record_of(fleet, "p-2").budget.tokens, 40)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_explanation_names_engine_and_policy(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -111,18 +111,18 @@
             self.assertIn("engine-", explanation.placement)
             self.assertEqual(explanation.policy, "policy main: class 1, weight 2")
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_failing_policy_is_reported_and_calls_are_still_answered(self) -> None:
         async def scenario(fleet: Fleet) -> None:
             metrics = collect_metrics(fleet)
             apply_policy(fleet, FAULTY_POLICY)
             fleet.tasks.start_soon(Housekeeping(fleet.nodes[0]).run)
-            self.assertEqual((await fleet.call(chat())).answered.body, whole_text())
+            self.assertEqual((await fleet.call(chat())).answered.body, expected_answer())
             await anyio.sleep(2 * INTERVAL_S)
             self.assertEqual(metric_value(metrics, 'policy_failures_total{policy="main"}'), 1.0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 class EndlessProgramTest(unittest.TestCase):
@@ -139,9 +139,9 @@
             self.assertLess(anyio.current_time() - started_at, 2.0 + 2 * INTERVAL_S)
             await anyio.sleep(1.0)
             self.assertEqual(record_of(fleet, "loop").state, ProgramState.ENDED)
-            self.assertEqual([engine.held for engine in fleet.engines], [{}, {}])
+            self.assertEqual([engine.cached for engine in fleet.engines], [{}, {}])
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_turns_and_tokens_of_a_program_are_bounded(self) -> None:
         cases = {
@@ -166,7 +166,7 @@
                     self.assertEqual(answer.refused.verdict, Verdict.NOT_RUN)
                     self.assertEqual(answered, expected)
 
-                in_fleet(scenario)
+                run_in_fleet(scenario)
 
     def test_charges_stop_at_the_money_budget_of_the_program(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -176,7 +176,7 @@
             self.assertEqual(third.refused.code, ErrorCode.BUDGET_EXCEEDED)
             self.assertEqual(len(fleet.application.ledger), 2)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_sub_agents_spend_from_their_parents_budget(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -189,13 +189,13 @@
             self.assertEqual(answer.refused.code, ErrorCode.BUDGET_EXCEEDED)
             self.assertEqual(record_of(fleet, "parent").spent.tokens, 2 * (6 + 12))
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 class PromptRefusalTest(unittest.TestCase):
     def test_caller_is_refused_at_its_deadline_while_the_store_is_slow(self) -> None:
         async def scenario(fleet: Fleet) -> None:
-            fleet.nodes[0].leader.forget_partition(record_of(fleet, PROGRAM).partition)
+            fleet.nodes[0].leader.unload_partition(record_of(fleet, PROGRAM).partition)
             fleet.store.delay_s = 4.0
             started_at = anyio.current_time()
             answer = await fleet.call(chat(timeout_s=1.0))
@@ -204,7 +204,7 @@
             self.assertIsNotNone(answer.refused.retry_after_s)
             self.assertAlmostEqual(anyio.current_time() - started_at, 1.0, places=2)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 def collect_metrics(fleet: Fleet) -> Metrics:
@@ -241,13 +241,13 @@
             self.assertEqual(metric_value(metrics, attempts % "ran"), 2.0)
             self.assertEqual(metric_value(metrics, attempts % "may_have_run"), 2.0)
             self.assertEqual(metric_value(metrics, "held_engine_memories"), 2.0)
-            fleet.nodes[0].leader.limit_requests(0)
+            fleet.nodes[0].leader.set_max_requests(0)
             await fleet.call(chat())
             refusals = 'refusals_total{code="queue_full",verdict="not_run"}'
             self.assertEqual(metric_value(metrics, refusals), 1.0)
             self.assertEqual(metric_value(metrics, "requests_in_flight"), 0.0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_refusal_that_its_receiver_raises_is_counted_once(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -263,7 +263,7 @@
             refusals = 'refusals_total{code="wrong_sequence",verdict="not_run"}'
             self.assertEqual(metric_value(metrics, refusals), 1.0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
     def test_calls_that_wait_for_an_engine_are_exposed(self) -> None:
         async def scenario(fleet: Fleet) -> None:
@@ -276,7 +276,7 @@
                 await anyio.sleep(0.1)
                 self.assertEqual(metric_value(metrics, "calls_queued_for_engines"), 1.0)
 
-        in_fleet(scenario)
+        run_in_fleet(scenario)
 
 
 def _is_refused(answer: Answer) -> bool:
