--- a/src/passlane/cli/__init__.py
+++ b/src/passlane/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command line for operators."""
--- a/src/passlane/cli/changing.py
+++ b/src/passlane/cli/changing.py
@@ -1,4 +1,7 @@
-"""Base class of the commands that change documents: reports, waiting, failures."""
+"""Base class of the commands that change documents.
+
+It reports the result, waits until a change is in force and describes failures.
+"""
 
 from collections.abc import Sequence
 
@@ -23,7 +26,7 @@
 from passlane.messages.control import Progress
 
 TIMEOUT_OPTION = option(
-    "timeout", None, "Seconds to wait at most.", flag=False, default=str(DEFAULT_TIMEOUT_S)
+    "timeout", None, "Maximum seconds to wait.", flag=False, default=str(DEFAULT_TIMEOUT_S)
 )
 WAIT_OPTIONS = [
     option("wait", "w", "Return when the change is in force everywhere.", flag=True),
@@ -32,13 +35,13 @@
 
 _VERDICT_TEXT = {
     Verdict.NOT_RUN: "nothing was changed",
-    Verdict.MAY_HAVE_RUN: "the change may have been recorded; look with 'passlane get' first",
+    Verdict.MAY_HAVE_RUN: "the change may have been recorded; check with 'passlane get'",
     Verdict.RAN: "the change was recorded",
 }
 
 
 class AppliedDocument(msgspec.Struct, frozen=True):
-    """What became of one document; ``revision`` is that of its newest version."""
+    """Result for one document; ``revision`` is that of its newest version."""
 
     kind: str
     name: str
@@ -55,14 +58,14 @@
 
 
 class ChangingCommand(OperatorCommand):
-    """A command that changes documents and may wait until that is in force."""
+    """A command that changes documents and can wait until the change is in force."""
 
     def describe_verdict(self, verdict: Verdict) -> str:
         """Return what a failure means for the documents."""
         return f" ({_VERDICT_TEXT[verdict]})"
 
     async def finish(self, client: OperatorClient, applied: Sequence[AppliedDocument]) -> ExitCode:
-        """Wait if asked to, print what was done, and return the exit code."""
+        """Wait if ``--wait`` was given, print the result and return the exit code."""
         if not self.option("wait"):
             self._show_report(applied, None)
             return ExitCode.OK
@@ -95,7 +98,7 @@
         )
 
     def show_progress_line(self, line: str) -> None:
-        """Print a line about a wait, on the error stream so that the output stays the result."""
+        """Print a progress line on stderr, so that stdout holds only the result."""
         if not self.wants_json:
             self.line_error(line.replace("<", "\\<"))
 
@@ -107,5 +110,5 @@
 
 
 def applied_document(change: ChangeView, result: str) -> AppliedDocument:
-    """Return the line on a recorded change."""
+    """Return the result that describes a recorded change."""
     return AppliedDocument(change.kind, change.name, result, change.version, change.revision)
--- a/src/passlane/cli/client.py
+++ b/src/passlane/cli/client.py
@@ -1,4 +1,4 @@
-"""Talks to the operators' HTTP interface of any passlane process."""
+"""Client of the operators' HTTP interface, which every passlane process serves."""
 
 import uuid
 from collections.abc import Mapping, Sequence
@@ -19,14 +19,14 @@
 from passlane.runtime.interfaces import HttpClient, HttpConnectionError, HttpRequest
 
 REQUEST_TIMEOUT_S = 15.0
-ATTEMPTS = 4
-FIRST_PAUSE_S = 0.2
+MAX_ATTEMPTS = 4
+INITIAL_BACKOFF_S = 0.2
 
 ResultType = TypeVar("ResultType")
 
 
 class ApiError(PasslaneError):
-    """The server refused; after a conflict ``current`` is the document as it stands."""
+    """The server rejected the request; after a conflict ``current`` is the current document."""
 
     def __init__(self, problem: OperatorProblem) -> None:
         super().__init__(problem.code, problem.detail, verdict=problem.verdict)
@@ -35,9 +35,9 @@
 
 
 class OperatorClient:
-    """Sends requests to one of several servers, the next one if one does not answer.
+    """Sends requests to several servers in turn until one responds.
 
-    A change carries an idempotency key, so sending it again after a lost answer is safe.
+    A change carries an idempotency key, so a retry after a lost response is safe.
     """
 
     def __init__(self, http: HttpClient, servers: Sequence[Address], token: str) -> None:
@@ -76,11 +76,11 @@
         return await self._change("POST", f"/v1/withdraw/{revision}", {})
 
     async def read_progress(self, revision: Revision) -> Progress:
-        """Return how far a revision has come."""
+        """Return the rollout progress of a revision."""
         return await self._get(f"/v1/progress/{revision}", Progress)
 
     async def read_status(self) -> SystemStatus:
-        """Return the state of the whole."""
+        """Return the state of the control group and of the server's region."""
         return await self._get("/v1/status", SystemStatus)
 
     async def list_programs(self) -> ProgramList:
@@ -92,7 +92,7 @@
         return await self._get(f"/v1/programs/{quote(program_id, safe='')}", ProgramRecord)
 
     async def explain_program(self, program_id: str) -> ProgramExplanation:
-        """Return what the program's leader says of its last model call."""
+        """Return the leader's explanation of the program's last model call."""
         path = f"/v1/programs/{quote(program_id, safe='')}/explanation"
         return await self._get(path, ProgramExplanation)
 
@@ -106,15 +106,15 @@
     async def _change(
         self, method: str, path: str, headers: Mapping[str, str], body: bytes = b""
     ) -> ChangeView:
-        keyed = {**headers, "idempotency-key": uuid.uuid4().hex}
-        return _decode(await self._exchange(method, path, keyed, body), ChangeView)
+        keyed_headers = {**headers, "idempotency-key": uuid.uuid4().hex}
+        return _decode(await self._exchange(method, path, keyed_headers, body), ChangeView)
 
     async def _exchange(
         self, method: str, path: str, headers: Mapping[str, str], body: bytes
     ) -> bytes:
-        pause_s = FIRST_PAUSE_S
+        backoff_s = INITIAL_BACKOFF_S
         verdict = Verdict.NOT_RUN
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             server = self._servers[attempt % len(self._servers)]
             request = HttpRequest(method, server, path, self._headers(headers), body)
             try:
@@ -123,9 +123,9 @@
             except (HttpConnectionError, TimeoutError) as error:
                 if not isinstance(error, HttpConnectionError) or error.bytes_left:
                     verdict = Verdict.MAY_HAVE_RUN
-                reason = str(error) or "no answer in time"
-            await anyio.sleep(pause_s)
-            pause_s *= 2
+                reason = str(error) or f"no response within {REQUEST_TIMEOUT_S:g} s"
+            await anyio.sleep(backoff_s)
+            backoff_s *= 2
         servers = ", ".join(str(server) for server in self._servers)
         raise PasslaneError(ErrorCode.UNAVAILABLE, f"{servers}: {reason}", verdict=verdict)
 
@@ -158,12 +158,14 @@
     try:
         return msgspec.json.decode(body, type=result)
     except msgspec.MsgspecError as error:
-        raise PasslaneError(ErrorCode.PROTOCOL_ERROR, f"unexpected answer: {error}") from error
+        raise PasslaneError(
+            ErrorCode.PROTOCOL_ERROR, f"unexpected response body: {error}"
+        ) from error
 
 
 def _to_error(status: int, body: bytes) -> PasslaneError:
     try:
         return ApiError(msgspec.json.decode(body, type=OperatorProblem))
     except msgspec.MsgspecError:
-        # Not the body of an operators' server: the status is all that can be told.
-        return PasslaneError(ErrorCode.PROTOCOL_ERROR, f"the server answered {status}")
+        # The body is not a problem document, so only the status can be reported.
+        return PasslaneError(ErrorCode.PROTOCOL_ERROR, f"the server responded with status {status}")
--- a/src/passlane/cli/command.py
+++ b/src/passlane/cli/command.py
@@ -1,4 +1,7 @@
-"""Base classes of the commands: options, output as text or JSON, errors, exit codes."""
+"""Base classes of the commands.
+
+They own the common options, output as text or JSON, error output and exit codes.
+"""
 
 from collections.abc import Sequence
 from typing import Any, ClassVar
@@ -22,9 +25,13 @@
 
 OUTPUT_OPTION = option("output", "o", "text or json.", flag=False, default=TEXT)
 CONNECTION_OPTIONS = [
-    option("server", None, "Operators' address host:port; several with commas.", flag=False),
-    option("token", None, "Operator's token; better in PASSLANE_TOKEN.", flag=False),
-    option("settings", None, "A daemon's settings file, for address and token.", flag=False),
+    option(
+        "server", None, "Operators' address host:port; separate several with commas.", flag=False
+    ),
+    option("token", None, "Operator's token; prefer the variable PASSLANE_TOKEN.", flag=False),
+    option(
+        "settings", None, "Settings file of a daemon to read address and token from.", flag=False
+    ),
 ]
 
 
@@ -46,7 +53,7 @@
 
     @classmethod
     def common_options(cls) -> list[Option]:
-        """Return the options that every such command has."""
+        """Return the options that all commands of this class share."""
         return [OUTPUT_OPTION]
 
     @property
@@ -58,7 +65,10 @@
         """Run the command and return its exit code."""
         try:
             if self.option("output") not in (TEXT, JSON):
-                raise PasslaneError(ErrorCode.BAD_REQUEST, "--output is text or json")
+                raise PasslaneError(
+                    ErrorCode.BAD_REQUEST,
+                    f"--output must be text or json, not {self.option('output')!r}",
+                )
             return int(self.execute_command())
         except PasslaneError as error:
             self.show_error(error)
@@ -69,27 +79,27 @@
         raise NotImplementedError
 
     def show_error(self, error: PasslaneError, subject: str | None = None) -> None:
-        """Print an error: JSON on the output if asked for, else a line on stderr.
+        """Print an error as JSON on stdout with ``--output json``, else as a line on stderr.
 
-        ``subject`` names what of several things failed.
+        ``subject`` names the item that failed, for commands that process several.
         """
         if self.wants_json:
             self.show_json(FailureReport(error.code.value, error.message, error.verdict.value))
             return
-        place = self.name if subject is None else f"{self.name}: {subject}"
-        line = f"{place}: {error}{self.describe_verdict(error.verdict)}"
+        prefix = self.name if subject is None else f"{self.name}: {subject}"
+        line = f"{prefix}: {error}{self.describe_verdict(error.verdict)}"
         self.line_error(line.replace("<", "\\<"))
 
     def describe_verdict(self, verdict: Verdict) -> str:
-        """Return what a failure means for what the command was to do; nothing by default."""
+        """Return a note on what a failed command may have changed; empty by default."""
         return ""
 
     def show_json(self, value: Any) -> None:
-        """Print a struct as JSON."""
+        """Print a value as JSON."""
         self.io.write_line(msgspec.json.format(msgspec.json.encode(value), indent=2).decode())
 
     def show_lines(self, lines: Sequence[str]) -> None:
-        """Print lines as they are, without reading markup in them."""
+        """Print lines with markup escaped."""
         for line in lines:
             self.io.write_line(line.replace("<", "\\<"))
 
@@ -97,11 +107,11 @@
         """Print rows in columns under a header."""
         texts = [[str(cell) for cell in row] for row in [header, *rows]]
         widths = [max(len(row[column]) for row in texts) for column in range(len(header))]
-        self.show_lines([_padded(row, widths) for row in texts])
+        self.show_lines([_format_row(row, widths) for row in texts])
 
 
 class OperatorCommand(OutputCommand):
-    """A command that talks to a server.
+    """A command that sends requests to a server.
 
     Parameters
     ----------
@@ -115,11 +125,11 @@
 
     @classmethod
     def common_options(cls) -> list[Option]:
-        """Return the options for output and for the server."""
+        """Return the options for output and connection."""
         return [OUTPUT_OPTION, *CONNECTION_OPTIONS]
 
     def execute_command(self) -> ExitCode:
-        """Connect and run the command's own part."""
+        """Create a client and run the command with it."""
         target = find_target(
             ConnectionOptions(self.option("server"), self.option("token"), self.option("settings"))
         )
@@ -132,6 +142,6 @@
         raise NotImplementedError
 
 
-def _padded(row: Sequence[str], widths: Sequence[int]) -> str:
+def _format_row(row: Sequence[str], widths: Sequence[int]) -> str:
     cells = [cell.ljust(width) for cell, width in zip(row, widths, strict=True)]
     return "  ".join(cells).rstrip()
--- a/src/passlane/cli/connection.py
+++ b/src/passlane/cli/connection.py
@@ -1,4 +1,4 @@
-"""Where the command line finds its servers and its token."""
+"""Resolves the servers and the token from options, environment and settings file."""
 
 import os
 from collections.abc import Mapping
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class ConnectionOptions:
-    """Options given on the command line; ``None`` where one is missing."""
+    """Connection options of the command line; ``None`` if not given."""
 
     server: str | None = None
     token: str | None = None
@@ -25,22 +25,23 @@
 
 @dataclass(frozen=True)
 class Target:
-    """Operators' addresses to try in turn, and the token for them."""
+    """Operators' addresses to try in order, and the token for them."""
 
     servers: tuple[Address, ...]
     token: str
 
 
 def find_target(options: ConnectionOptions, variables: Mapping[str, str] = os.environ) -> Target:
-    """Return servers and token: options first, then variables, then the settings file.
+    """Return servers and token.
 
-    Several servers are separated by commas. The settings file is a daemon's: its
-    operators' address and its first operator's token are used.
+    Options take precedence over environment variables, and these over the settings file
+    of a daemon, which gives its operators' address and the token of its first operator.
+    Several servers are separated by commas.
 
     Raises
     ------
     PasslaneError
-        ``BAD_REQUEST`` when a part is missing or wrong.
+        ``BAD_REQUEST`` if servers or token are missing or an address is invalid.
     """
     servers = _parse_servers(options.server or variables.get(SERVER_VARIABLE))
     token = options.token or variables.get(TOKEN_VARIABLE)
@@ -51,9 +52,9 @@
         if settings.security.operators:
             token = token or settings.security.operators[0].token
     if not servers:
-        raise _missing("--server", SERVER_VARIABLE)
+        raise _missing_option("--server", SERVER_VARIABLE)
     if not token:
-        raise _missing("--token", TOKEN_VARIABLE)
+        raise _missing_option("--token", TOKEN_VARIABLE)
     return Target(servers, token)
 
 
@@ -66,7 +67,7 @@
         raise PasslaneError(ErrorCode.BAD_REQUEST, f"--server: {error}") from error
 
 
-def _missing(option: str, variable: str) -> PasslaneError:
+def _missing_option(option: str, variable: str) -> PasslaneError:
     return PasslaneError(
-        ErrorCode.BAD_REQUEST, f"{option}, {variable} or --settings FILE is needed"
+        ErrorCode.BAD_REQUEST, f"missing {option}: give {option}, {variable} or --settings FILE"
     )
--- a/src/passlane/cli/current_documents.py
+++ b/src/passlane/cli/current_documents.py
@@ -1,4 +1,4 @@
-"""The recorded documents that ``apply`` compares a file with."""
+"""Reads the recorded documents that ``apply`` compares with a file."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,29 +9,29 @@
 from passlane.configuration.files import DocumentDraft
 
 MAX_SINGLE_READS = 20
-"""Documents of a kind that are read one by one; beyond that the whole kind is read once."""
+"""Documents of a kind that are read one by one; above it one request reads the whole kind."""
 
 
 class CurrentDocuments:
     """Finds the recorded version of each document of a file.
 
-    What was read with its whole kind may be older than a version that another operator
-    has submitted since; a change based on it is refused as a conflict.
+    A document that was read with its whole kind may be stale if another operator has
+    changed it since. The server rejects a change based on it as a conflict.
 
     Parameters
     ----------
     drafts
-        The documents that will be asked for.
+        The documents that will be looked up.
     """
 
     def __init__(self, client: OperatorClient, drafts: Iterable[DocumentDraft]) -> None:
         self._client = client
-        self._wanted = Counter(draft.kind for draft in drafts)
+        self._counts_by_kind = Counter(draft.kind for draft in drafts)
         self._by_kind: dict[DocumentKind, dict[str, DocumentView]] = {}
 
     async def find(self, kind: DocumentKind, name: str) -> DocumentView | None:
         """Return the newest version of a document, or ``None`` if there is none."""
-        if self._wanted[kind] <= MAX_SINGLE_READS:
+        if self._counts_by_kind[kind] <= MAX_SINGLE_READS:
             return await self._client.read_document(kind, name)
         if kind not in self._by_kind:
             found = await self._client.read_documents(kind)
--- a/src/passlane/errors.py
+++ b/src/passlane/errors.py
@@ -1,13 +1,13 @@
-"""Errors with codes, and the verdict that says whether a request may have run."""
+"""Error type with a stable code and a verdict on whether the request ran."""
 
 import enum
 
 
 class Verdict(enum.StrEnum):
-    """Whether a request has run at its back end.
+    """Whether a backend ran a request.
 
-    ``NOT_RUN`` is only used when no byte of the request left this system, or when the
-    back end's own refusal proves that nothing ran.
+    ``NOT_RUN`` requires that no byte of the request was sent, or that the backend's
+    refusal proves that nothing ran. ``MAY_HAVE_RUN`` means that the outcome is unknown.
     """
 
     NOT_RUN = "not_run"
@@ -16,9 +16,9 @@
 
 
 class ErrorCode(enum.StrEnum):
-    """Stable codes of errors, shown to callers, operators and in logs."""
+    """Stable error codes in responses, command output and logs."""
 
-    # Input of callers and operators.
+    # Invalid requests from callers and operators.
     BAD_REQUEST = "bad_request"
     BODY_TOO_LARGE = "body_too_large"
     UNAUTHORIZED = "unauthorized"
@@ -49,7 +49,7 @@
     TIMEOUT = "timeout"
     DISK_FULL = "disk_full"
     STORAGE_CORRUPT = "storage_corrupt"
-    # Back ends.
+    # Backends.
     BACKEND_REFUSED = "backend_refused"
     BACKEND_FAILED = "backend_failed"
     STALE_FENCING_TOKEN = "stale_fencing_token"
@@ -62,18 +62,18 @@
 
 
 class PasslaneError(Exception):
-    """An error with a code, a verdict and, where it helps, a time to come back.
+    """An error with a code, a verdict and an optional delay before a retry.
 
     Parameters
     ----------
     code
         Stable code of the error.
     message
-        One sentence for a person; never holds secrets.
+        One human-readable sentence; must not contain secrets.
     verdict
         Whether the request may have run.
     retry_after_s
-        Seconds after which trying again makes sense; ``None`` when it does not.
+        Seconds to wait before a retry; ``None`` if no delay is suggested.
     """
 
     def __init__(
--- a/src/passlane/identifiers.py
+++ b/src/passlane/identifiers.py
@@ -1,33 +1,33 @@
-"""Identifiers used throughout the system, as distinct types over ``str`` and ``int``."""
+"""Identifier types shared by all packages, distinct from plain ``str`` and ``int``."""
 
 from typing import NewType
 
 ProgramId = NewType("ProgramId", str)
-"""A program: the unit whose calls run in order and share a history and a budget."""
+"""A program: a sequence of calls that run in order and share a history and a budget."""
 
 TenantId = NewType("TenantId", str)
 """An organisation or person on whose behalf programs run."""
 
 CallId = NewType("CallId", str)
-"""One call of a program; the same for every attempt at it."""
+"""One call of a program; all attempts of a call share it."""
 
 NodeId = NewType("NodeId", str)
-"""A node process, by its configured name."""
+"""Configured name of a node process."""
 
 ReplicaId = NewType("ReplicaId", str)
-"""A replica of a Raft group; bound to its data folder, new after a wipe."""
+"""A replica of a Raft group; stored in its data folder, so a wiped replica gets a new one."""
 
 EngineId = NewType("EngineId", str)
-"""A model engine, by its configured name."""
+"""Configured name of a model engine."""
 
 ApplicationId = NewType("ApplicationId", str)
-"""An application that offers tools such as charging or booking."""
+"""An application that provides tools such as charging or booking."""
 
 Partition = NewType("Partition", int)
-"""Number of a partition of programs; a program's hash decides it."""
+"""Number of a partition of programs; derived from a hash of the program."""
 
 Epoch = NewType("Epoch", int)
-"""Leadership epoch of a partition; grows with each new leader."""
+"""Leadership epoch of a partition; increases with each new leader."""
 
 Revision = NewType("Revision", int)
-"""Number of a change of configuration, counted over all documents."""
+"""Sequence number of a configuration change, counted across all documents."""
