--- a/src/passlane/cli/documents.py
+++ b/src/passlane/cli/documents.py
@@ -31,9 +31,9 @@
 
 
 class ApplyFailure(FailureReport, frozen=True):
-    """JSON output of an ``apply`` that stopped in the middle.
+    """JSON output of an ``apply`` that stopped at a document that failed.
 
-    ``documents`` are recorded; ``not_tried`` come after the one that failed.
+    ``documents`` were recorded before it; ``not_tried`` follow it and were not sent.
     """
 
     failed: str
@@ -52,10 +52,10 @@
     ]
 
     async def run_with(self, client: OperatorClient) -> ExitCode:
-        """Submit each document that differs from what is recorded."""
+        """Submit each document that differs from its recorded version."""
         path = self.option("file")
         if path is None:
-            raise PasslaneError(ErrorCode.BAD_REQUEST, "-f FILE is needed")
+            raise PasslaneError(ErrorCode.BAD_REQUEST, "missing -f: give a document file or folder")
         drafts = load_document_files(Path(path))
         recorded = CurrentDocuments(client, drafts)
         applied: list[AppliedDocument] = []
@@ -63,14 +63,14 @@
             try:
                 applied.append(await self._apply(client, recorded, draft))
             except PasslaneError as error:
-                return self._stop(error, applied, drafts[number:])
+                return self._report_failure(error, applied, drafts[number:])
         return await self.finish(client, applied)
 
-    def _stop(
-        self, error: PasslaneError, applied: list[AppliedDocument], left: list[DocumentDraft]
+    def _report_failure(
+        self, error: PasslaneError, applied: list[AppliedDocument], remaining: list[DocumentDraft]
     ) -> ExitCode:
-        """Say what was recorded before the first of ``left`` failed; return the exit code."""
-        failed, *not_tried = (f"{draft.kind}/{draft.name}" for draft in left)
+        """Report the failure of the first of ``remaining`` and return the exit code."""
+        failed, *not_tried = (f"{draft.kind}/{draft.name}" for draft in remaining)
         if self.wants_json:
             self.show_json(
                 ApplyFailure(
@@ -94,7 +94,7 @@
         client: OperatorClient, recorded: CurrentDocuments, draft: DocumentDraft
     ) -> AppliedDocument:
         current = await recorded.find(draft.kind, draft.name)
-        if current is not None and _has_body(current, draft):
+        if current is not None and _has_same_body(current, draft):
             return AppliedDocument(
                 draft.kind, draft.name, UNCHANGED, current.version, current.revision
             )
@@ -135,7 +135,7 @@
         return ExitCode.OK
 
     async def _show_one(self, client: OperatorClient, kind: str, name: str) -> ExitCode:
-        document = await _existing(client, kind, name)
+        document = await _require_document(client, kind, name)
         if self.wants_json:
             self.show_json(document)
             return ExitCode.OK
@@ -165,13 +165,15 @@
     ]
 
     async def run_with(self, client: OperatorClient) -> ExitCode:
-        """Delete the document at the version that stands now."""
+        """Delete the given version of the document, by default the newest."""
         kind, name = self.argument("kind"), self.argument("name")
         version = self.option("if-version")
         if version is None:
-            version = (await _existing(client, kind, name)).version
+            version = (await _require_document(client, kind, name)).version
         elif not version.isdecimal():
-            raise PasslaneError(ErrorCode.BAD_REQUEST, "--if-version is a whole number")
+            raise PasslaneError(
+                ErrorCode.BAD_REQUEST, f"--if-version must be a whole number, not {version!r}"
+            )
         change = await client.delete_document(kind, name, int(version))
         return await self.finish(client, [applied_document(change, DELETED)])
 
@@ -180,7 +182,7 @@
     """Withdraws a pending change."""
 
     name = "withdraw"
-    description = "Takes back a change that is not accepted yet."
+    description = "Withdraws a change that is not accepted yet."
     arguments: ClassVar[list[Argument]] = [
         argument("revision", "Revision of the pending change."),
     ]
@@ -190,12 +192,14 @@
         """Withdraw the change."""
         text = self.argument("revision")
         if not text.isdecimal():
-            raise PasslaneError(ErrorCode.BAD_REQUEST, "a revision is a whole number")
+            raise PasslaneError(
+                ErrorCode.BAD_REQUEST, f"the revision must be a whole number, not {text!r}"
+            )
         change = await client.withdraw(Revision(int(text)))
         return await self.finish(client, [applied_document(change, WITHDRAWN)])
 
 
-def _has_body(document: DocumentView, draft: DocumentDraft) -> bool:
+def _has_same_body(document: DocumentView, draft: DocumentDraft) -> bool:
     recorded = bytes(document.body)
     return bool(msgspec.json.decode(recorded) == msgspec.json.decode(draft.body))
 
@@ -204,7 +208,7 @@
     return "accepted" if document.is_accepted else "pending"
 
 
-async def _existing(client: OperatorClient, kind: str, name: str) -> DocumentView:
+async def _require_document(client: OperatorClient, kind: str, name: str) -> DocumentView:
     document = await client.read_document(kind, name)
     if document is None:
         raise PasslaneError(ErrorCode.NOT_FOUND, f"there is no {kind} {name!r}")
--- a/src/passlane/cli/drains.py
+++ b/src/passlane/cli/drains.py
@@ -1,4 +1,7 @@
-"""Commands ``drain`` and ``undrain``: mark something as leaving, and take that back."""
+"""Commands ``drain`` and ``undrain``: start and end the drain of a target.
+
+A target is an engine, a node or an application.
+"""
 
 from dataclasses import dataclass
 from typing import ClassVar
@@ -34,15 +37,15 @@
 
 TARGET_ARGUMENTS = [
     argument("target_kind", "engine, node or application."),
-    argument("target", "Its name."),
+    argument("target", "Name of the target."),
 ]
 
 
 class DrainReport(msgspec.Struct, frozen=True):
-    """JSON output of ``drain``; counts are ``None`` while they are not known.
+    """JSON output of ``drain``; counts are ``None`` while they are unknown.
 
-    ``partitions`` is how many a drained node still leads; ``None`` for other targets
-    and for a node that the server's region does not list.
+    ``partitions`` is the number of partitions that a drained node still leads; ``None``
+    for other targets and for a node that the server's region does not list.
     """
 
     target_kind: str
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True)
 class DrainTarget:
-    """What is drained, and the revision that said so."""
+    """The target of a drain and the revision of its drain document."""
 
     kind: DrainKind
     name: str
@@ -65,7 +68,7 @@
 
 @dataclass(frozen=True)
 class DrainState:
-    """How far a drain is. ``partitions`` is ``None`` unless a listed node is drained."""
+    """Progress of a drain; ``partitions`` is ``None`` unless a listed node is drained."""
 
     target: DrainTarget
     progress: Progress
@@ -73,7 +76,7 @@
 
     @property
     def calls(self) -> int | None:
-        """Calls in flight at the target; ``None`` before all nodes act on the drain."""
+        """Calls in flight at the target; ``None`` until the drain is in force everywhere."""
         if not is_in_force(self.progress):
             return None
         return sum(
@@ -84,21 +87,21 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether nothing is in flight at the target, and a drained node leads nothing."""
-        leads_nothing = self.target.kind is not DrainKind.NODE or self.partitions == 0
-        return self.calls == 0 and leads_nothing
+        """Whether no call is in flight at the target and a drained node leads no partition."""
+        leads_no_partition = self.target.kind is not DrainKind.NODE or self.partitions == 0
+        return self.calls == 0 and leads_no_partition
 
     def summary(self) -> str:
-        """Return one line for printing on change."""
+        """Return a one-line summary, to be printed when it changes."""
         if self.calls is None:
             return summarize_progress(self.progress, self.target.revision)
         return ", ".join(self.counts())
 
     def counts(self) -> list[str]:
-        """Return what is left at the target, in words."""
-        counts = [f"calls in flight there: {_or_unknown(self.calls)}"]
+        """Return the remaining calls and partitions as text."""
+        counts = [f"calls in flight at the target: {_format_count(self.calls)}"]
         if self.target.kind is DrainKind.NODE:
-            counts.append(f"partitions led: {_or_unknown(self.partitions)}")
+            counts.append(f"partitions led: {_format_count(self.partitions)}")
         return counts
 
 
@@ -106,17 +109,17 @@
     """Marks an engine, node or application as leaving."""
 
     name = "drain"
-    description = "Gives an engine, node or application no new work."
+    description = "Stops sending new work to an engine, node or application."
     arguments: ClassVar[list[Argument]] = TARGET_ARGUMENTS
     extra_options: ClassVar[list[Option]] = [
-        option("wait", "w", "Show progress; return when nothing is left there.", flag=True),
+        option("wait", "w", "Show progress; return when the drain is complete.", flag=True),
         TIMEOUT_OPTION,
     ]
 
     async def run_with(self, client: OperatorClient) -> ExitCode:
-        """Write the drain document; with ``--wait`` watch until nothing is in flight."""
-        kind, name = _target(self)
-        target = DrainTarget(kind, name, await _mark(client, kind, name))
+        """Write the drain document; with ``--wait`` wait until the drain is complete."""
+        kind, name = _parse_target(self)
+        target = DrainTarget(kind, name, await _write_drain(client, kind, name))
         if not self.wants_json:
             self.show_lines([f"{kind}/{name} is marked as leaving, revision {target.revision}"])
         if not self.option("wait"):
@@ -133,7 +136,7 @@
 
         async def read() -> DrainState:
             progress = await client.read_progress(target.revision)
-            return DrainState(target, progress, await _partitions_of(client, target))
+            return DrainState(target, progress, await _count_led_partitions(client, target))
 
         return await poll_until(
             read,
@@ -169,16 +172,16 @@
 
 
 class UndrainCommand(ChangingCommand):
-    """Takes a drain back."""
+    """Ends a drain."""
 
     name = "undrain"
-    description = "Lets an engine, node or application take work again."
+    description = "Ends a drain, so that an engine, node or application receives work again."
     arguments: ClassVar[list[Argument]] = TARGET_ARGUMENTS
     extra_options: ClassVar[list[Option]] = [*WAIT_OPTIONS]
 
     async def run_with(self, client: OperatorClient) -> ExitCode:
         """Delete the drain document."""
-        kind, target = _target(self)
+        kind, target = _parse_target(self)
         name = drain_name(kind, target)
         document = await client.read_document(DocumentKind.DRAIN, name)
         if document is None:
@@ -192,16 +195,19 @@
     return f"{kind.value}-{target}"
 
 
-def _target(command: OperatorCommand) -> tuple[DrainKind, str]:
+def _parse_target(command: OperatorCommand) -> tuple[DrainKind, str]:
     try:
         kind = DrainKind(command.argument("target_kind"))
     except ValueError:
         kinds = ", ".join(kind.value for kind in DrainKind)
-        raise PasslaneError(ErrorCode.BAD_REQUEST, f"the kind is one of {kinds}") from None
+        raise PasslaneError(
+            ErrorCode.BAD_REQUEST,
+            f"target_kind must be one of {kinds}, not {command.argument('target_kind')!r}",
+        ) from None
     return kind, command.argument("target")
 
 
-async def _mark(client: OperatorClient, kind: DrainKind, target: str) -> Revision:
+async def _write_drain(client: OperatorClient, kind: DrainKind, target: str) -> Revision:
     name = drain_name(kind, target)
     current = await client.read_document(DocumentKind.DRAIN, name)
     if current is not None:
@@ -211,13 +217,13 @@
     return change.revision
 
 
-async def _partitions_of(client: OperatorClient, target: DrainTarget) -> int | None:
+async def _count_led_partitions(client: OperatorClient, target: DrainTarget) -> int | None:
     if target.kind is not DrainKind.NODE:
         return None
     status = await client.read_status()
-    led = (node.partitions for node in status.nodes if node.node_id == target.name)
-    return next(led, None)
+    partition_counts = (node.partitions for node in status.nodes if node.node_id == target.name)
+    return next(partition_counts, None)
 
 
-def _or_unknown(count: int | None) -> str:
+def _format_count(count: int | None) -> str:
     return "unknown" if count is None else str(count)
--- a/src/passlane/cli/exit_codes.py
+++ b/src/passlane/cli/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of ``passlane``; docs/operations/command-line.md lists them."""
+"""Exit codes of ``passlane`` and the error codes that lead to them."""
 
 import enum
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command's exit code says."""
+    """Outcome of a command, as its exit code."""
 
     OK = 0
     FAILED = 1
--- a/src/passlane/cli/log.py
+++ b/src/passlane/cli/log.py
@@ -1,4 +1,4 @@
-"""Command ``log``: the newest log lines of one process."""
+"""Command ``log``: prints the newest log lines of one process."""
 
 from typing import Any, ClassVar
 
@@ -26,20 +26,22 @@
         """Print the lines."""
         text = self.option("lines")
         if not text.isdecimal():
-            raise PasslaneError(ErrorCode.BAD_REQUEST, "--lines is a whole number")
+            raise PasslaneError(
+                ErrorCode.BAD_REQUEST, f"--lines must be a whole number, not {text!r}"
+            )
         lines = await client.read_log(int(text))
         if self.wants_json:
             self.show_json(lines)
         else:
-            self.show_lines([_log_line(line) for line in lines])
+            self.show_lines([_format_log_line(line) for line in lines])
         return ExitCode.OK
 
 
-def _log_line(line: dict[str, Any]) -> str:
-    """Return time (seconds of the process's clock), level, component, event, and the rest."""
-    rest = dict(line)
-    time_s = rest.pop("time_s", None)
+def _format_log_line(line: dict[str, Any]) -> str:
+    """Return time (seconds on the process's clock), level, component, event, other fields."""
+    fields = dict(line)
+    time_s = fields.pop("time_s", None)
     time = "-" if time_s is None else f"{time_s:.3f}"
-    words = [time, *(str(rest.pop(key, "-")) for key in ("level", "component", "event"))]
-    words += [f"{key}={value}" for key, value in rest.items()]
-    return " ".join(words)
+    parts = [time, *(str(fields.pop(key, "-")) for key in ("level", "component", "event"))]
+    parts += [f"{key}={value}" for key, value in fields.items()]
+    return " ".join(parts)
--- a/src/passlane/cli/main.py
+++ b/src/passlane/cli/main.py
@@ -1,4 +1,4 @@
-"""The command ``passlane``: the operators' client."""
+"""Entry point of the command ``passlane``, the operators' client."""
 
 import importlib.metadata
 import sys
@@ -70,16 +70,16 @@
     Parameters
     ----------
     arguments
-        Words after the program's name; by default those of the process.
+        Arguments after the program's name; by default those of the process.
     """
     application = build_application()
     application.auto_exits(False)
     application.catch_exceptions(False)
-    words = None if arguments is None else ArgvInput(["passlane", *arguments])
+    argv_input = None if arguments is None else ArgvInput(["passlane", *arguments])
     try:
-        return application.run(words)
+        return application.run(argv_input)
     except CleoError as error:
-        # An unknown command or option, a missing argument: nothing was tried.
+        # Unknown command or option, or missing argument: no command has run.
         print(f"passlane: {str(error).strip().rstrip('.')}; see 'passlane list'", file=sys.stderr)
         return int(ExitCode.USAGE)
 
--- a/src/passlane/cli/policies.py
+++ b/src/passlane/cli/policies.py
@@ -1,4 +1,4 @@
-"""Commands for policies: ``policy check``."""
+"""Command ``policy check``: validates policies without a server."""
 
 import importlib
 from pathlib import Path
@@ -20,7 +20,7 @@
 
 
 class PolicyProblems(msgspec.Struct, frozen=True):
-    """What is wrong with one policy; nothing if ``problems`` is empty."""
+    """Problems found in one policy; the policy is valid if ``problems`` is empty."""
 
     policy: str
     problems: tuple[str, ...]
@@ -33,11 +33,11 @@
     description = "Checks a policy's source, or the policies of a document file."
     arguments: ClassVar[list[Argument]] = [argument("file", "Starlark or document file.")]
     extra_options: ClassVar[list[Option]] = [
-        option("max-steps", None, "Steps a call may take (sources only).", flag=False)
+        option("max-steps", None, "Maximum steps of a call (only for a Starlark file).", flag=False)
     ]
 
     def execute_command(self) -> ExitCode:
-        """Check each policy and print what is wrong."""
+        """Check each policy and print its problems."""
         checking = importlib.import_module("passlane.policy.checking")
         policies = self._policies(Path(self.argument("file")))
         found = [
@@ -49,22 +49,22 @@
         if self.wants_json:
             self.show_json(found)
         else:
-            self.show_lines([line for entry in found for line in _describe(entry)])
+            self.show_lines([line for entry in found for line in _format_problems(entry)])
         return ExitCode.INVALID if any(entry.problems for entry in found) else ExitCode.OK
 
     def _policies(self, path: Path) -> list[tuple[str, PolicyBody]]:
         if path.suffix != DOCUMENT_SUFFIX:
-            return [(path.name, self._source_body(path))]
+            return [(path.name, self._read_source(path))]
         policies: list[tuple[str, PolicyBody]] = []
         for draft in load_document_files(path):
             body = parse_body(draft.kind, draft.body)
             if draft.kind is DocumentKind.POLICY and isinstance(body, PolicyBody):
                 policies.append((draft.name, body))
         if not policies:
-            raise PasslaneError(ErrorCode.INVALID_DOCUMENT, f"{path}: holds no policy")
+            raise PasslaneError(ErrorCode.INVALID_DOCUMENT, f"{path}: contains no policy document")
         return policies
 
-    def _source_body(self, path: Path) -> PolicyBody:
+    def _read_source(self, path: Path) -> PolicyBody:
         try:
             source = path.read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as error:
@@ -73,11 +73,14 @@
         if steps is None:
             return PolicyBody(source=source)
         if not steps.isdecimal() or int(steps) == 0:
-            raise PasslaneError(ErrorCode.BAD_REQUEST, "--max-steps is a whole number from 1")
+            raise PasslaneError(
+                ErrorCode.BAD_REQUEST,
+                f"--max-steps must be a whole number of at least 1, not {steps!r}",
+            )
         return PolicyBody(source=source, max_steps=int(steps))
 
 
-def _describe(entry: PolicyProblems) -> list[str]:
+def _format_problems(entry: PolicyProblems) -> list[str]:
     if not entry.problems:
         return [f"{entry.policy}: ok"]
     return [f"{entry.policy}: {problem}" for problem in entry.problems]
--- a/src/passlane/cli/policy_explain.py
+++ b/src/passlane/cli/policy_explain.py
@@ -1,4 +1,4 @@
-"""Command ``policy explain``: what a tenant's policy decides about a call and a program."""
+"""Command ``policy explain``: shows a tenant's policy decisions for a call and a program."""
 
 import importlib
 from collections.abc import Mapping
@@ -27,22 +27,22 @@
 from passlane.identifiers import ProgramId, TenantId
 from passlane.messages.common import Amounts
 
-EXPLAINED_PROGRAM = ProgramId("explained")
+PLACEHOLDER_PROGRAM_ID = ProgramId("explained")
 NUMBER_OPTIONS = {
     "sequence": "Number of the call in its program.",
     "prompt-tokens": "Tokens of the prompt.",
-    "max-tokens": "Most tokens to generate.",
-    "spent-tokens": "What the program has spent.",
-    "budget-tokens": "What the program may spend.",
+    "max-tokens": "Maximum tokens to generate.",
+    "spent-tokens": "Tokens that the program has spent.",
+    "budget-tokens": "Token budget of the program.",
 }
 
 
 class PolicyExplanation(msgspec.Struct, frozen=True):
-    """What governs a tenant and what it decides; ``policy`` is ``None`` if nothing does.
+    """Decisions of the policy of a tenant; ``policy`` is ``None`` if the tenant has none.
 
-    Class 0 is served first; ``weight`` shares within a class. ``budget``,
-    ``deadline_s`` and ``tool_pause_s`` are those of a new program that asks for nothing.
-    ``problems`` says where a default stands in for a policy that failed.
+    Class 0 has the highest priority; ``weight`` sets the share within a class.
+    ``budget``, ``deadline_s`` and ``tool_pause_s`` apply to a new program that requests
+    no values of its own. ``problems`` lists policy failures for which defaults are used.
     """
 
     tenant: str
@@ -57,15 +57,15 @@
 
 
 @dataclass
-class Documents:
-    """The tenant's documents, as the policies of a node take them (``PolicySource``)."""
+class TenantDocuments:
+    """The tenant's documents; implements the policies' ``PolicySource`` interface."""
 
     tenants: dict[TenantId, TenantBody] = field(default_factory=dict)
     services: dict[str, ServiceBody] = field(default_factory=dict)
     policies: dict[str, PolicyBody] = field(default_factory=dict)
 
     def add(self, name: str, body: DocumentBody) -> None:
-        """Take in one document; kinds that no policy needs are left out."""
+        """Add a document; ignore kinds that policies do not use."""
         match body:
             case TenantBody():
                 self.tenants[TenantId(name)] = body
@@ -76,15 +76,15 @@
 
 
 class PolicyExplainCommand(OperatorCommand):
-    """Explains what the policy that governs a tenant decides."""
+    """Explains the decisions of the policy that applies to a tenant."""
 
     name = "policy explain"
-    description = "Shows which policy governs a tenant and what it decides about a call."
+    description = "Shows the policy that applies to a tenant and its decisions for a call."
     arguments: ClassVar[list[Argument]] = [argument("tenant", "Name of the tenant.")]
     extra_options: ClassVar[list[Option]] = [
-        option("file", "f", "Document file to explain instead of what is recorded.", flag=False),
+        option("file", "f", "Document file to use instead of the recorded documents.", flag=False),
         option("model", None, "Model of the call.", flag=False, default="agent"),
-        option("sub-agent", None, "The program was started by another.", flag=True),
+        option("sub-agent", None, "The program was started by another program.", flag=True),
         *(
             option(name, None, text, flag=False, default="0")
             for name, text in NUMBER_OPTIONS.items()
@@ -92,41 +92,43 @@
     ]
 
     def execute_command(self) -> ExitCode:
-        """Explain a file's documents without a server, or else the recorded ones."""
+        """Use the documents of a file without a server, or else the recorded ones."""
         path = self.option("file")
         if path is None:
             return super().execute_command()
-        documents = Documents()
+        documents = TenantDocuments()
         for draft in load_document_files(Path(path)):
             documents.add(draft.name, parse_body(draft.kind, draft.body))
         return self._explain(documents)
 
     async def run_with(self, client: OperatorClient) -> ExitCode:
         """Read the tenant, its service and its policy, in their newest versions."""
-        documents = Documents()
-        tenant = await _read(client, documents, DocumentKind.TENANT, self.argument("tenant"))
+        documents = TenantDocuments()
+        tenant = await _fetch_document(
+            client, documents, DocumentKind.TENANT, self.argument("tenant")
+        )
         if isinstance(tenant, TenantBody):
-            service = await _read(client, documents, DocumentKind.SERVICE, tenant.service)
+            service = await _fetch_document(client, documents, DocumentKind.SERVICE, tenant.service)
             if isinstance(service, ServiceBody) and service.policy is not None:
-                await _read(client, documents, DocumentKind.POLICY, service.policy)
+                await _fetch_document(client, documents, DocumentKind.POLICY, service.policy)
         return self._explain(documents)
 
-    def _explain(self, documents: Documents) -> ExitCode:
+    def _explain(self, documents: TenantDocuments) -> ExitCode:
         tenant_id = TenantId(self.argument("tenant"))
         tenant = documents.tenants.get(tenant_id)
         if tenant is None:
             raise PasslaneError(ErrorCode.NOT_FOUND, f"there is no tenant {tenant_id!r}")
         service = documents.services.get(tenant.service)
-        explanation = self._decide(documents, tenant_id, tenant, service)
+        explanation = self._evaluate(documents, tenant_id, tenant, service)
         if self.wants_json:
             self.show_json(explanation)
         else:
-            self.show_lines(_describe(explanation))
+            self.show_lines(_format_explanation(explanation))
         return ExitCode.INVALID if explanation.problems else ExitCode.OK
 
-    def _decide(
+    def _evaluate(
         self,
-        documents: Documents,
+        documents: TenantDocuments,
         tenant_id: TenantId,
         tenant: TenantBody,
         service: ServiceBody | None,
@@ -138,15 +140,15 @@
         call = governor.classify(
             facts.CallFacts(
                 tenant=tenant_id,
-                program=EXPLAINED_PROGRAM,
+                program=PLACEHOLDER_PROGRAM_ID,
                 model=self.option("model"),
                 is_sub_agent=is_sub_agent,
-                **self._numbers(),
+                **self._parse_numbers(),
             )
         )
         program = governor.budget(
             facts.ProgramFacts(
-                tenant=tenant_id, program=EXPLAINED_PROGRAM, is_sub_agent=is_sub_agent
+                tenant=tenant_id, program=PLACEHOLDER_PROGRAM_ID, is_sub_agent=is_sub_agent
             ),
             None,
         )
@@ -159,21 +161,23 @@
             budget=program.budget,
             deadline_s=program.deadline_s,
             tool_pause_s=program.tool_pause_s,
-            problems=_problems(governor, tenant, service, documents.policies),
+            problems=_collect_problems(governor, tenant, service, documents.policies),
         )
 
-    def _numbers(self) -> dict[str, int]:
+    def _parse_numbers(self) -> dict[str, int]:
         numbers: dict[str, int] = {}
         for name in NUMBER_OPTIONS:
             text = self.option(name)
             if not text.isdecimal():
-                raise PasslaneError(ErrorCode.BAD_REQUEST, f"--{name} is a whole number from 0")
+                raise PasslaneError(
+                    ErrorCode.BAD_REQUEST, f"--{name} must be a whole number, not {text!r}"
+                )
             numbers[name.replace("-", "_")] = int(text)
         return numbers
 
 
-async def _read(
-    client: OperatorClient, documents: Documents, kind: DocumentKind, name: str
+async def _fetch_document(
+    client: OperatorClient, documents: TenantDocuments, kind: DocumentKind, name: str
 ) -> DocumentBody | None:
     """Add the newest version of a document, if there is one, and return its body."""
     view = await client.read_document(kind, name)
@@ -184,7 +188,7 @@
     return body
 
 
-def _problems(
+def _collect_problems(
     governor: Any,
     tenant: TenantBody,
     service: ServiceBody | None,
@@ -197,19 +201,19 @@
     return tuple(f"{report.policy}: {report.message}" for report in governor.take_problems())
 
 
-def _describe(explanation: PolicyExplanation) -> list[str]:
+def _format_explanation(explanation: PolicyExplanation) -> list[str]:
     policy = explanation.policy
-    governed = "no policy: defaults hold" if policy is None else f"policy {policy}"
+    policy_text = "no policy: defaults hold" if policy is None else f"policy {policy}"
     budget = explanation.budget
     lines = [
-        f"tenant {explanation.tenant}, service {explanation.service}, {governed}",
+        f"tenant {explanation.tenant}, service {explanation.service}, {policy_text}",
         f"call: class {explanation.service_class}, weight {explanation.weight:g}",
         f"new program: {budget.tokens} tokens, {budget.calls} calls, "
-        f"{budget.money_micros} money_micros, deadline {_seconds(explanation.deadline_s)}, "
-        f"tool pause {_seconds(explanation.tool_pause_s)}",
+        f"{budget.money_micros} money_micros, deadline {_format_seconds(explanation.deadline_s)}, "
+        f"tool pause {_format_seconds(explanation.tool_pause_s)}",
     ]
     return lines + [f"problem: {problem}" for problem in explanation.problems]
 
 
-def _seconds(value: float | None) -> str:
+def _format_seconds(value: float | None) -> str:
     return "not set" if value is None else f"{value:g} s"
--- a/src/passlane/cli/programs.py
+++ b/src/passlane/cli/programs.py
@@ -1,4 +1,4 @@
-"""Commands ``programs list``, ``programs show`` and ``programs explain``."""
+"""Commands that list, show and explain programs."""
 
 from typing import Any, ClassVar
 
@@ -62,8 +62,8 @@
         lines = [
             f"program {record.program_id} of {record.tenant_id}, {record.state.value}, "
             f"partition {record.partition}",
-            f"spent {_amounts(record.spent)}; reserved {_amounts(record.reserved)}; "
-            f"budget {_amounts(record.budget)}",
+            f"spent {_format_amounts(record.spent)}; reserved {_format_amounts(record.reserved)}; "
+            f"budget {_format_amounts(record.budget)}",
         ]
         for call in record.calls:
             verdict = "" if call.outcome is None else f", {call.outcome.verdict.value}"
@@ -80,7 +80,7 @@
     """Explains a program's last model call."""
 
     name = "programs explain"
-    description = "Says why a program's last model call ran where it did, and by which policy."
+    description = "Explains the placement of a program's last model call and the policy applied."
     arguments: ClassVar[list[Argument]] = [argument("program", "Program id.")]
 
     async def run_with(self, client: OperatorClient) -> ExitCode:
@@ -100,6 +100,6 @@
         return ExitCode.OK
 
 
-def _amounts(amounts: msgspec.Struct) -> str:
+def _format_amounts(amounts: msgspec.Struct) -> str:
     parts: dict[str, Any] = msgspec.structs.asdict(amounts)
     return ", ".join(f"{value} {name}" for name, value in parts.items())
--- a/src/passlane/cli/proofs.py
+++ b/src/passlane/cli/proofs.py
@@ -1,7 +1,6 @@
-"""Commands that prove and measure: ``sim``, ``trace replay`` and ``bench run``.
+"""Commands for simulation and benchmarks: ``sim``, ``trace replay`` and ``bench``.
 
-The packages behind them are imported only when they are asked for, so that the other
-commands start quickly.
+Their packages are imported when a command runs, so that other commands start quickly.
 """
 
 import importlib
@@ -22,24 +21,30 @@
 from passlane.errors import ErrorCode, PasslaneError
 
 DEFAULT_SEEDS = "0-9"
-_SEEDS = re.compile(r"^(\d+)(?:-(\d+))?$")
+_SEEDS_PATTERN = re.compile(r"^(\d+)(?:-(\d+))?$")
 
 
 class SimulationRunCommand(RunningCommand):
     """Runs scenarios on a virtual clock."""
 
     name = "sim run"
-    description = "Runs a scenario, or all, with many seeds; exit code 1 if a promise broke."
+    description = "Runs a scenario, or all, with many seeds; exit code 1 if a promise is broken."
     extra_options: ClassVar[list[Option]] = [
         option("scenario", None, "Name of a scenario, or all.", flag=False, default="all"),
-        option("seeds", None, "First and last seed, as A-B.", flag=False, default=DEFAULT_SEEDS),
-        option("defect", None, "A deliberate fault that must be caught.", flag=False),
-        option("jobs", None, "Processes to spread the runs over.", flag=False, default="1"),
+        option(
+            "seeds",
+            None,
+            "First and last seed, as A-B, or one seed.",
+            flag=False,
+            default=DEFAULT_SEEDS,
+        ),
+        option("defect", None, "Injected defect that the checks must detect.", flag=False),
+        option("jobs", None, "Number of processes that run in parallel.", flag=False, default="1"),
     ]
 
     def execute_command(self) -> ExitCode:
         """Run the scenarios."""
-        simulation = _load("passlane.simulation.cli")
+        simulation = _import("passlane.simulation.cli")
         seeds = parse_seeds(self.option("seeds"))
         jobs = parse_jobs(self.option("jobs"))
         return self.run_and_report(
@@ -51,11 +56,13 @@
     """Lists scenarios."""
 
     name = "sim list"
-    description = "Lists the scenarios: the promise and the failure that each provokes."
+    description = (
+        "Lists the scenarios with the promise that each checks and the failure it injects."
+    )
 
     def execute_command(self) -> ExitCode:
         """Print the scenarios."""
-        listing = _load("passlane.simulation.cli").list_scenarios()
+        listing = _import("passlane.simulation.cli").list_scenarios()
         if self.wants_json:
             self.show_json(listing)
         else:
@@ -64,18 +71,18 @@
 
 
 class SimulationDefectsCommand(RunningCommand):
-    """Checks that deliberate faults are noticed."""
+    """Checks that injected defects are detected."""
 
     name = "sim defects"
-    description = "Runs each deliberate fault; exit code 1 if one was not noticed."
+    description = "Runs with each injected defect; exit code 1 if one is not detected."
     extra_options: ClassVar[list[Option]] = [
-        option("jobs", None, "Processes to spread the runs over.", flag=False, default="1"),
+        option("jobs", None, "Number of processes that run in parallel.", flag=False, default="1"),
     ]
 
     def execute_command(self) -> ExitCode:
-        """Run the defects."""
+        """Run the scenarios with each defect."""
         jobs = parse_jobs(self.option("jobs"))
-        simulation = _load("passlane.simulation.cli")
+        simulation = _import("passlane.simulation.cli")
         return self.run_and_report(lambda: int(simulation.check_defects(jobs)))
 
 
@@ -83,10 +90,10 @@
     """Replays recorded traces."""
 
     name = "trace replay"
-    description = "Replays traces and compares the outcomes with those stated in them."
+    description = "Replays traces and compares the outcomes with those recorded in them."
     arguments: ClassVar[list[Argument]] = [argument("files", "Trace files.", multiple=True)]
     extra_options: ClassVar[list[Option]] = [
-        option("fleet", None, "Folder with the fleet's settings files.", flag=False),
+        option("fleet", None, "Folder with the settings files of the fleet.", flag=False),
     ]
 
     def execute_command(self) -> ExitCode:
@@ -99,7 +106,7 @@
         folder = None if fleet is None else Path(fleet)
         if folder is not None and not folder.is_dir():
             raise PasslaneError(ErrorCode.NOT_FOUND, f"no such folder: {folder}")
-        replay = _load("passlane.simulation.trace_replay")
+        replay = _import("passlane.simulation.trace_replay")
         return self.run_and_report(lambda: int(replay.replay_files(paths, folder)))
 
 
@@ -115,13 +122,13 @@
 
     def execute_command(self) -> ExitCode:
         """Run the experiment."""
-        bench = _load("passlane.bench.cli")
+        bench = _import("passlane.bench.cli")
         with tempfile.TemporaryDirectory(prefix="passlane-bench-") as scratch:
             folder = self.option("report") or (scratch if self.wants_json else None)
-            began_ns = time.time_ns()
+            started_ns = time.time_ns()
             return self.run_and_report(
                 lambda: int(bench.run(self.argument("experiment"), folder)),
-                lambda: _json_files_since(Path(folder or scratch), began_ns),
+                lambda: _json_files_since(Path(folder or scratch), started_ns),
             )
 
 
@@ -134,38 +141,44 @@
     def execute_command(self) -> ExitCode:
         """Print the experiments."""
         if self.wants_json:
-            experiments = _load("passlane.bench.registry").EXPERIMENTS
+            experiments = _import("passlane.bench.registry").EXPERIMENTS
             self.show_json({item.name: item.summary for item in experiments})
             return ExitCode.OK
-        return exit_code_of_run(_load("passlane.bench.cli").list_experiments())
+        return exit_code_of_run(_import("passlane.bench.cli").list_experiments())
 
 
 def parse_seeds(text: str) -> range:
-    """Return the seeds that ``A-B`` or ``A`` stands for, both ends included."""
-    match = _SEEDS.match(text)
+    """Return the seeds of ``A-B`` or ``A``, both ends included."""
+    match = _SEEDS_PATTERN.match(text)
     if match is None:
-        raise PasslaneError(ErrorCode.BAD_REQUEST, "--seeds is A-B, two whole numbers")
+        raise PasslaneError(
+            ErrorCode.BAD_REQUEST, f"--seeds must be A-B or A, whole numbers, not {text!r}"
+        )
     first = int(match.group(1))
     last = int(match.group(2) or first)
     if last < first:
-        raise PasslaneError(ErrorCode.BAD_REQUEST, "--seeds: the last is below the first")
+        raise PasslaneError(
+            ErrorCode.BAD_REQUEST, f"--seeds: last seed {last} is below first seed {first}"
+        )
     return range(first, last + 1)
 
 
 def parse_jobs(text: str) -> int:
-    """Return a number of processes, at least 1."""
+    """Return the number of processes; raise ``BAD_REQUEST`` unless it is at least 1."""
     if not text.isdecimal() or int(text) < 1:
-        raise PasslaneError(ErrorCode.BAD_REQUEST, "--jobs is a whole number from 1")
+        raise PasslaneError(
+            ErrorCode.BAD_REQUEST, f"--jobs must be a whole number of at least 1, not {text!r}"
+        )
     return int(text)
 
 
-def _load(module: str) -> Any:
+def _import(module: str) -> Any:
     return importlib.import_module(module)
 
 
-def _json_files_since(folder: Path, began_ns: int) -> dict[str, msgspec.Raw]:
-    """Return the JSON files of a folder that were written since a time (ns of the epoch)."""
+def _json_files_since(folder: Path, started_ns: int) -> dict[str, msgspec.Raw]:
+    """Return the JSON files of a folder modified since a time (ns since the Unix epoch)."""
     if not folder.is_dir():
         return {}
-    fresh = [path for path in folder.glob("*.json") if path.stat().st_mtime_ns >= began_ns]
-    return {path.name: msgspec.Raw(path.read_bytes()) for path in sorted(fresh)}
+    modified = [path for path in folder.glob("*.json") if path.stat().st_mtime_ns >= started_ns]
+    return {path.name: msgspec.Raw(path.read_bytes()) for path in sorted(modified)}
