--- a/src/passlane/cli/running.py
+++ b/src/passlane/cli/running.py
@@ -1,4 +1,4 @@
-"""Base class of the commands that run something long which prints as it goes."""
+"""Base class of long-running commands that print while they run."""
 
 import contextlib
 import io
@@ -22,9 +22,9 @@
     passed
         Whether the run ended with exit code 0.
     lines
-        What it printed; also shown on the error stream while it goes on.
+        Lines that the run printed; also written to stderr while it runs.
     results
-        JSON files that it wrote, by their names.
+        JSON files that the run wrote, by file name.
     """
 
     passed: bool
@@ -33,12 +33,12 @@
 
 
 class LineCollector(io.TextIOBase):
-    """Keeps the text that is printed and passes it on.
+    """Text stream that keeps what is written and forwards it.
 
     Parameters
     ----------
     destination
-        Shows the text meanwhile.
+        Stream that receives the text as it is written.
     """
 
     def __init__(self, destination: TextIO) -> None:
@@ -47,35 +47,35 @@
         self._parts: list[str] = []
 
     def write(self, text: str) -> int:
-        """Take in a piece of text."""
+        """Keep and forward ``text``; return the number of characters written."""
         self._parts.append(text)
         return self._destination.write(text)
 
     def flush(self) -> None:
-        """Show what was printed so far."""
+        """Flush the destination."""
         self._destination.flush()
 
     def lines(self) -> tuple[str, ...]:
-        """Return all lines so far."""
+        """Return all lines written so far."""
         return tuple("".join(self._parts).splitlines())
 
 
 class RunningCommand(OutputCommand):
-    """Prints what the run prints, or with ``--output json`` one report at its end."""
+    """A command that prints the output of a run, or one report with ``--output json``."""
 
     def run_and_report(
         self,
         action: Callable[[], int],
         read_results: Callable[[], Mapping[str, msgspec.Raw]] = dict,
     ) -> ExitCode:
-        """Run ``action`` and return the exit code that its own code stands for.
+        """Run ``action`` and map its return value to an exit code.
 
         Parameters
         ----------
         action
-            Prints text and returns 0, 1 for a failure or 2 for an unknown name.
+            Prints text and returns 0 for success, 1 for a failure or 2 for an unknown name.
         read_results
-            Returns the JSON files that the action wrote; asked once it has ended.
+            Returns the JSON files that the action wrote; called after the action.
         """
         if not self.wants_json:
             return exit_code_of_run(action())
@@ -87,5 +87,5 @@
 
 
 def exit_code_of_run(code: int) -> ExitCode:
-    """Return the exit code of the command line for that of a run."""
+    """Map the return value of a run to an exit code of the command line."""
     return _EXIT_CODES.get(code, ExitCode.FAILED)
--- a/src/passlane/cli/soak.py
+++ b/src/passlane/cli/soak.py
@@ -1,4 +1,4 @@
-"""Command ``soak``: the daemons of the relayed path as processes, under faults."""
+"""Command ``soak``: runs the daemons of the relayed path as processes under faults."""
 
 import importlib
 from pathlib import Path
@@ -11,21 +11,27 @@
 from passlane.cli.running import RunningCommand
 from passlane.errors import ErrorCode, PasslaneError
 
-DEFAULT_SECONDS = "20"
+DEFAULT_DURATION_S = "20"
 
 
 class SoakCommand(RunningCommand):
-    """Runs real processes under load and faults, and checks the promises from outside."""
+    """Runs real processes under load and faults and checks the promises from outside."""
 
     name = "soak"
-    description = "Runs real processes under load and faults; exit code 1 if a promise broke."
+    description = "Runs real processes under load and faults; exit code 1 if a promise is broken."
     extra_options: ClassVar[list[Option]] = [
-        option("seed", None, "Seed of load and faults.", flag=False, default="0"),
-        option("seconds", None, "How long new load begins.", flag=False, default=DEFAULT_SECONDS),
+        option("seed", None, "Random seed of load and faults.", flag=False, default="0"),
+        option(
+            "seconds",
+            None,
+            "Seconds during which new load starts.",
+            flag=False,
+            default=DEFAULT_DURATION_S,
+        ),
         option(
             "older",
             None,
-            "Checkout with an older build installed: every second process begins with it.",
+            "Checkout with an older build installed; every second process starts with it.",
             flag=False,
         ),
         option("profile", None, "Kind of soak: usual, overlapping or large.", flag=False),
@@ -34,8 +40,8 @@
 
     def execute_command(self) -> ExitCode:
         """Run the soak."""
-        seed = _whole_number("seed", self.option("seed"))
-        seconds = _whole_number("seconds", self.option("seconds"))
+        seed = _parse_whole_number("seed", self.option("seed"))
+        seconds = _parse_whole_number("seconds", self.option("seconds"))
         report = self.option("report")
         folder = None if report is None else Path(report).resolve()
         if folder is not None and folder.exists() and any(folder.iterdir()):
@@ -49,8 +55,8 @@
         )
 
 
-def _whole_number(name: str, text: str) -> int:
-    """Return the number that an option holds."""
+def _parse_whole_number(name: str, text: str) -> int:
+    """Return the value of an option as a whole number; raise ``BAD_REQUEST`` otherwise."""
     if not text.isdecimal():
-        raise PasslaneError(ErrorCode.BAD_REQUEST, f"--{name} is a whole number from 0")
+        raise PasslaneError(ErrorCode.BAD_REQUEST, f"--{name} must be a whole number, not {text!r}")
     return int(text)
--- a/src/passlane/cli/status.py
+++ b/src/passlane/cli/status.py
@@ -1,4 +1,4 @@
-"""Command ``status``: what the control group and the server's region say of themselves."""
+"""Command ``status``: shows the state of the control group and the server's region."""
 
 from collections.abc import Iterator
 
@@ -12,19 +12,19 @@
 REGION_HEADER = ("REGION", "NODES", "PREPARED", "IN FORCE", "LAST REPORT")
 NODE_HEADER = ("NODE", "ZONE", "STATE", "PARTITIONS", "PREPARED", "IN FORCE")
 UNKNOWN_TERM = 0
-"""Term that the status shows when the control group did not answer."""
+"""Term in the status if the control group did not respond."""
 
 PENDING_HEADER = ("PENDING", "DOCUMENT", "CHANGE")
 
 
 class StatusCommand(OperatorCommand):
-    """Shows the state of the whole."""
+    """Shows the state of the control group and the server's region."""
 
     name = "status"
     description = "Shows regions, nodes, leaders, partitions and pending changes."
 
     async def run_with(self, client: OperatorClient) -> ExitCode:
-        """Print the status; a group that did not answer gives the exit code 6."""
+        """Print the status; return ``UNAVAILABLE`` if a group did not respond."""
         status = await client.read_status()
         if self.wants_json:
             self.show_json(status)
@@ -38,7 +38,9 @@
             rows = [_region_row(region) for region in status.regions]
             self.show_lines([""])
             self.show_table(REGION_HEADER, rows)
-            self.show_lines([line for region in status.regions for line in _laggards(region)])
+            self.show_lines(
+                [line for region in status.regions for line in _describe_lagging_nodes(region)]
+            )
         if status.nodes:
             self.show_lines([""])
             self.show_table(NODE_HEADER, [_node_row(node) for node in status.nodes])
@@ -63,7 +65,7 @@
     yield f"control group: leader {leader or 'unknown'}, term {status.control_term}, of {members}"
     yield f"store group of the region: {', '.join(map(str, status.store_members))}"
     if status.control_term == UNKNOWN_TERM:
-        yield "configuration: unknown, the control group did not answer"
+        yield "configuration: unknown, the control group did not respond"
         return
     yield (
         f"configuration: newest revision {status.newest_revision}, "
@@ -82,7 +84,7 @@
     )
 
 
-def _laggards(region: RegionProgress) -> Iterator[str]:
+def _describe_lagging_nodes(region: RegionProgress) -> Iterator[str]:
     for member in region.laggards:
         yield (
             f"behind in {region.region}: node {member.node_id}, "
--- a/src/passlane/cli/waiting.py
+++ b/src/passlane/cli/waiting.py
@@ -1,4 +1,7 @@
-"""Waits until a change is in force everywhere, and says who is not there yet."""
+"""Waits until a change is in force everywhere and describes its progress.
+
+The description names the regions and nodes where the change is not in force yet.
+"""
 
 from collections.abc import Awaitable, Callable
 from typing import TypeVar
@@ -18,13 +21,15 @@
 
 
 def parse_timeout(text: str) -> float:
-    """Return the seconds that an option gives; raise ``BAD_REQUEST`` otherwise."""
+    """Return the value of ``--timeout`` in seconds; raise ``BAD_REQUEST`` if invalid."""
     try:
         timeout_s = float(text)
     except ValueError:
         timeout_s = -1.0
     if not 0 < timeout_s < float("inf"):
-        raise PasslaneError(ErrorCode.BAD_REQUEST, "--timeout is a number of seconds above 0")
+        raise PasslaneError(
+            ErrorCode.BAD_REQUEST, f"--timeout must be a positive number of seconds, not {text!r}"
+        )
     return timeout_s
 
 
@@ -34,15 +39,15 @@
     timeout_s: float,
     on_state: Callable[[State], None] | None = None,
 ) -> State | None:
-    """Read a state again and again until ``is_done``; return the last one that was read.
+    """Poll a state until ``is_done`` or the timeout; return the last state received.
 
-    ``None`` when no server told the state in that time. A server that does not answer
-    for a while does not end the wait; the change may still be coming through.
+    Returns ``None`` if no server reported the state before the timeout. Unavailable
+    servers do not end the wait, because the change may still come into force.
 
     Parameters
     ----------
     on_state
-        Told each state that was read.
+        Called with each state received.
     """
     state: State | None = None
     with anyio.move_on_after(timeout_s):
@@ -68,7 +73,7 @@
     is_done: Callable[[Progress], bool],
     on_state: Callable[[Progress], None] | None = None,
 ) -> Progress | None:
-    """Return the progress of ``revision`` once ``is_done``, or the last at the time-out."""
+    """Return the progress of ``revision`` once ``is_done``, or the last one at the timeout."""
 
     async def read() -> Progress:
         return await client.read_progress(revision)
@@ -77,7 +82,7 @@
 
 
 class ChangePrinter:
-    """Prints a line when it differs from the one before.
+    """Prints a line if it differs from the previous one.
 
     Parameters
     ----------
@@ -87,12 +92,12 @@
 
     def __init__(self, show: Callable[[str], None]) -> None:
         self._show = show
-        self._last = ""
+        self._last_line = ""
 
     def print(self, line: str) -> None:
-        """Print ``line`` unless it was the last one printed."""
-        if line != self._last:
-            self._last = line
+        """Print ``line`` unless it equals the last line printed."""
+        if line != self._last_line:
+            self._last_line = line
             self._show(line)
 
 
@@ -102,15 +107,20 @@
 
 
 def summarize_progress(progress: Progress, revision: Revision) -> str:
-    """Return one line on how far ``revision`` is, without times, for printing on change."""
+    """Return a one-line summary of the progress of ``revision``, to be printed when it changes.
+
+    It contains no times, which would change it with each poll.
+    """
     state = "accepted" if progress.accepted_revision >= revision else "pending"
-    waiting = [region for region in progress.regions if region.revision_in_force < revision]
-    if not waiting:
+    lagging_regions = [region for region in progress.regions if region.revision_in_force < revision]
+    if not lagging_regions:
         return f"revision {revision} {state}"
-    return f"revision {revision} {state}; waiting for " + ", ".join(map(_summary_of, waiting))
+    return f"revision {revision} {state}; waiting for " + ", ".join(
+        map(_summarize_region, lagging_regions)
+    )
 
 
-def _summary_of(region: RegionProgress) -> str:
+def _summarize_region(region: RegionProgress) -> str:
     if region.report_age_s is None:
         return f"region {region.region} (has not reported)"
     return (
@@ -120,13 +130,13 @@
 
 
 def describe_progress(progress: Progress | None, revision: Revision) -> list[str]:
-    """Return lines that say what is in force where, and who holds the change up."""
+    """Return lines that show what is in force in each region and which nodes lag behind."""
     if progress is None:
-        return [f"revision {revision}: no server told how far it is"]
+        return [f"revision {revision}: no server reported its progress"]
     if progress.in_force_everywhere:
         return [f"revision {revision} is in force everywhere"]
     state = "accepted" if progress.accepted_revision >= revision else "pending"
-    lines = [f"revision {revision} is {state}, not in force everywhere yet; not there:"]
+    lines = [f"revision {revision} is {state}, not in force everywhere yet; lagging:"]
     for region in progress.regions:
         if region.revision_in_force < revision:
             lines += _describe_region(region, revision)
