--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -1,4 +1,4 @@
-"""The command line: exit codes, output, and what stands in document files."""
+"""The command line: exit codes, output and the validation of document files."""
 
 import contextlib
 import io
@@ -45,7 +45,7 @@
 
 
 class SingleReplica:
-    """A group of one that applies commands at once; also the client for it."""
+    """A control group of one replica that applies commands immediately, and its client."""
 
     is_leader = True
     leader_address = HERE
@@ -95,7 +95,7 @@
     def apply(self, extra=""):
         return self.run_command(ApplyCommand, f"-f {self.file} {extra}")
 
-    def test_apply_puts_documents_in_an_order_in_which_references_exist(self):
+    def test_apply_submits_referenced_documents_first(self):
         self.write(DOCUMENTS)
         code, output = self.apply()
         self.assertEqual(code, ExitCode.OK, output)
@@ -104,7 +104,7 @@
         self.assertEqual((code, output.count("unchanged")), (ExitCode.OK, 2))
         self.assertEqual(self.group.machine.ledger.held_revision, 2)
 
-    def test_apply_based_on_an_old_version_is_a_conflict(self):
+    def test_apply_with_a_stale_version_is_a_conflict(self):
         self.write(DOCUMENTS)
         self.apply()
         self.write('kind = "policy"\nname = "fair"\nversion = 1\nsource = "2"')
@@ -114,7 +114,7 @@
         self.assertEqual(code, ExitCode.CONFLICT)
         self.assertEqual(msgspec.json.decode(output)["code"], "version_conflict")
 
-    def test_errors_in_files_name_file_place_and_key(self):
+    def test_errors_in_files_name_the_file_document_and_key(self):
         cases = {
             'kind = "engine"\nname = "e"\naddress = "x"\nzone = "z"\nmodels = []': "address",
             'kind = "policy"\nname = "p"\nsource = "1"\nmax_steps = 0': "max_steps",
@@ -137,7 +137,7 @@
                 self.assertIn(expected, output)
         self.assertEqual(self.group.machine.ledger.held_revision, 0)
 
-    def test_withdraw_only_while_pending(self):
+    def test_withdraw_requires_a_pending_change(self):
         self.write(DOCUMENTS)
         self.apply()
         self.assertEqual(self.run_command(WithdrawCommand, "2")[0], ExitCode.OK)
@@ -146,7 +146,7 @@
         self.assertEqual(self.run_command(WithdrawCommand, "1")[0], ExitCode.CONFLICT)
         self.assertEqual(self.run_command(DeleteCommand, "policy fair")[0], ExitCode.OK)
 
-    def test_drain_waits_for_what_is_in_force_and_undrain_takes_it_back(self):
+    def test_drain_waits_until_in_force_and_undrain_ends_it(self):
         code, output = self.run_command(DrainCommand, "node node-1 --wait --timeout 0.01")
         self.assertEqual(code, ExitCode.NOT_YET)
         self.assertIn("region north: has not reported", output)
@@ -167,7 +167,7 @@
         )
         anyio.run(self.group.service.receive_report, report)
 
-    def test_drain_is_done_only_when_nothing_is_in_flight_there(self):
+    def test_drain_is_done_only_when_no_call_is_in_flight(self):
         self.write('kind = "engine"\nname = "e"\naddress = "127.0.0.1:1"\nzone = "z"\nmodels = []')
         self.apply()
         self.run_command(DrainCommand, "engine e")
@@ -179,7 +179,7 @@
             self.assertEqual(found, code, output)
             self.assertEqual(msgspec.json.decode(output)["calls_in_flight"], calls)
 
-    def test_many_documents_of_a_kind_are_compared_with_one_request(self):
+    def test_many_documents_of_a_kind_are_read_with_one_request(self):
         text = '[[document]]\nkind = "policy"\nname = "p{}"\nsource = "{}"\n'
         self.write("".join(text.format(number, 1) for number in range(50)))
         self.apply()
@@ -190,7 +190,7 @@
         self.assertEqual((output.count("unchanged"), output.count(" changed")), (49, 1))
         self.assertEqual(self.http.requests, 2)
 
-    def test_apply_says_what_was_recorded_before_it_stopped(self):
+    def test_apply_reports_documents_recorded_before_a_failure(self):
         self.write(DOCUMENTS.replace('policy = "fair"', 'policy = "missing"'))
         code, output = self.apply()
         self.assertEqual(code, ExitCode.INVALID)
@@ -200,7 +200,7 @@
         self.assertEqual((report["failed"], report["code"]), ("service/tutor", "invalid_document"))
         self.assertEqual([entry["result"] for entry in report["documents"]], ["unchanged"])
 
-    def test_explain_shows_what_the_policy_decides(self):
+    def test_explain_shows_the_decisions_of_the_policy(self):
         source = "def classify(call):\n    return {'class': 0, 'weight': call['sequence'] + 1.0}\n"
         self.write(
             DOCUMENTS + '[[document]]\nkind = "tenant"\nname = "t"\nservice = "tutor"', source
@@ -216,13 +216,13 @@
             self.run_command(PolicyExplainCommand, "t --sequence x")[0], ExitCode.USAGE
         )
 
-    def test_words_that_no_command_takes_are_a_usage_error(self):
+    def test_invalid_arguments_are_a_usage_error(self):
         cases = ("nonsense", "delete policy", "get --nonsense", "apply", "status --output xml")
         for words in cases:
             with self.subTest(words=words), contextlib.redirect_stderr(io.StringIO()):
                 self.assertEqual(main([*words.split(), *CONNECTION.split()]), ExitCode.USAGE)
 
-    def test_no_option_of_a_command_hides_one_that_all_commands_have(self):
+    def test_no_option_of_a_command_shadows_a_common_option(self):
         application = build_application()
         common = {option.name for option in application.definition.options}
         for command in application.all().values():
@@ -230,7 +230,7 @@
                 own = {option.name for option in command.definition.options}
                 self.assertEqual(own & common, set())
 
-    def test_runs_report_one_json_value_and_keep_their_lines(self):
+    def test_runs_report_one_json_value_with_the_printed_lines(self):
         code, report = self.run_json("trace", "replay", __file__)
         self.assertEqual((code, report["passed"]), (ExitCode.FAILED, False))
         self.assertIn(__file__, report["lines"][0])
@@ -252,7 +252,7 @@
         for code in ExitCode:
             self.assertIn(f"| {code.value} | `{code.name}` |", page.read_text())
 
-    def test_what_does_not_answer_has_a_code_of_its_own(self):
+    def test_unavailable_groups_have_their_own_exit_code(self):
         code, output = self.run_command(StatusCommand)
         self.assertEqual(code, ExitCode.UNAVAILABLE)
         self.assertIn("no leader of the store group answered", output)
@@ -264,7 +264,7 @@
                 with self.subTest(command=command.name):
                     self.assertTrue(command.definition.has_option("output"))
 
-    def test_options_go_before_variables(self):
+    def test_options_take_precedence_over_variables(self):
         variables = {"PASSLANE_SERVER": "10.0.0.1:1,10.0.0.2:2", "PASSLANE_TOKEN": "t"}
         target = find_target(ConnectionOptions(token="mine"), variables)
         self.assertEqual((len(target.servers), target.token), (2, "mine"))
@@ -272,7 +272,7 @@
             with self.assertRaises(PasslaneError):
                 find_target(options, {})
 
-    def test_seeds_are_a_range_with_both_ends(self):
+    def test_seeds_include_both_ends(self):
         self.assertEqual(parse_seeds("3-5"), range(3, 6))
         for text in ("5-3", "a-b", "-1"):
             with self.assertRaises(PasslaneError):
