--- a/src/passlane/cli/client.py
+++ b/src/passlane/cli/client.py
@@ -123,7 +123,7 @@
             except (HttpConnectionError, TimeoutError) as error:
                 if not isinstance(error, HttpConnectionError) or error.bytes_left:
                     verdict = Verdict.MAY_HAVE_RUN
-                reason = str(error) or f"no response within {REQUEST_TIMEOUT_S:g} s"
+                reason = str(error) or "the request timed out"
             await anyio.sleep(backoff_s)
             backoff_s *= 2
         servers = ", ".join(str(server) for server in self._servers)
