--- a/src/passlane/api/callers.py
+++ b/src/passlane/api/callers.py
@@ -118,7 +118,7 @@
             response = problem_response(error)
         except Exception:
             # The outcome of the request is unknown, so it may have run.
-            _log.exception("request failed by a fault", path=scope["path"])
+            _log.exception("caller_request_failed", path=scope["path"])
             message = "the request failed with an internal error"
             internal_error = PasslaneError(
                 ErrorCode.INTERNAL, message, verdict=Verdict.MAY_HAVE_RUN
--- a/src/passlane/node/call_runner.py
+++ b/src/passlane/node/call_runner.py
@@ -180,7 +180,7 @@
             with scope:
                 await work()
         except Exception as error:
-            _log.error("call failed by a fault", call_id=self.call_id, error=repr(error))
+            _log.error("call_failed", call_id=self.call_id, error=repr(error))
             self._abort_on_internal_error()
         finally:
             self._scopes.discard(scope)
--- a/src/passlane/node/housekeeping.py
+++ b/src/passlane/node/housekeeping.py
@@ -37,7 +37,7 @@
         for report in self._core.services.policies.collect_problems():
             self._core.services.reports.publish_policy_failure(report)
             _log.warning(
-                "policy failed", policy=report.policy, error=report.message, times=report.times
+                "policy_failed", policy=report.policy, error=report.message, times=report.times
             )
 
     def _end_overdue_programs(self, now: float) -> None:
@@ -53,5 +53,5 @@
         try:
             await self._core.leader.end_host(host, ErrorCode.LIMIT_EXCEEDED, message)
         except PasslaneError as error:
-            _log.warning("late program not ended", code=error.code.value)
+            _log.warning("overdue_program_not_ended", code=error.code.value)
             host.program.deadline = anyio.current_time() + INTERVAL_S
--- a/src/passlane/node/memory_sweep.py
+++ b/src/passlane/node/memory_sweep.py
@@ -70,7 +70,7 @@
         try:
             summaries = await self._services.store.list_unsettled(single_partition)
         except PasslaneError as error:
-            _log.warning("unsettled programs not listed", code=error.code.value)
+            _log.warning("unsettled_programs_not_listed", code=error.code.value)
             return False
         is_complete = True
         for summary in summaries:
--- a/src/passlane/node/node_core.py
+++ b/src/passlane/node/node_core.py
@@ -111,7 +111,7 @@
             await self._services.engines.client(engines[destination].address).order(order)
         except PasslaneError as error:
             # The cache is recomputed where it is missing; nothing else depends on the move.
-            _log.info("cache not moved", program_id=program_id, code=error.code.value)
+            _log.info("cache_move_failed", program_id=program_id, code=error.code.value)
 
     def record_use(self, engine_id: EngineId) -> None:
         """Record that this node uses an engine, so that it is polled often."""
--- a/src/passlane/node/release_loop.py
+++ b/src/passlane/node/release_loop.py
@@ -99,7 +99,7 @@
         except BackendError as error:
             is_stale = error.code is ErrorCode.STALE_FENCING_TOKEN
             if is_stale:
-                _log.warning("release refused as stale", program_id=release.program_id)
+                _log.warning("release_refused_as_stale", program_id=release.program_id)
             return is_stale
         except PasslaneError as error:
             return error.code is ErrorCode.UNKNOWN_PROGRAM
--- a/src/passlane/node/service.py
+++ b/src/passlane/node/service.py
@@ -209,7 +209,7 @@
             # Nodes without the new partition table still send calls here, which are redirected.
             await anyio.sleep(max_heartbeat_interval_s(self._settings.membership.heartbeat_s))
         if scope.cancelled_caught:
-            _log.warning("drain cut short", requests=self._requests)
+            _log.warning("drain_timed_out", requests=self._requests)
 
     # Replies to heartbeats.
 
--- a/src/passlane/node/trace_recorder.py
+++ b/src/passlane/node/trace_recorder.py
@@ -165,7 +165,7 @@
         except OSError as error:
             # A failed trace write must not affect calls.
             self._dropped += len(lines)
-            _log.warning("trace not written", error=str(error), dropped=self._dropped)
+            _log.warning("trace_write_failed", error=str(error), dropped=self._dropped)
 
 
 def _encode(line: TraceLine) -> bytes:
--- a/src/passlane/replication/driver.py
+++ b/src/passlane/replication/driver.py
@@ -203,11 +203,11 @@
         """When the disk is full, transfer leadership and wait until space is available."""
         while True:
             await self._writes.wait_until_full()
-            logger.error("disk full", term=self.term, is_leader=self._is_leading)
+            logger.error("disk_full", term=self.term, is_leader=self._is_leading)
             if self._is_leading:
                 self.step(TransferRequested())
             await self._writes.recover_space()
-            logger.warning("disk has space again", term=self.term)
+            logger.warning("disk_space_available", term=self.term)
 
     # Applying and reading.
 
--- a/src/passlane/replication/joining.py
+++ b/src/passlane/replication/joining.py
@@ -137,7 +137,7 @@
             if any(status.is_member for status in statuses.values()):
                 return identity
             logger.info(
-                "waiting for members",
+                "waiting_for_members",
                 group=self._group,
                 replica=identity.replica_id,
                 answered=sorted(statuses),
@@ -170,7 +170,9 @@
                     peer.internal, request, GroupStatus, timeout_s=STATUS_TIMEOUT_S
                 )
             except PasslaneError as error:
-                logger.debug("no status", group=self._group, peer=peer.name, code=error.code)
+                logger.debug(
+                    "status_not_received", group=self._group, peer=peer.name, code=error.code
+                )
 
         async with anyio.create_task_group() as tasks:
             for peer in self._peers:
@@ -201,7 +203,7 @@
         try:
             reply = await client.execute(request, JoinReply, timeout_s=JOIN_TIMEOUT_S)
         except PasslaneError as error:
-            logger.warning("not taken in yet", group=self._group, code=error.code)
+            logger.warning("join_request_not_accepted", group=self._group, code=error.code)
             return False
         return reply.is_voter and reply.is_replaced
 
--- a/src/passlane/replication/replica_host.py
+++ b/src/passlane/replication/replica_host.py
@@ -289,11 +289,11 @@
 
     async def _abandon_files(self, error: PasslaneError) -> None:
         """Create a new identity in a new folder, to be repaired from the other replicas."""
-        logger.error("storage is damaged", group=self._group, message=error.message)
+        logger.error("storage_damaged", group=self._group, message=error.message)
         if len(self._settings.members) < 2:
             raise error
         identity = await self._identity_file.create(self._environment.random, may_found=False)
-        logger.warning("repair under new identity", group=self._group, replica=identity.replica_id)
+        logger.warning("repair_under_new_identity", group=self._group, replica=identity.replica_id)
 
     async def _open_files(self, identity: Identity) -> ReplicaFiles:
         """Read snapshot and log."""
@@ -379,7 +379,7 @@
             if self.leader_address is not None or not self._may_join():
                 leader_known_at = anyio.current_time()
             elif anyio.current_time() - leader_known_at > limit_s and self._joiner.has_peers:
-                logger.warning("no leader; asking to be taken in", group=self._group)
+                logger.warning("leader_unknown_rejoining", group=self._group)
                 await self._joiner.join(identity.replica_id, is_known=True)
                 leader_known_at = anyio.current_time()
 
