--- a/src/passlane/raft/instructions.py
+++ b/src/passlane/raft/instructions.py
@@ -107,13 +107,13 @@
     membership: GroupMembership
 
 
-class PlaceDecided(msgspec.Struct, frozen=True):
+class VoterChangeDecided(msgspec.Struct, frozen=True):
     """The leader of a group with bounded voters changes the membership; to be logged.
 
     Attributes
     ----------
     reason
-        A ``voter_places.PlaceReason``.
+        A ``voter_selection.VoterChangeReason``.
     replica_id
         The replica that is added, promoted or removed.
     voters, learners
@@ -138,5 +138,5 @@
     | InstallSnapshot
     | LeadershipChanged
     | MembershipChanged
-    | PlaceDecided
+    | VoterChangeDecided
 )
--- a/src/passlane/raft/leader.py
+++ b/src/passlane/raft/leader.py
@@ -14,7 +14,7 @@
 )
 from passlane.raft.disk_stall import STALL_ELECTION_TIMEOUTS, DiskStallDetector
 from passlane.raft.events import MemberAdded, MemberRemoved, ReplicaOffered, ReplicaReleased
-from passlane.raft.instructions import PlaceDecided, RejectProposals
+from passlane.raft.instructions import RejectProposals, VoterChangeDecided
 from passlane.raft.membership import (
     encode_membership,
     member_of,
@@ -29,7 +29,7 @@
 from passlane.raft.replication import Replicator
 from passlane.raft.state import ReplicaState
 from passlane.raft.transfer import LeadershipTransfer
-from passlane.raft.voter_places import GroupView, VoterPlaces
+from passlane.raft.voter_selection import GroupView, VoterSelection
 
 
 class Leader:
@@ -44,13 +44,13 @@
 
     Attributes
     ----------
-    replicator_class, reads_class, places_class
+    replicator_class, reads_class, voter_selection_class
         Classes of the leader's parts; see ``Replica``.
     """
 
     replicator_class: ClassVar[type[Replicator]] = Replicator
     reads_class: ClassVar[type[ReadRounds]] = ReadRounds
-    places_class: ClassVar[type[VoterPlaces]] = VoterPlaces
+    voter_selection_class: ClassVar[type[VoterSelection]] = VoterSelection
 
     def __init__(self, state: ReplicaState, now: float) -> None:
         self._state = state
@@ -63,9 +63,11 @@
         )
         self._promoted_at: float | None = None
         config = state.config
-        self._places: VoterPlaces | None = None
+        self._places: VoterSelection | None = None
         if config.places is not None:
-            self._places = self.places_class(config.places, config.replaced_voter_silence_s)
+            self._places = self.voter_selection_class(
+                config.places, config.replaced_voter_silence_s
+            )
         self.next_heartbeat_at = now
 
     def start(self, now: float) -> None:
@@ -251,7 +253,7 @@
             return
         voters = len(voters_of(change.membership))
         learners = len(change.membership.members) - voters
-        state.emit(PlaceDecided(change.reason, change.replica_id, voters, learners))
+        state.emit(VoterChangeDecided(change.reason, change.replica_id, voters, learners))
         self._append_membership(change.membership, now)
 
     def _is_learner(self, replica_id: ReplicaId) -> bool:
--- a/src/passlane/raft/voter_places.py
+++ b/src/passlane/raft/voter_selection.py
@@ -22,7 +22,7 @@
 """Lifetime of an offer; standbys repeat it every second (``replication.joining``)."""
 
 
-class PlaceReason(enum.StrEnum):
+class VoterChangeReason(enum.StrEnum):
     """Reason for adding, promoting or removing a replica."""
 
     FILES_LOST = "files_lost"
@@ -34,11 +34,11 @@
     PLACE_FREE = "place_free"
 
 
-class PlaceChange(msgspec.Struct, frozen=True):
+class VoterChange(msgspec.Struct, frozen=True):
     """The membership to change to, the replica that changes, and the reason."""
 
     membership: GroupMembership
-    reason: PlaceReason
+    reason: VoterChangeReason
     replica_id: ReplicaId
 
 
@@ -73,7 +73,7 @@
     now: float
 
 
-class VoterPlaces:
+class VoterSelection:
     """Keeps the group at its target number of voters, one membership change at a time.
 
     The state is volatile: a new leader collects offers and releases again.
@@ -103,7 +103,7 @@
         """Record that a replica is to be replaced and removed permanently."""
         self._released.add(replica_id)
 
-    def next_change(self, view: GroupView) -> PlaceChange | None:
+    def next_change(self, view: GroupView) -> VoterChange | None:
         """Return the next change, if one is due.
 
         The first rule that yields a change applies:
@@ -119,39 +119,39 @@
         return (
             self._remove_lost_identity(view)
             or self._update_address(view)
-            or self._without_useless_learner(view)
-            or self._with_caught_up_learner(view)
+            or self._remove_unneeded_learner(view)
+            or self._promote_caught_up_learner(view)
             or self._remove_surplus_voter(view)
-            or self._with_new_learner(view)
+            or self._add_learner(view)
         )
 
-    def _remove_lost_identity(self, view: GroupView) -> PlaceChange | None:
+    def _remove_lost_identity(self, view: GroupView) -> VoterChange | None:
         """Remove an identity whose files are lost, because it cannot return."""
         for member in view.membership.members:
             if member.replica_id in self._lost_identities and member.replica_id != view.own_id:
-                return _removal(view, member, PlaceReason.FILES_LOST)
+                return _removal(view, member, VoterChangeReason.FILES_LOST)
         self._lost_identities.clear()
         return None
 
-    def _update_address(self, view: GroupView) -> PlaceChange | None:
+    def _update_address(self, view: GroupView) -> VoterChange | None:
         """Update the address of a member that has moved with its files."""
         for offer in self._offers.values():
             replica = offer.replica
             member = member_of(view.membership, replica.replica_id)
             if member is not None and member.address != replica.address:
-                return _addition(view, replica, PlaceReason.MOVED)
+                return _addition(view, replica, VoterChangeReason.MOVED)
         return None
 
-    def _without_useless_learner(self, view: GroupView) -> PlaceChange | None:
+    def _remove_unneeded_learner(self, view: GroupView) -> VoterChange | None:
         """Remove a learner that is silent, released or not needed to reach the target."""
         is_target_reached = len(self._remaining_voters(view)) >= self._target_voters
         for learner in _learners(view):
             if is_target_reached or self._is_to_be_removed(learner, view):
                 self._offers.pop(learner.replica_id, None)
-                return _removal(view, learner, PlaceReason.LEARNER_NOT_NEEDED)
+                return _removal(view, learner, VoterChangeReason.LEARNER_NOT_NEEDED)
         return None
 
-    def _with_caught_up_learner(self, view: GroupView) -> PlaceChange | None:
+    def _promote_caught_up_learner(self, view: GroupView) -> VoterChange | None:
         """Promote a learner that has caught up.
 
         If the target is reached, a silent voter is removed first, because it would still
@@ -164,11 +164,11 @@
             return None
         silent = self._silent_voter(view)
         if len(_voters(view)) >= self._target_voters and silent is not None:
-            return _removal(view, silent, PlaceReason.SILENT)
+            return _removal(view, silent, VoterChangeReason.SILENT)
         membership = with_voter(view.membership, learner.replica_id)
-        return PlaceChange(membership, PlaceReason.CAUGHT_UP, learner.replica_id)
+        return VoterChange(membership, VoterChangeReason.CAUGHT_UP, learner.replica_id)
 
-    def _remove_surplus_voter(self, view: GroupView) -> PlaceChange | None:
+    def _remove_surplus_voter(self, view: GroupView) -> VoterChange | None:
         """Remove a voter beyond the target: a silent one, otherwise a released one.
 
         A leader that was elected during a replacement does not know which voter was
@@ -180,22 +180,22 @@
             return None
         surplus = self._silent_voter(view) or self._released_voter(view)
         if surplus is not None:
-            return _removal(view, surplus, PlaceReason.SURPLUS)
+            return _removal(view, surplus, VoterChangeReason.SURPLUS)
         if self._surplus_since is None:
             self._surplus_since = view.now
         if view.now - self._surplus_since < self._silence_s:
             return None
         newest = [voter for voter in _voters(view) if voter.replica_id != view.own_id][-1]
-        return _removal(view, newest, PlaceReason.SURPLUS)
+        return _removal(view, newest, VoterChangeReason.SURPLUS)
 
-    def _with_new_learner(self, view: GroupView) -> PlaceChange | None:
+    def _add_learner(self, view: GroupView) -> VoterChange | None:
         """Add the best offer as a learner if voters and learners are below the target."""
         if len(self._remaining_voters(view)) + len(_learners(view)) >= self._target_voters:
             return None
         offer = self._best_offer(view)
         if offer is None:
             return None
-        return _addition(view, offer, PlaceReason.PLACE_FREE)
+        return _addition(view, offer, VoterChangeReason.PLACE_FREE)
 
     def _best_offer(self, view: GroupView) -> ReplicaOffered | None:
         """Return an offer from the zone with the fewest remaining members."""
@@ -253,11 +253,11 @@
     return [member for member in view.membership.members if not member.is_voter]
 
 
-def _removal(view: GroupView, member: GroupMember, reason: PlaceReason) -> PlaceChange:
+def _removal(view: GroupView, member: GroupMember, reason: VoterChangeReason) -> VoterChange:
     membership = without_member(view.membership, member.replica_id)
-    return PlaceChange(membership, reason, member.replica_id)
+    return VoterChange(membership, reason, member.replica_id)
 
 
-def _addition(view: GroupView, replica: ReplicaOffered, reason: PlaceReason) -> PlaceChange:
+def _addition(view: GroupView, replica: ReplicaOffered, reason: VoterChangeReason) -> VoterChange:
     membership = with_learner(view.membership, replica.replica_id, replica.address, replica.zone)
-    return PlaceChange(membership, reason, replica.replica_id)
+    return VoterChange(membership, reason, replica.replica_id)
--- a/src/passlane/replication/driver.py
+++ b/src/passlane/replication/driver.py
@@ -30,12 +30,12 @@
     Instruction,
     LeadershipChanged,
     MembershipChanged,
-    PlaceDecided,
     RejectProposals,
     RejectRead,
     SaveHardState,
     SendMessage,
     SendSnapshotChunk,
+    VoterChangeDecided,
 )
 from passlane.raft.replica import Replica
 from passlane.replication.durable_writes import DurableWrites
@@ -187,7 +187,7 @@
                 self._reads.fail(instruction.token, error)
             case LeadershipChanged():
                 self._change_leadership(instruction)
-            case PlaceDecided():
+            case VoterChangeDecided():
                 logger.info(
                     "voter_place_decided",
                     reason=instruction.reason,
--- a/src/passlane/replication/membership_changes.py
+++ b/src/passlane/replication/membership_changes.py
@@ -1,7 +1,7 @@
 """Changes to the members of a group that the local replica leads.
 
 In a group without bounded voters, callers wait until their change is committed. With
-bounded voters (``raft.voter_places``) a call only records the request with the leader.
+bounded voters (``raft.voter_selection``) a call only records the request with the leader.
 """
 
 from collections.abc import Callable
--- a/src/passlane/simulation/raft_defects.py
+++ b/src/passlane/simulation/raft_defects.py
@@ -12,7 +12,7 @@
 from passlane.raft.reads import ReadRounds
 from passlane.raft.replica import Replica
 from passlane.raft.replication import Replicator
-from passlane.raft.voter_places import VoterPlaces
+from passlane.raft.voter_selection import VoterSelection
 from passlane.simulation.raft_cluster import ClusterOptions
 from passlane.simulation.raft_conditions import CONDITIONS, CONGESTED_NETWORK
 from passlane.simulation.raft_fault_sequences import (
@@ -105,7 +105,7 @@
     *,
     replicator_class: type[Replicator] = Replicator,
     reads_class: type[ReadRounds] = ReadRounds,
-    places_class: type[VoterPlaces] = VoterPlaces,
+    voter_selection_class: type[VoterSelection] = VoterSelection,
 ) -> ReplicaFactory:
     """Return a class of replicas whose leadership is made of the given parts."""
 
@@ -114,7 +114,7 @@
 
     LeaderWithDefect.replicator_class = replicator_class
     LeaderWithDefect.reads_class = reads_class
-    LeaderWithDefect.places_class = places_class
+    LeaderWithDefect.voter_selection_class = voter_selection_class
     return replica_with(leader_class=LeaderWithDefect)
 
 
@@ -281,7 +281,7 @@
             "two spares are taken in for one place",
             (VOTERS_BOUNDED,),
             1,
-            bounded_group(leader_with(places_class=PlacesFilledTwice)),
+            bounded_group(leader_with(voter_selection_class=PlacesFilledTwice)),
             BOUNDED_GROUP_FAULTS,
         ),
         RaftDefect(
@@ -289,7 +289,7 @@
             "a spare votes before it has caught up",
             (VOTERS_CAUGHT_UP,),
             1,
-            bounded_group(leader_with(places_class=PlacesFilledEarly)),
+            bounded_group(leader_with(voter_selection_class=PlacesFilledEarly)),
             BOUNDED_GROUP_FAULTS,
         ),
         RaftDefect(
--- a/src/passlane/simulation/raft_faulty_parts.py
+++ b/src/passlane/simulation/raft_faulty_parts.py
@@ -10,7 +10,7 @@
 from passlane.raft.progress import FollowerProgress
 from passlane.raft.reads import ReadRounds
 from passlane.raft.replication import Replicator
-from passlane.raft.voter_places import GroupView, PlaceChange, PlaceReason, VoterPlaces
+from passlane.raft.voter_selection import GroupView, VoterChange, VoterChangeReason, VoterSelection
 from passlane.simulation.raft_host import SimulatedReplicaHost
 
 
@@ -112,28 +112,28 @@
         return True
 
 
-class PlacesFilledTwice(VoterPlaces):
+class PlacesFilledTwice(VoterSelection):
     """Takes in every spare that offers itself and lets it vote, whoever votes already."""
 
-    def _without_useless_learner(self, view: GroupView) -> PlaceChange | None:
+    def _remove_unneeded_learner(self, view: GroupView) -> VoterChange | None:
         return None
 
-    def _with_caught_up_learner(self, view: GroupView) -> PlaceChange | None:
+    def _promote_caught_up_learner(self, view: GroupView) -> VoterChange | None:
         learner = self._caught_up_learner(view)
         if learner is None:
             return None
         membership = with_voter(view.membership, learner.replica_id)
-        return PlaceChange(membership, PlaceReason.CAUGHT_UP, learner.replica_id)
+        return VoterChange(membership, VoterChangeReason.CAUGHT_UP, learner.replica_id)
 
-    def _with_new_learner(self, view: GroupView) -> PlaceChange | None:
+    def _add_learner(self, view: GroupView) -> VoterChange | None:
         offer = self._best_offer(view)
         if offer is None:
             return None
         membership = with_learner(view.membership, offer.replica_id, offer.address, offer.zone)
-        return PlaceChange(membership, PlaceReason.PLACE_FREE, offer.replica_id)
+        return VoterChange(membership, VoterChangeReason.PLACE_FREE, offer.replica_id)
 
 
-class PlacesFilledEarly(VoterPlaces):
+class PlacesFilledEarly(VoterSelection):
     """Lets a spare vote before it holds all that is committed."""
 
     @staticmethod
--- a/tests/raft/test_voter_places.py
+++ b/tests/raft/test_voter_selection.py
@@ -7,7 +7,7 @@
 from passlane.messages.raft import GroupMember, GroupMembership
 from passlane.raft.events import ReplicaOffered
 from passlane.raft.progress import FollowerProgress
-from passlane.raft.voter_places import OFFER_TTL_S, GroupView, PlaceReason, VoterPlaces
+from passlane.raft.voter_selection import OFFER_TTL_S, GroupView, VoterChangeReason, VoterSelection
 
 TARGET_VOTERS = 3
 SILENCE_S = 2.0
@@ -30,8 +30,8 @@
             )
         )
         self.now = 100.0
-        self.reasons: list[PlaceReason] = []
-        self.selection = VoterPlaces(TARGET_VOTERS, SILENCE_S)
+        self.reasons: list[VoterChangeReason] = []
+        self.selection = VoterSelection(TARGET_VOTERS, SILENCE_S)
         self.last_response_at = {name: self.now for name in voters}
         self.synced = dict.fromkeys(voters, COMMIT_INDEX)
 
@@ -76,7 +76,7 @@
         )
 
 
-class VoterPlacesTest(unittest.TestCase):
+class VoterSelectionTest(unittest.TestCase):
     def test_no_standby_is_added_while_the_target_is_reached(self) -> None:
         group = Group("abc")
         group.offer("d")
@@ -104,7 +104,11 @@
         group.synced["d"] = COMMIT_INDEX
         self.assertEqual(group.step(), "a b (d)")
         self.assertEqual(group.step(), "a b d")
-        reasons = [PlaceReason.PLACE_FREE, PlaceReason.SILENT, PlaceReason.CAUGHT_UP]
+        reasons = [
+            VoterChangeReason.PLACE_FREE,
+            VoterChangeReason.SILENT,
+            VoterChangeReason.CAUGHT_UP,
+        ]
         self.assertEqual(group.reasons, reasons)
 
     def test_a_voter_that_responds_again_stays(self) -> None:
--- a/tests/recorded_machines/test_recorded_raft.py
+++ b/tests/recorded_machines/test_recorded_raft.py
@@ -19,7 +19,7 @@
 from passlane.raft import events, instructions
 from passlane.raft.errors import RaftInvariantError
 from passlane.raft.snapshot_data import ReceivedSnapshotData
-from passlane.raft.voter_places import PlaceReason
+from passlane.raft.voter_selection import VoterChangeReason
 from recorded_machines.raft_group import GROUP, Group, Machine
 from recorded_machines.recording import Recording
 
@@ -48,14 +48,14 @@
     instructions.InstallSnapshot: "install snapshot",
     instructions.LeadershipChanged: "leadership changed",
     instructions.MembershipChanged: "membership changed",
-    instructions.PlaceDecided: "place decided",
+    instructions.VoterChangeDecided: "place decided",
     GroupMember: "member",
     GroupMembership: "membership",
     LogEntry: "entry",
     ReceivedSnapshotData: "received snapshot",
     Address: "address",
 }
-OF_PLACES = {events.ReplicaOffered, events.ReplicaReleased, instructions.PlaceDecided}
+OF_PLACES = {events.ReplicaOffered, events.ReplicaReleased, instructions.VoterChangeDecided}
 OF_OPERATORS = {events.MemberAdded, events.MemberRemoved}
 ALL = {*get_args(events.Event), *get_args(instructions.Instruction), *get_args(AnyRaftMessage)}
 OPERATOR_RUNS = 6
@@ -263,7 +263,9 @@
             SilentSparesLoad(group).run(SILENT_TICKS)
 
         recording.check(self, run)
-        recording.require_reached(self, PlaceReason.PLACE_FREE, PlaceReason.LEARNER_NOT_NEEDED)
+        recording.require_reached(
+            self, VoterChangeReason.PLACE_FREE, VoterChangeReason.LEARNER_NOT_NEEDED
+        )
 
     def test_group_with_bounded_places(self) -> None:
         recording = Recording("raft_places", KINDS)
@@ -275,7 +277,7 @@
 
         recording.check(self, run)
         recording.require_reached(self, *(ALL - OF_OPERATORS), *EntryKind)
-        recording.require_reached(self, *PlaceReason)
+        recording.require_reached(self, *VoterChangeReason)
 
 
 if __name__ == "__main__":
