--- a/src/passlane/raft/election.py
+++ b/src/passlane/raft/election.py
@@ -130,7 +130,7 @@
         state = self._state
         granted = (
             request.term == state.term
-            and self._is_vote_free(request)
+            and self._can_vote_for(request)
             and self._is_up_to_date(request)
         )
         if granted:
@@ -155,7 +155,7 @@
         if is_quorum(self._state.membership, self._granted):
             self.start(now, is_transfer=False)
 
-    def _is_vote_free(self, request: VoteRequest) -> bool:
+    def _can_vote_for(self, request: VoteRequest) -> bool:
         return self._state.voted_for in (None, request.sender)
 
     def _is_up_to_date(self, request: VoteRequest) -> bool:
--- a/src/passlane/raft/follower.py
+++ b/src/passlane/raft/follower.py
@@ -66,10 +66,10 @@
             self._reject_append(request)
             return
         end_index = request.previous_index + len(request.entries)
-        self._take_entries(request.entries)
+        self._append_missing_entries(request.entries)
         self._matched_index = max(self._matched_index, end_index)
         self._state.commit(min(request.commit_index, self._matched_index))
-        if self._is_worth_answering(request):
+        if self._should_reply_now(request):
             self._reply_append(request.sender, success=True)
 
     def handle_snapshot(self, request: SnapshotRequest) -> None:
@@ -143,7 +143,7 @@
         first_index = log.first_index_of_term(previous_index)
         return max(first_index, self._state.commit_index + 1)
 
-    def _take_entries(self, entries: tuple[LogEntry, ...]) -> None:
+    def _append_missing_entries(self, entries: tuple[LogEntry, ...]) -> None:
         log = self._state.log
         for position, entry in enumerate(entries):
             is_in_log = entry.index <= log.base_index or log.term_at(entry.index) == entry.term
@@ -151,7 +151,7 @@
                 self._state.append_entries(entries[position:])
                 return
 
-    def _is_worth_answering(self, request: AppendRequest) -> bool:
+    def _should_reply_now(self, request: AppendRequest) -> bool:
         """Return whether to reply now; otherwise the reply is sent after the sync."""
         end_index = request.previous_index + len(request.entries)
         return not request.entries or self._state.log.synced_index >= end_index
--- a/src/passlane/raft/leader.py
+++ b/src/passlane/raft/leader.py
@@ -90,9 +90,9 @@
             self._advance_places(now)
             self._send_heartbeats(now)
 
-    def hears_quorum(self, now: float) -> bool:
+    def is_quorum_active(self, now: float) -> bool:
         """Return whether a majority responded recently; otherwise the leader must step down."""
-        return self._replicator.hears_quorum(now)
+        return self._replicator.is_quorum_active(now)
 
     def propose(self, tokens: Sequence[int], commands: Sequence[bytes], now: float) -> None:
         """Append commands; reject them during a leadership transfer."""
@@ -168,7 +168,7 @@
         if state.tokens:
             tokens = tuple(state.tokens.values())
             state.tokens.clear()
-            self._reject_unfinished(tokens)
+            self._reject_uncommitted(tokens)
         self._reject_not_appended([change.token for change in self._changes])
         self._reads.reject_all()
 
@@ -197,7 +197,7 @@
                 RejectProposals(tokens=tuple(tokens), leader=None, may_be_committed=False)
             )
 
-    def _reject_unfinished(self, tokens: tuple[int, ...]) -> None:
+    def _reject_uncommitted(self, tokens: tuple[int, ...]) -> None:
         """Reject appended proposals whose outcome is unknown."""
         self._state.emit(RejectProposals(tokens=tokens, leader=None, may_be_committed=True))
 
@@ -206,14 +206,14 @@
         return state.log.term_at(state.commit_index) == state.term
 
     def _advance_reads(self, now: float) -> None:
-        if not self._may_read():
+        if not self._can_serve_reads():
             return
         self._reads.allow_confirmed()
         while self._reads.start_round():
             self._send_heartbeats(now)
             self._reads.allow_confirmed()
 
-    def _may_read(self) -> bool:
+    def _can_serve_reads(self) -> bool:
         # A new leader may not know the current commit index until it has committed an entry
         # of its own term.
         return self._has_committed_in_own_term()
@@ -238,7 +238,7 @@
         """
         if self._places is None or self._is_change_under_way():
             return
-        if not self._has_committed_in_own_term() or not self.hears_quorum(now):
+        if not self._has_committed_in_own_term() or not self.is_quorum_active(now):
             return
         state = self._state
         view = GroupView(
--- a/src/passlane/raft/replica.py
+++ b/src/passlane/raft/replica.py
@@ -204,7 +204,7 @@
     def _advance_time(self, now: float) -> None:
         if self._roles.leader is None:
             self._roles.elections.advance_time(now)
-        elif not self._roles.leader.hears_quorum(now):
+        elif not self._roles.leader.is_quorum_active(now):
             self._roles.step_down(now)
         else:
             self._roles.leader.advance_time(now)
--- a/src/passlane/raft/replication.py
+++ b/src/passlane/raft/replication.py
@@ -113,7 +113,7 @@
         state.commit(index)
         return True
 
-    def hears_quorum(self, now: float) -> bool:
+    def is_quorum_active(self, now: float) -> bool:
         """Return whether a majority of voters responded within an election timeout."""
         horizon = now - self._state.config.election_timeout_s
         active = {name for name, f in self.followers.items() if f.last_heard >= horizon}
--- a/src/passlane/simulation/raft_faulty_parts.py
+++ b/src/passlane/simulation/raft_faulty_parts.py
@@ -27,7 +27,7 @@
     def _acknowledged_index(self) -> int:
         return self._matched_index
 
-    def _is_worth_answering(self, request: AppendRequest) -> bool:
+    def _should_reply_now(self, request: AppendRequest) -> bool:
         return True
 
 
@@ -41,7 +41,7 @@
 class FollowerThatKeepsConflicts(Follower):
     """Keeps an entry that differs from the leader's at the same index."""
 
-    def _take_entries(self, entries: tuple[LogEntry, ...]) -> None:
+    def _append_missing_entries(self, entries: tuple[LogEntry, ...]) -> None:
         last_index = self._state.log.last_index
         missing = tuple(entry for entry in entries if entry.index > last_index)
         if missing:
@@ -51,7 +51,7 @@
 class ElectionsThatVoteTwice(Elections):
     """Gives a vote to every candidate of a term."""
 
-    def _is_vote_free(self, request: VoteRequest) -> bool:
+    def _can_vote_for(self, request: VoteRequest) -> bool:
         return True
 
 
@@ -86,7 +86,7 @@
 class ReplicatorThatSkipsCheckQuorum(Replicator):
     """Goes on leading although no majority answers."""
 
-    def hears_quorum(self, now: float) -> bool:
+    def is_quorum_active(self, now: float) -> bool:
         """Return that a majority was heard."""
         return True
 
@@ -101,7 +101,7 @@
 class LeaderThatReadsBeforeItsFirstCommit(Leader):
     """Allows reads before an entry of its own term is committed."""
 
-    def _may_read(self) -> bool:
+    def _can_serve_reads(self) -> bool:
         return True
 
 
@@ -169,6 +169,6 @@
 class LeaderThatDeniesItsEntries(Leader):
     """Tells a caller that its command did not run although it may still be committed."""
 
-    def _reject_unfinished(self, tokens: tuple[int, ...]) -> None:
+    def _reject_uncommitted(self, tokens: tuple[int, ...]) -> None:
         rejection = RejectProposals(tokens=tokens, leader=None, may_be_committed=False)
         self._state.emit(rejection)
