--- a/src/passlane/raft/events.py
+++ b/src/passlane/raft/events.py
@@ -100,7 +100,7 @@
     replaces: tuple[ReplicaId, ...] = ()
 
 
-class ReplicaReleased(msgspec.Struct, frozen=True):
+class ReplicaDecommissioned(msgspec.Struct, frozen=True):
     """An operator decommissions a replica; only used in a group with bounded voters."""
 
     replica_id: ReplicaId
@@ -119,5 +119,5 @@
     | MemberAdded
     | MemberRemoved
     | ReplicaOffered
-    | ReplicaReleased
+    | ReplicaDecommissioned
 )
--- a/src/passlane/raft/leader.py
+++ b/src/passlane/raft/leader.py
@@ -13,7 +13,7 @@
     SnapshotReply,
 )
 from passlane.raft.disk_stall import STALL_ELECTION_TIMEOUTS, DiskStallDetector
-from passlane.raft.events import MemberAdded, MemberRemoved, ReplicaOffered, ReplicaReleased
+from passlane.raft.events import MemberAdded, MemberRemoved, ReplicaDecommissioned, ReplicaOffered
 from passlane.raft.instructions import RejectProposals, VoterChangeDecided
 from passlane.raft.membership import (
     encode_membership,
@@ -119,7 +119,7 @@
         if self._places is not None:
             self._places.record_offer(offered, now)
 
-    def release(self, released: ReplicaReleased) -> None:
+    def release(self, released: ReplicaDecommissioned) -> None:
         """Record that a replica is to be replaced and removed."""
         if self._places is not None:
             self._places.release(released.replica_id)
--- a/src/passlane/raft/log_view.py
+++ b/src/passlane/raft/log_view.py
@@ -8,7 +8,7 @@
 _ENTRY_OVERHEAD_BYTES = 32
 
 
-class LogView:
+class RaftLog:
     """Log entries after ``base_index``, and the last index that is durable here.
 
     Parameters
--- a/src/passlane/raft/replica.py
+++ b/src/passlane/raft/replica.py
@@ -24,8 +24,8 @@
     MemberRemoved,
     MessageReceived,
     ReadRequested,
+    ReplicaDecommissioned,
     ReplicaOffered,
-    ReplicaReleased,
     SnapshotInstalled,
     SnapshotTaken,
     TimeAdvanced,
@@ -34,7 +34,7 @@
 from passlane.raft.follower import Follower
 from passlane.raft.instructions import Instruction, RejectProposals, RejectRead
 from passlane.raft.leader import Leader
-from passlane.raft.log_view import LogView
+from passlane.raft.log_view import RaftLog
 from passlane.raft.progress import Snapshot
 from passlane.raft.roles import Roles
 from passlane.raft.snapshot_data import SnapshotData
@@ -153,7 +153,7 @@
         return self._state.leader_address
 
     @property
-    def log(self) -> LogView:
+    def log(self) -> RaftLog:
         """The in-memory log; callers must not change it."""
         return self._state.log
 
@@ -197,7 +197,7 @@
             case ReplicaOffered():
                 if self._roles.leader is not None:
                     self._roles.leader.record_offer(event, now)
-            case ReplicaReleased():
+            case ReplicaDecommissioned():
                 if self._roles.leader is not None:
                     self._roles.leader.release(event)
 
--- a/src/passlane/raft/state.py
+++ b/src/passlane/raft/state.py
@@ -21,7 +21,7 @@
     SaveHardState,
     SendMessage,
 )
-from passlane.raft.log_view import LogView
+from passlane.raft.log_view import RaftLog
 from passlane.raft.membership import MembershipHistory, decode_membership, voters_of
 from passlane.raft.progress import Snapshot
 from passlane.raft.snapshot_data import SnapshotData
@@ -57,7 +57,7 @@
     random: random_module.Random
     term: int
     voted_for: ReplicaId | None
-    log: LogView
+    log: RaftLog
     snapshot: Snapshot | None
     memberships: MembershipHistory
     commit_index: int
@@ -87,7 +87,7 @@
         for entry in entries:
             if entry.index > base_index and entry.kind is EntryKind.MEMBERSHIP:
                 memberships.append(entry.index, decode_membership(entry.data))
-        log = LogView(base_index, snapshot.last_term, entries)
+        log = RaftLog(base_index, snapshot.last_term, entries)
         if log.last_term > hard_term:
             # The entries became durable before the term, so no vote of that term was sent.
             hard_term, voted_for = log.last_term, None
--- a/src/passlane/replication/membership_changes.py
+++ b/src/passlane/replication/membership_changes.py
@@ -9,7 +9,7 @@
 from passlane.identifiers import ReplicaId
 from passlane.messages.common import Address, NotLeaderError
 from passlane.messages.replication import JoinReply, JoinRequest
-from passlane.raft.events import MemberAdded, MemberRemoved, ReplicaOffered, ReplicaReleased
+from passlane.raft.events import MemberAdded, MemberRemoved, ReplicaDecommissioned, ReplicaOffered
 from passlane.raft.membership import member_of
 from passlane.replication.driver import ReplicaDriver
 from passlane.replication.joining import handle_join, members_replaced_by
@@ -86,7 +86,7 @@
             if process_name_of(member.replica_id) != process_name:
                 continue
             if self._has_bounded_voters:
-                driver.step(ReplicaReleased(member.replica_id))
+                driver.step(ReplicaDecommissioned(member.replica_id))
             else:
                 await self._remove(member.replica_id)
 
--- a/src/passlane/simulation/raft_faults.py
+++ b/src/passlane/simulation/raft_faults.py
@@ -3,7 +3,7 @@
 import functools
 from collections.abc import Callable, Sequence
 
-from passlane.raft.events import ReplicaReleased, TransferRequested
+from passlane.raft.events import ReplicaDecommissioned, TransferRequested
 from passlane.raft.membership import voters_of
 from passlane.simulation.raft_cluster import RaftCluster
 from passlane.simulation.raft_fault_actions import FaultActions
@@ -158,7 +158,7 @@
         return
     victim = actions.random.choice(voters_of(actions.cluster.committed_membership()))
     actions.cluster.note_trace(f"release {victim}")
-    leader.deliver(ReplicaReleased(victim))
+    leader.deliver(ReplicaDecommissioned(victim))
 
 
 def wipe_two(actions: FaultActions) -> None:
--- a/src/passlane/simulation/raft_invariants.py
+++ b/src/passlane/simulation/raft_invariants.py
@@ -9,7 +9,7 @@
 
 from passlane.identifiers import ReplicaId
 from passlane.messages.raft import EntryKind, LogEntry
-from passlane.raft.log_view import LogView
+from passlane.raft.log_view import RaftLog
 
 
 class InvariantViolationError(Exception):
@@ -47,7 +47,7 @@
         self._visible_times: list[float] = []
         self._visible_indexes: list[int] = []
 
-    def note_leader(self, term: int, replica_id: ReplicaId, log: LogView) -> None:
+    def note_leader(self, term: int, replica_id: ReplicaId, log: RaftLog) -> None:
         """One leader a term, and its log holds all that was committed before."""
         former = self._leaders.setdefault(term, replica_id)
         if former != replica_id:
--- a/tests/recorded_machines/test_recorded_raft.py
+++ b/tests/recorded_machines/test_recorded_raft.py
@@ -36,7 +36,7 @@
     events.MemberAdded: "member added",
     events.MemberRemoved: "member removed",
     events.ReplicaOffered: "replica offered",
-    events.ReplicaReleased: "replica released",
+    events.ReplicaDecommissioned: "replica released",
     instructions.SaveHardState: "save hard state",
     instructions.AppendEntries: "append entries",
     instructions.SendMessage: "send message",
@@ -55,7 +55,7 @@
     ReceivedSnapshotData: "received snapshot",
     Address: "address",
 }
-OF_PLACES = {events.ReplicaOffered, events.ReplicaReleased, instructions.VoterChangeDecided}
+OF_PLACES = {events.ReplicaOffered, events.ReplicaDecommissioned, instructions.VoterChangeDecided}
 OF_OPERATORS = {events.MemberAdded, events.MemberRemoved}
 ALL = {*get_args(events.Event), *get_args(instructions.Instruction), *get_args(AnyRaftMessage)}
 OPERATOR_RUNS = 6
@@ -199,7 +199,7 @@
         machine = self.random.choice(self.group.machines)
         leader = self.group.leader() or machine
         if kind < 0.2:
-            leader.handle(events.ReplicaReleased(machine.replica_id))
+            leader.handle(events.ReplicaDecommissioned(machine.replica_id))
         elif kind < 0.25 and machine is not leader:
             machine.crash(0.2)
             machine.wipe()
