--- a/src/passlane/raft/leader.py
+++ b/src/passlane/raft/leader.py
@@ -13,8 +13,8 @@
     SnapshotReply,
 )
 from passlane.raft.disk_stall import STALL_ELECTION_TIMEOUTS, DiskStallDetector
-from passlane.raft.events import MemberAdded, MemberRemoved, ReplicaOffered, ReplicaReleased
-from passlane.raft.instructions import PlaceDecided, RejectProposals
+from passlane.raft.events import MemberAdded, MemberRemoved, ReplicaDecommissioned, ReplicaOffered
+from passlane.raft.instructions import RejectProposals, VoterChangeDecided
 from passlane.raft.membership import (
     encode_membership,
     member_of,
@@ -29,7 +29,7 @@
 from passlane.raft.replication import Replicator
 from passlane.raft.state import ReplicaState
 from passlane.raft.transfer import LeadershipTransfer
-from passlane.raft.voter_places import GroupView, VoterPlaces
+from passlane.raft.voter_selection import GroupView, VoterSelection
 
 
 class Leader:
@@ -44,13 +44,13 @@
 
     Attributes
     ----------
-    replicator_class, reads_class, places_class
+    replicator_class, reads_class, voter_selection_class
         Classes of the leader's parts; see ``Replica``.
     """
 
     replicator_class: ClassVar[type[Replicator]] = Replicator
     reads_class: ClassVar[type[ReadRounds]] = ReadRounds
-    places_class: ClassVar[type[VoterPlaces]] = VoterPlaces
+    voter_selection_class: ClassVar[type[VoterSelection]] = VoterSelection
 
     def __init__(self, state: ReplicaState, now: float) -> None:
         self._state = state
@@ -63,9 +63,11 @@
         )
         self._promoted_at: float | None = None
         config = state.config
-        self._places: VoterPlaces | None = None
+        self._places: VoterSelection | None = None
         if config.places is not None:
-            self._places = self.places_class(config.places, config.replaced_voter_silence_s)
+            self._places = self.voter_selection_class(
+                config.places, config.replaced_voter_silence_s
+            )
         self.next_heartbeat_at = now
 
     def start(self, now: float) -> None:
@@ -88,9 +90,9 @@
             self._advance_places(now)
             self._send_heartbeats(now)
 
-    def hears_quorum(self, now: float) -> bool:
+    def is_quorum_active(self, now: float) -> bool:
         """Return whether a majority responded recently; otherwise the leader must step down."""
-        return self._replicator.hears_quorum(now)
+        return self._replicator.is_quorum_active(now)
 
     def propose(self, tokens: Sequence[int], commands: Sequence[bytes], now: float) -> None:
         """Append commands; reject them during a leadership transfer."""
@@ -117,7 +119,7 @@
         if self._places is not None:
             self._places.record_offer(offered, now)
 
-    def release(self, released: ReplicaReleased) -> None:
+    def release(self, released: ReplicaDecommissioned) -> None:
         """Record that a replica is to be replaced and removed."""
         if self._places is not None:
             self._places.release(released.replica_id)
@@ -166,7 +168,7 @@
         if state.tokens:
             tokens = tuple(state.tokens.values())
             state.tokens.clear()
-            self._reject_unfinished(tokens)
+            self._reject_uncommitted(tokens)
         self._reject_not_appended([change.token for change in self._changes])
         self._reads.reject_all()
 
@@ -195,7 +197,7 @@
                 RejectProposals(tokens=tuple(tokens), leader=None, may_be_committed=False)
             )
 
-    def _reject_unfinished(self, tokens: tuple[int, ...]) -> None:
+    def _reject_uncommitted(self, tokens: tuple[int, ...]) -> None:
         """Reject appended proposals whose outcome is unknown."""
         self._state.emit(RejectProposals(tokens=tokens, leader=None, may_be_committed=True))
 
@@ -204,14 +206,14 @@
         return state.log.term_at(state.commit_index) == state.term
 
     def _advance_reads(self, now: float) -> None:
-        if not self._may_read():
+        if not self._can_serve_reads():
             return
         self._reads.allow_confirmed()
         while self._reads.start_round():
             self._send_heartbeats(now)
             self._reads.allow_confirmed()
 
-    def _may_read(self) -> bool:
+    def _can_serve_reads(self) -> bool:
         # A new leader may not know the current commit index until it has committed an entry
         # of its own term.
         return self._has_committed_in_own_term()
@@ -236,7 +238,7 @@
         """
         if self._places is None or self._is_change_under_way():
             return
-        if not self._has_committed_in_own_term() or not self.hears_quorum(now):
+        if not self._has_committed_in_own_term() or not self.is_quorum_active(now):
             return
         state = self._state
         view = GroupView(
@@ -251,7 +253,7 @@
             return
         voters = len(voters_of(change.membership))
         learners = len(change.membership.members) - voters
-        state.emit(PlaceDecided(change.reason, change.replica_id, voters, learners))
+        state.emit(VoterChangeDecided(change.reason, change.replica_id, voters, learners))
         self._append_membership(change.membership, now)
 
     def _is_learner(self, replica_id: ReplicaId) -> bool:
--- a/src/passlane/simulation/raft_faulty_parts.py
+++ b/src/passlane/simulation/raft_faulty_parts.py
@@ -10,7 +10,7 @@
 from passlane.raft.progress import FollowerProgress
 from passlane.raft.reads import ReadRounds
 from passlane.raft.replication import Replicator
-from passlane.raft.voter_places import GroupView, PlaceChange, PlaceReason, VoterPlaces
+from passlane.raft.voter_selection import GroupView, VoterChange, VoterChangeReason, VoterSelection
 from passlane.simulation.raft_host import SimulatedReplicaHost
 
 
@@ -27,7 +27,7 @@
     def _acknowledged_index(self) -> int:
         return self._matched_index
 
-    def _is_worth_answering(self, request: AppendRequest) -> bool:
+    def _should_reply_now(self, request: AppendRequest) -> bool:
         return True
 
 
@@ -41,7 +41,7 @@
 class FollowerThatKeepsConflicts(Follower):
     """Keeps an entry that differs from the leader's at the same index."""
 
-    def _take_entries(self, entries: tuple[LogEntry, ...]) -> None:
+    def _append_missing_entries(self, entries: tuple[LogEntry, ...]) -> None:
         last_index = self._state.log.last_index
         missing = tuple(entry for entry in entries if entry.index > last_index)
         if missing:
@@ -51,7 +51,7 @@
 class ElectionsThatVoteTwice(Elections):
     """Gives a vote to every candidate of a term."""
 
-    def _is_vote_free(self, request: VoteRequest) -> bool:
+    def _can_vote_for(self, request: VoteRequest) -> bool:
         return True
 
 
@@ -86,7 +86,7 @@
 class ReplicatorThatSkipsCheckQuorum(Replicator):
     """Goes on leading although no majority answers."""
 
-    def hears_quorum(self, now: float) -> bool:
+    def is_quorum_active(self, now: float) -> bool:
         """Return that a majority was heard."""
         return True
 
@@ -101,7 +101,7 @@
 class LeaderThatReadsBeforeItsFirstCommit(Leader):
     """Allows reads before an entry of its own term is committed."""
 
-    def _may_read(self) -> bool:
+    def _can_serve_reads(self) -> bool:
         return True
 
 
@@ -112,28 +112,28 @@
         return True
 
 
-class PlacesFilledTwice(VoterPlaces):
+class PlacesFilledTwice(VoterSelection):
     """Takes in every spare that offers itself and lets it vote, whoever votes already."""
 
-    def _without_useless_learner(self, view: GroupView) -> PlaceChange | None:
+    def _remove_unneeded_learner(self, view: GroupView) -> VoterChange | None:
         return None
 
-    def _with_caught_up_learner(self, view: GroupView) -> PlaceChange | None:
+    def _promote_caught_up_learner(self, view: GroupView) -> VoterChange | None:
         learner = self._caught_up_learner(view)
         if learner is None:
             return None
         membership = with_voter(view.membership, learner.replica_id)
-        return PlaceChange(membership, PlaceReason.CAUGHT_UP, learner.replica_id)
+        return VoterChange(membership, VoterChangeReason.CAUGHT_UP, learner.replica_id)
 
-    def _with_new_learner(self, view: GroupView) -> PlaceChange | None:
+    def _add_learner(self, view: GroupView) -> VoterChange | None:
         offer = self._best_offer(view)
         if offer is None:
             return None
         membership = with_learner(view.membership, offer.replica_id, offer.address, offer.zone)
-        return PlaceChange(membership, PlaceReason.PLACE_FREE, offer.replica_id)
+        return VoterChange(membership, VoterChangeReason.PLACE_FREE, offer.replica_id)
 
 
-class PlacesFilledEarly(VoterPlaces):
+class PlacesFilledEarly(VoterSelection):
     """Lets a spare vote before it holds all that is committed."""
 
     @staticmethod
@@ -169,6 +169,6 @@
 class LeaderThatDeniesItsEntries(Leader):
     """Tells a caller that its command did not run although it may still be committed."""
 
-    def _reject_unfinished(self, tokens: tuple[int, ...]) -> None:
+    def _reject_uncommitted(self, tokens: tuple[int, ...]) -> None:
         rejection = RejectProposals(tokens=tokens, leader=None, may_be_committed=False)
         self._state.emit(rejection)
