--- a/src/passlane/daemon/fleet/node_bounds.py
+++ b/src/passlane/daemon/fleet/node_bounds.py
@@ -12,7 +12,7 @@
 
 from passlane.decisions.admission.loop_lag import SAMPLE_PERIOD_S, LoopLag
 from passlane.decisions.admission.node_load import NodeCapacity, NodeReading
-from passlane.decisions.admission.reader_buffers import SHARE_OF_MEMORY, HeldBytesBounds
+from passlane.decisions.admission.reader_buffers import SHARE_OF_MEMORY, ReaderBufferBounds
 from passlane.messages.routes import RouteConfiguration
 from passlane.observability.logging import get_logger
 from passlane.observability.metrics import Metrics
@@ -68,7 +68,7 @@
         """Set the stall bound to the time after which callers of the slowest route leave."""
         targets = [route.target_latency_s for route in configuration.routes]
         route_stall_s = min(MAX_ROUTE_STALL_S, STALL_TARGET_FACTOR * max(targets, default=0.0))
-        self._bounds = HeldBytesBounds(
+        self._bounds = ReaderBufferBounds(
             for_one=self._bounds.for_one,
             for_all=self._bounds.for_all,
             longest_stall_s=max(self._settings.longest_stall_s, route_stall_s),
@@ -138,9 +138,9 @@
             self._exposed[name, value] = count
 
 
-def _unread_bounds(settings: FleetSettings) -> HeldBytesBounds:
+def _unread_bounds(settings: FleetSettings) -> ReaderBufferBounds:
     bounds = settings.node_bounds
-    return HeldBytesBounds(
+    return ReaderBufferBounds(
         for_one=bounds.caller_bytes,
         for_all=_max_all_callers_bytes(bounds, settings.machine),
         longest_stall_s=bounds.longest_stall_s,
--- a/src/passlane/decisions/admission/loop_lag.py
+++ b/src/passlane/decisions/admission/loop_lag.py
@@ -6,7 +6,7 @@
 """Interval between samples, short enough to detect lag that lasts as long as a turn's target."""
 SAMPLE_WEIGHT = 0.3
 """Weight of a new sample in the mean, so that past lag decays within about a second."""
-LARGEST_SAMPLE_S = 0.5
+MAX_SAMPLE_S = 0.5
 """Upper bound of a sample in the mean, so that a single freeze does not dominate it."""
 MAX_LAG_WINDOW_S = 1.0
 """Time window of ``worst_s``."""
@@ -35,4 +35,4 @@
         """Record when a timer was due and when it fired."""
         lag_s = max(0.0, fired_at - due_at)
         self._recent_lags_s.append(lag_s)
-        self.mean_s += SAMPLE_WEIGHT * (min(lag_s, LARGEST_SAMPLE_S) - self.mean_s)
+        self.mean_s += SAMPLE_WEIGHT * (min(lag_s, MAX_SAMPLE_S) - self.mean_s)
--- a/src/passlane/decisions/admission/reader_buffers.py
+++ b/src/passlane/decisions/admission/reader_buffers.py
@@ -15,14 +15,14 @@
 SHARE_OF_MEMORY = 1 / 16
 """Maximum share of the machine's memory that is buffered for all readers: enough for a hundred
 full buffers on a small machine, and too little to exhaust its memory."""
-LONGEST_STALL_S = 2.0
+MAX_STALL_S = 2.0
 """Default time without progress after which a reader is terminated. Callers abandon a stream that
 has been silent for this long."""
-SHORTEST_STALL_S = 0.5
+MIN_STALL_S = 0.5
 """A reader stalled for less than this is never terminated, as its link may have lost a packet."""
 
 
-class HeldBytesBounds(msgspec.Struct, frozen=True):
+class ReaderBufferBounds(msgspec.Struct, frozen=True):
     """Bounds on the bytes buffered for readers.
 
     Attributes
@@ -37,7 +37,7 @@
 
     for_one: int = BYTES_FOR_ONE
     for_all: int | None = None
-    longest_stall_s: float = LONGEST_STALL_S
+    longest_stall_s: float = MAX_STALL_S
 
 
 class Instruction(enum.Enum):
@@ -98,7 +98,7 @@
         Bytes buffered for all readers.
     """
 
-    def __init__(self, bounds: HeldBytesBounds) -> None:
+    def __init__(self, bounds: ReaderBufferBounds) -> None:
         self._bounds = bounds
         self._readers: dict[Hashable, _Reader] = {}
         self.total = 0
@@ -109,7 +109,7 @@
         for_all = self._bounds.for_all
         return for_all is not None and self.total >= for_all
 
-    def replace_bounds(self, bounds: HeldBytesBounds) -> None:
+    def replace_bounds(self, bounds: ReaderBufferBounds) -> None:
         """Replace the bounds."""
         self._bounds = bounds
 
@@ -151,7 +151,7 @@
 
         1. Readers without progress for ``longest_stall_s``.
         2. While the bound for all readers is reached, the reader stalled for the longest, if it
-           has been stalled for at least ``SHORTEST_STALL_S``.
+           has been stalled for at least ``MIN_STALL_S``.
         """
         endings = [
             self._end(reader, EndReason.READER_STOPPED, now)
@@ -166,7 +166,7 @@
         if not self.is_over:
             return endings
         for reader in sorted(self._readers, key=lambda each: self._readers[each].stalled_since):
-            is_progressing = now - self._readers[reader].stalled_since < SHORTEST_STALL_S
+            is_progressing = now - self._readers[reader].stalled_since < MIN_STALL_S
             if is_progressing or not self.is_over:
                 break
             endings.append(self._end(reader, EndReason.HELD_BYTES_BOUND, now))
--- a/src/passlane/decisions/failure/retry_after.py
+++ b/src/passlane/decisions/failure/retry_after.py
@@ -4,8 +4,8 @@
 or the node is overloaded), or the back ends have no free capacity.
 """
 
-SHORTEST_OUTAGE_RETRY_S = 0.1
-LONGEST_OUTAGE_RETRY_S = 1.0
+MIN_OUTAGE_RETRY_S = 0.1
+MAX_OUTAGE_RETRY_S = 1.0
 MIN_CAPACITY_RETRY_S = 0.05
 """Longer than a caller needs to connect to another node."""
 MAX_CAPACITY_RETRY_S = 0.6
@@ -21,7 +21,7 @@
     The time equals the outage so far, within bounds: short outages delay callers little, and long
     outages cause few retries.
     """
-    return round(min(LONGEST_OUTAGE_RETRY_S, max(SHORTEST_OUTAGE_RETRY_S, outage_s)), 2)
+    return round(min(MAX_OUTAGE_RETRY_S, max(MIN_OUTAGE_RETRY_S, outage_s)), 2)
 
 
 def retry_after_wait_s(wait_s: float, draw: float) -> float:
--- a/src/passlane/node/leader_service.py
+++ b/src/passlane/node/leader_service.py
@@ -94,7 +94,7 @@
         in_memory = self._directory.host_in_memory(request.program_id)
         if in_memory is not None:
             is_in_flight = in_memory.is_in_flight(call_id_of(request))
-            judge.note_record(in_memory.program, is_in_flight=is_in_flight)
+            judge.apply_record(in_memory.program, is_in_flight=is_in_flight)
         try:
             async with self._subscribe(request, judge) as subscription:
                 async for event in subscription:
@@ -129,7 +129,7 @@
             host = await self._host_before_deadline(request, deadline)
             self._require_not_moving(request.program_id)
             is_in_flight = host.is_in_flight(call_id_of(request))
-            judge.note_record(host.program, is_in_flight=is_in_flight)
+            judge.apply_record(host.program, is_in_flight=is_in_flight)
             subscription = self._submit(host, request, deadline)
             judge.record_join(host.program)
             try:
--- a/src/passlane/node/node_core.py
+++ b/src/passlane/node/node_core.py
@@ -170,7 +170,7 @@
     admission = Admission(settings.node.max_queued_calls)
     releases = ReleaseLoop(services, source)
     incoming = IncomingPartitions()
-    poller = EnginePoller(services, tasks, _poll_pace(settings), source)
+    poller = EnginePoller(services, tasks, _poll_intervals(settings), source)
     leader = LeaderService(
         services, directory, admission, releases, caller, NodeId(settings.process.name), incoming
     )
@@ -187,7 +187,7 @@
     )
 
 
-def _poll_pace(settings: Settings) -> PollIntervals:
+def _poll_intervals(settings: Settings) -> PollIntervals:
     node = settings.node
     return PollIntervals(node.engine_poll_s, node.idle_engine_poll_s, node.max_engine_polls_per_s)
 
--- a/src/passlane/node/operation_recovery.py
+++ b/src/passlane/node/operation_recovery.py
@@ -26,7 +26,7 @@
     PasslaneError
         ``UNAVAILABLE`` when no outcome could be recorded; the call stays open.
     """
-    context = _recovery_set_up(services, program, open_call, attempt_prefix)
+    context = _recovery_context(services, program, open_call, attempt_prefix)
     finished = anyio.Event()
     runner = CallRunner(services, program, context, _skip_settling, lambda _: finished.set())
     runner.start()
@@ -39,7 +39,7 @@
         )
 
 
-def _recovery_set_up(
+def _recovery_context(
     services: CallServices, program: LedProgram, open_call: OpenCall, attempt_prefix: str
 ) -> CallContext:
     call = open_call.call
--- a/src/passlane/node/refusal_verdicts.py
+++ b/src/passlane/node/refusal_verdicts.py
@@ -30,7 +30,7 @@
         self._request = request
         self._is_first_request = not may_be_repeat(request)
 
-    def note_record(self, program: LedProgram, *, is_in_flight: bool) -> None:
+    def apply_record(self, program: LedProgram, *, is_in_flight: bool) -> None:
         """Apply the program's record as it was when the request arrived.
 
         If the record does not contain the call and the call is neither queued nor running,
@@ -49,7 +49,7 @@
 
         If the record does not contain the call, the refusal keeps the verdict of that call.
         """
-        self.note_record(program, is_in_flight=False)
+        self.apply_record(program, is_in_flight=False)
 
     def verdict(self, program: LedProgram | None) -> Verdict:
         """Return the verdict that replaces ``not_run``; ``program`` is the current state."""
--- a/src/passlane/programs/call_machine.py
+++ b/src/passlane/programs/call_machine.py
@@ -116,9 +116,9 @@
             case IntentRefused():
                 return self._refuse(event.code, event.message, event.retry_after_s)
             case PlacementGranted():
-                return self._on_start_ordered(event)
+                return self._on_placement_granted(event)
             case PlacementRefused():
-                return self._on_start_refused(event)
+                return self._on_placement_refused(event)
             case AttemptFinished():
                 return self._on_attempt_finished(event)
             case AttemptFailed():
@@ -168,7 +168,7 @@
         excluded = frozenset(self._failed_backends)
         return [RequestPlacement(excluded=excluded, resume_from=len(self.texts))]
 
-    def _on_start_ordered(self, event: PlacementGranted) -> list[CallInstruction]:
+    def _on_placement_granted(self, event: PlacementGranted) -> list[CallInstruction]:
         if self.phase is not CallPhase.PLACING:
             return []
         self.phase = CallPhase.RUNNING
@@ -186,7 +186,7 @@
             )
         ]
 
-    def _on_start_refused(self, event: PlacementRefused) -> list[CallInstruction]:
+    def _on_placement_refused(self, event: PlacementRefused) -> list[CallInstruction]:
         if self.phase is not CallPhase.PLACING:
             return []
         return self._refuse(event.code, event.message, event.retry_after_s)
--- a/src/passlane/relay/slow_reader_monitor.py
+++ b/src/passlane/relay/slow_reader_monitor.py
@@ -11,8 +11,8 @@
 
 from passlane.decisions.admission.reader_buffers import (
     Ending,
-    HeldBytesBounds,
     Instruction,
+    ReaderBufferBounds,
     ReaderBuffers,
 )
 from passlane.observability.logging import get_logger
@@ -47,7 +47,7 @@
         Number of connections that were closed, by reason.
     """
 
-    def __init__(self, bounds: HeldBytesBounds) -> None:
+    def __init__(self, bounds: ReaderBufferBounds) -> None:
         self._buffered = ReaderBuffers(bounds)
         self._watched: dict[Hashable, _Watched] = {}
         self._polled_at: float | None = None
@@ -58,7 +58,7 @@
         """Unread bytes of all callers at the last poll."""
         return self._buffered.total
 
-    def replace_bounds(self, bounds: HeldBytesBounds) -> None:
+    def replace_bounds(self, bounds: ReaderBufferBounds) -> None:
         """Use other bounds from the next poll on."""
         self._buffered.replace_bounds(bounds)
 
--- a/src/passlane/settings/fleet.py
+++ b/src/passlane/settings/fleet.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from passlane.decisions.admission.loop_lag import LARGEST_SAMPLE_S
+from passlane.decisions.admission.loop_lag import MAX_SAMPLE_S
 from passlane.decisions.admission.node_load import LATE_LOOP_S, VERY_LATE_LOOP_S
 from passlane.decisions.admission.reader_buffers import (
     BYTES_FOR_ONE,
-    LONGEST_STALL_S,
-    SHORTEST_STALL_S,
+    MAX_STALL_S,
+    MIN_STALL_S,
 )
 from passlane.messages.common import Address
 from passlane.messages.fleet import FleetRole
@@ -153,7 +153,7 @@
     enabled: bool = False
     caller_bytes: int = BYTES_FOR_ONE
     all_callers_bytes: int = 0
-    longest_stall_s: float = LONGEST_STALL_S
+    longest_stall_s: float = MAX_STALL_S
     late_loop_s: float = LATE_LOOP_S
     very_late_loop_s: float = VERY_LATE_LOOP_S
     most_under_way: int = 0
@@ -231,12 +231,12 @@
         yield SettingsProblem(
             "node_bounds.all_callers_bytes", "expected 0, or caller_bytes or more"
         )
-    if bounds.longest_stall_s < SHORTEST_STALL_S:
-        yield SettingsProblem("node_bounds.longest_stall_s", f"expected {SHORTEST_STALL_S} or more")
-    if not 0 < bounds.late_loop_s < bounds.very_late_loop_s < LARGEST_SAMPLE_S:
+    if bounds.longest_stall_s < MIN_STALL_S:
+        yield SettingsProblem("node_bounds.longest_stall_s", f"expected {MIN_STALL_S} or more")
+    if not 0 < bounds.late_loop_s < bounds.very_late_loop_s < MAX_SAMPLE_S:
         yield SettingsProblem(
             "node_bounds.late_loop_s",
-            f"expected more than 0, less than very_late_loop_s, and that below {LARGEST_SAMPLE_S}",
+            f"expected more than 0, less than very_late_loop_s, and that below {MAX_SAMPLE_S}",
         )
     if bounds.most_under_way < 0:
         yield SettingsProblem("node_bounds.most_under_way", "expected 0 or more")
--- a/tests/daemon/fleet/test_node_bounds.py
+++ b/tests/daemon/fleet/test_node_bounds.py
@@ -10,7 +10,7 @@
 from passlane.daemon.fleet import node_bounds
 from passlane.daemon.fleet.node_bounds import MAX_ROUTE_STALL_S, NodeBounds
 from passlane.decisions.admission.node_load import Admission
-from passlane.decisions.admission.reader_buffers import LONGEST_STALL_S
+from passlane.decisions.admission.reader_buffers import MAX_STALL_S
 from passlane.messages.common import Address
 from passlane.messages.fleet import FleetRole
 from passlane.observability.metrics import Metrics
@@ -60,7 +60,7 @@
 
     def test_the_stall_bound_follows_the_target_latency_of_the_slowest_route(self):
         sampler = self.bounds()
-        for target_s, stall_s in ((0.25, LONGEST_STALL_S), (0.75, 3.0), (60.0, MAX_ROUTE_STALL_S)):
+        for target_s, stall_s in ((0.25, MAX_STALL_S), (0.75, 3.0), (60.0, MAX_ROUTE_STALL_S)):
             sampler.apply_configuration(configuration(route(target_latency_s=target_s)))
             self.assertEqual(sampler._bounds.longest_stall_s, stall_s)
 
--- a/tests/decisions/admission/test_loop_lag.py
+++ b/tests/decisions/admission/test_loop_lag.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from passlane.decisions.admission.loop_lag import (
-    LARGEST_SAMPLE_S,
+    MAX_SAMPLE_S,
     SAMPLE_PERIOD_S,
     SAMPLE_WEIGHT,
     LoopLag,
@@ -22,7 +22,7 @@
     def test_the_mean_recovers_soon_after_a_single_freeze(self):
         lag = LoopLag()
         lag.note(1.0, 31.0)
-        self.assertAlmostEqual(lag.mean_s, SAMPLE_WEIGHT * LARGEST_SAMPLE_S)
+        self.assertAlmostEqual(lag.mean_s, SAMPLE_WEIGHT * MAX_SAMPLE_S)
         for _ in range(int(1.5 / SAMPLE_PERIOD_S)):
             lag.note(1.0, 1.0)
         self.assertLess(lag.mean_s, 0.03)
--- a/tests/decisions/admission/test_reader_buffers.py
+++ b/tests/decisions/admission/test_reader_buffers.py
@@ -4,11 +4,11 @@
 import unittest
 
 from passlane.decisions.admission.reader_buffers import (
-    LONGEST_STALL_S,
-    SHORTEST_STALL_S,
+    MAX_STALL_S,
+    MIN_STALL_S,
     EndReason,
-    HeldBytesBounds,
     Instruction,
+    ReaderBufferBounds,
     ReaderBuffers,
 )
 
@@ -18,7 +18,7 @@
 
 class HeldBytesTest(unittest.TestCase):
     def setUp(self):
-        self.buffers = ReaderBuffers(HeldBytesBounds(for_one=FOR_ONE, for_all=FOR_ALL))
+        self.buffers = ReaderBuffers(ReaderBufferBounds(for_one=FOR_ONE, for_all=FOR_ALL))
 
     def reasons(self, now):
         return {ending.reader: ending.reason for ending in self.buffers.check(now)}
@@ -39,12 +39,12 @@
 
     def test_a_stalled_reader_is_terminated_with_its_buffered_bytes(self):
         self.buffers.record_buffered("stopped", 60, 0.0)
-        self.assertEqual(self.reasons(LONGEST_STALL_S - 0.01), {})
-        self.buffers.record_buffered("stopped", 10, LONGEST_STALL_S - 0.01)
-        (ending,) = self.buffers.check(LONGEST_STALL_S)
+        self.assertEqual(self.reasons(MAX_STALL_S - 0.01), {})
+        self.buffers.record_buffered("stopped", 10, MAX_STALL_S - 0.01)
+        (ending,) = self.buffers.check(MAX_STALL_S)
         self.assertEqual(
             (ending.reader, ending.reason, ending.held_bytes, ending.stalled_s),
-            ("stopped", EndReason.READER_STOPPED, 70, LONGEST_STALL_S),
+            ("stopped", EndReason.READER_STOPPED, 70, MAX_STALL_S),
         )
         self.assertEqual(self.buffers.total, 0)
 
@@ -59,7 +59,7 @@
         self.buffers.record_buffered("first", 90, 0.0)
         self.buffers.record_buffered("second", 90, 0.2)
         self.assertIs(self.buffers.record_buffered("third", 90, 0.3), Instruction.WAIT)
-        self.assertEqual(self.reasons(SHORTEST_STALL_S), {"first": EndReason.HELD_BYTES_BOUND})
+        self.assertEqual(self.reasons(MIN_STALL_S), {"first": EndReason.HELD_BYTES_BOUND})
         self.assertEqual(self.buffers.total, 180)
 
     def test_above_the_total_bound_readers_that_make_progress_are_not_terminated(self):
@@ -84,10 +84,10 @@
         self.assertEqual((self.buffers.total, self.reasons(100.0)), (0, {}))
 
     def test_without_a_total_bound_only_stalls_terminate_readers(self):
-        self.buffers = ReaderBuffers(HeldBytesBounds(for_one=FOR_ONE))
+        self.buffers = ReaderBuffers(ReaderBufferBounds(for_one=FOR_ONE))
         for number in range(100):
             self.buffers.record_buffered(number, FOR_ONE, 0.0)
-        self.assertEqual(self.reasons(LONGEST_STALL_S - 0.01), {})
+        self.assertEqual(self.reasons(MAX_STALL_S - 0.01), {})
 
     def test_the_total_equals_the_sum_of_all_readers(self):
         source = random.Random(7)
@@ -111,5 +111,5 @@
             else:
                 for ending in self.buffers.check(now):
                     self.assertEqual(ending.held_bytes, sizes.pop(ending.reader))
-                    self.assertGreaterEqual(ending.stalled_s, SHORTEST_STALL_S)
+                    self.assertGreaterEqual(ending.stalled_s, MIN_STALL_S)
             self.assertEqual(self.buffers.total, sum(sizes.values()))
--- a/tests/decisions/failure/test_retry_after.py
+++ b/tests/decisions/failure/test_retry_after.py
@@ -3,11 +3,11 @@
 import unittest
 
 from passlane.decisions.failure.retry_after import (
-    LONGEST_OUTAGE_RETRY_S,
     MAX_CAPACITY_RETRY_S,
+    MAX_OUTAGE_RETRY_S,
     MIN_CAPACITY_RETRY_S,
+    MIN_OUTAGE_RETRY_S,
     ROOM_RETRY_SPREAD,
-    SHORTEST_OUTAGE_RETRY_S,
     retry_after_outage_s,
     retry_after_wait_s,
 )
@@ -15,9 +15,9 @@
 
 class OutageTest(unittest.TestCase):
     def test_it_equals_the_outage_within_bounds(self):
-        self.assertEqual(retry_after_outage_s(0.0), SHORTEST_OUTAGE_RETRY_S)
+        self.assertEqual(retry_after_outage_s(0.0), MIN_OUTAGE_RETRY_S)
         self.assertEqual(retry_after_outage_s(0.456), 0.46)
-        self.assertEqual(retry_after_outage_s(60.0), LONGEST_OUTAGE_RETRY_S)
+        self.assertEqual(retry_after_outage_s(60.0), MAX_OUTAGE_RETRY_S)
 
 
 class CapacityTest(unittest.TestCase):
--- a/tests/relay/test_service.py
+++ b/tests/relay/test_service.py
@@ -12,10 +12,10 @@
 from passlane.decisions.backends.answer_times import UNKNOWN_ANSWER_S
 from passlane.decisions.backends.registry import BackendRegistry
 from passlane.decisions.failure.retry_after import (
-    LONGEST_OUTAGE_RETRY_S,
     MAX_CAPACITY_RETRY_S,
+    MAX_OUTAGE_RETRY_S,
+    MIN_OUTAGE_RETRY_S,
     ROOM_RETRY_SPREAD,
-    SHORTEST_OUTAGE_RETRY_S,
 )
 from passlane.decisions.inputs.relayed_call import PromptPart
 from passlane.decisions.placement.request_placement import NodeLocation
@@ -647,7 +647,7 @@
             store = ScriptedStore(is_unavailable=True, outage_s=outage_s)
             self.relay([], call_changes=self.changes, store=store, **TURNS)
             delays.append(self.writer.retry_after_s)
-        self.assertEqual(delays, [SHORTEST_OUTAGE_RETRY_S, 0.4, LONGEST_OUTAGE_RETRY_S])
+        self.assertEqual(delays, [MIN_OUTAGE_RETRY_S, 0.4, MAX_OUTAGE_RETRY_S])
 
     def test_a_turn_that_did_not_run_releases_its_reservation(self):
         self.relay([Script(AT_CAPACITY)] * 400, call_changes=self.changes, **TURNS)
--- a/tests/relay/test_slow_reader_monitor.py
+++ b/tests/relay/test_slow_reader_monitor.py
@@ -4,7 +4,7 @@
 
 from structlog.testing import capture_logs
 
-from passlane.decisions.admission.reader_buffers import LONGEST_STALL_S, HeldBytesBounds
+from passlane.decisions.admission.reader_buffers import MAX_STALL_S, ReaderBufferBounds
 from passlane.relay.slow_reader_monitor import MAX_LOGGED_ENDINGS, SlowReaderMonitor
 
 PERIOD_S = 0.25
@@ -40,7 +40,7 @@
 
 class UnreadAnswersTest(unittest.TestCase):
     def setUp(self):
-        self.watch = SlowReaderMonitor(HeldBytesBounds(for_one=100, for_all=250))
+        self.watch = SlowReaderMonitor(ReaderBufferBounds(for_one=100, for_all=250))
 
     def poll_until(self, end_s, between_polls=lambda: None):
         now = 0.0
@@ -58,11 +58,11 @@
             reading.read(30)
 
         with capture_logs() as lines:
-            self.poll_until(LONGEST_STALL_S, transfer)
+            self.poll_until(MAX_STALL_S, transfer)
         self.assertEqual((stopped.end_reason, reading.end_reason), ("reader_stopped", ""))
         (line,) = lines
         self.assertEqual((line["event"], line["caller"]), ("answer_ended_unread", "10.0.0.9:1"))
-        self.assertEqual((line["unread_bytes"], line["stalled_s"]), (70, LONGEST_STALL_S))
+        self.assertEqual((line["unread_bytes"], line["stalled_s"]), (70, MAX_STALL_S))
         self.assertEqual(self.watch.ended, {"reader_stopped": 1})
 
     def test_a_reader_slower_than_its_answer_is_not_considered_stalled(self):
@@ -97,7 +97,7 @@
         self.assertEqual(self.watch.buffered_bytes, 90)
         self.watch.closed(closed)
         self.assertEqual(self.watch.buffered_bytes, 0)
-        self.poll_until(LONGEST_STALL_S)
+        self.poll_until(MAX_STALL_S)
         self.assertEqual(closed.end_reason, "")
 
     def test_time_while_the_process_was_suspended_does_not_count_as_a_stall(self):
@@ -105,7 +105,7 @@
         connection.write(10)
         self.watch.poll(0.0)
         now = 30.0
-        while now < 30.0 + LONGEST_STALL_S:
+        while now < 30.0 + MAX_STALL_S:
             self.watch.poll(now)
             now += PERIOD_S
         self.assertEqual(connection.end_reason, "")
@@ -115,7 +115,7 @@
         for connection in stopped:
             connection.write(1)
         with capture_logs() as lines:
-            self.poll_until(LONGEST_STALL_S)
+            self.poll_until(MAX_STALL_S)
         self.assertEqual(len(lines), MAX_LOGGED_ENDINGS + 1)
         self.assertEqual([line["count"] for line in lines if "count" in line], [5])
         self.assertEqual({each.end_reason for each in stopped}, {"reader_stopped"})
