--- a/src/passlane/cli/policy_explain.py
+++ b/src/passlane/cli/policy_explain.py
@@ -134,10 +134,12 @@
         service: ServiceBody | None,
     ) -> PolicyExplanation:
         facts = importlib.import_module("passlane.policy.facts")
-        governor = importlib.import_module("passlane.policy.active_policies").ActivePolicies()
-        governor.update(documents)
+        active_policies = importlib.import_module(
+            "passlane.policy.active_policies"
+        ).ActivePolicies()
+        active_policies.update(documents)
         is_sub_agent = bool(self.option("sub-agent"))
-        call = governor.classify(
+        call = active_policies.classify(
             facts.CallFacts(
                 tenant=tenant_id,
                 program=PLACEHOLDER_PROGRAM_ID,
@@ -146,7 +148,7 @@
                 **self._parse_numbers(),
             )
         )
-        program = governor.budget(
+        program = active_policies.budget(
             facts.ProgramFacts(
                 tenant=tenant_id, program=PLACEHOLDER_PROGRAM_ID, is_sub_agent=is_sub_agent
             ),
@@ -161,7 +163,7 @@
             budget=program.budget,
             deadline_s=program.deadline_s,
             tool_pause_s=program.tool_pause_s,
-            problems=_collect_problems(governor, tenant, service, documents.policies),
+            problems=_collect_problems(active_policies, tenant, service, documents.policies),
         )
 
     def _parse_numbers(self) -> dict[str, int]:
@@ -189,7 +191,7 @@
 
 
 def _collect_problems(
-    governor: Any,
+    active_policies: Any,
     tenant: TenantBody,
     service: ServiceBody | None,
     policies: Mapping[str, PolicyBody],
@@ -198,7 +200,9 @@
         return (f"there is no service {tenant.service!r}",)
     if service.policy is not None and service.policy not in policies:
         return (f"there is no policy {service.policy!r}",)
-    return tuple(f"{report.policy}: {report.message}" for report in governor.collect_problems())
+    return tuple(
+        f"{report.policy}: {report.message}" for report in active_policies.collect_problems()
+    )
 
 
 def _format_explanation(explanation: PolicyExplanation) -> list[str]:
--- a/src/passlane/daemon/fleet/control.py
+++ b/src/passlane/daemon/fleet/control.py
@@ -46,7 +46,7 @@
         self._context = context
         self._scope = anyio.CancelScope()
         random = context.environment.random
-        self._follower = FleetClient(
+        self._fleet_client = FleetClient(
             context.heartbeat, context.seed_addresses(), context.pool, random
         )
         machine = FleetStateMachine()
@@ -89,14 +89,16 @@
         )
 
     def _find_members(self) -> list[PeerSettings]:
-        controls = [PeerSettings(name=a.host, internal=a) for a in self._follower.leader.controls]
+        controls = [
+            PeerSettings(name=a.host, internal=a) for a in self._fleet_client.leader.controls
+        ]
         members = [
             PeerSettings(name=m.address.host, internal=m.address) for m in self._host.members
         ]
         return controls + members
 
     def _control_addresses(self) -> tuple[Address, ...]:
-        return self._follower.leader.controls
+        return self._fleet_client.leader.controls
 
     async def run(self) -> None:
         """Run until stopped."""
@@ -104,7 +106,7 @@
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._host.run)
                 tasks.start_soon(self._service.run)
-                tasks.start_soon(self._follower.run)
+                tasks.start_soon(self._fleet_client.run)
                 tasks.start_soon(self._serve_operators)
 
     async def _serve_operators(self) -> None:
@@ -115,7 +117,7 @@
 
     def reload(self, settings: FleetSettings) -> None:
         """Apply those settings that may change while the process runs."""
-        self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
+        self._fleet_client.leader.replace_seeds(self._context.seed_addresses(settings))
 
     async def drain_and_stop(self) -> None:
         """Transfer leadership to another replica if this one leads, then stop."""
--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -50,10 +50,10 @@
         self._scope = anyio.CancelScope()
         self._relay: RelayService | None = None
         self._requests: InFlightRequests | None = None
-        self._follower = FleetClient(
+        self._fleet_client = FleetClient(
             context.heartbeat, context.seed_addresses(), context.pool, random
         )
-        self._follower.configuration.on_change(self._apply_configuration)
+        self._fleet_client.configuration.on_change(self._apply_configuration)
         self._store = TurnStoreClient(context.pool, self._store_addresses, random)
 
     async def run(self) -> None:
@@ -66,15 +66,15 @@
             ),
             self._registry,
             settings.backend_list.rate_per_s,
-            lambda: self._follower.view.node_count,
-            lambda: self._follower.view.reads_backends,
-            self._follower.reporter.report,
+            lambda: self._fleet_client.view.node_count,
+            lambda: self._fleet_client.view.reads_backends,
+            self._fleet_client.reporter.report,
             context.environment.random,
         )
-        self._follower.backends.on_confirmation(reader.apply)
+        self._fleet_client.backends.on_confirmation(reader.apply)
         async with anyio.create_task_group() as tasks:
             self._relay = self._build_relay(tasks)
-            tasks.start_soon(self._follower.run)
+            tasks.start_soon(self._fleet_client.run)
             tasks.start_soon(reader.run)
             tasks.start_soon(self._store.run)
             tasks.start_soon(self._bounds.run)
@@ -91,7 +91,7 @@
         times.record(StartupMilestone.RUNNING)
         async with anyio.create_task_group() as tasks:
             for milestone, wait in (
-                (StartupMilestone.CONFIGURATION, self._follower.configuration.wait_until_known),
+                (StartupMilestone.CONFIGURATION, self._fleet_client.configuration.wait_until_known),
                 (StartupMilestone.STORE_LEADER, self._store.wait_for_leader),
                 (StartupMilestone.FIRST_ANSWER, relay.wait_for_answer),
             ):
@@ -115,7 +115,7 @@
             self._bounds.admission,
             requests_placement=context.settings.turns.are_placed_by_store,
         )
-        configuration = self._follower.configuration.newest
+        configuration = self._fleet_client.configuration.newest
         if configuration is not None:
             relay.replace_configuration(configuration)
         return relay
@@ -141,14 +141,14 @@
         A node that is partitioned from the control or store group isn't ready, so that the
         platform routes clients to other nodes.
         """
-        configuration, view = self._follower.configuration, self._follower.view
+        configuration, view = self._fleet_client.configuration, self._fleet_client.view
         has_fleet_state = configuration.newest is not None and view.has_seen_store_leader
         is_partitioned = view.is_stale or self._store.is_unavailable
         has_list = self._registry.updated_at is not None
         return has_fleet_state and has_list and not is_partitioned and not self._is_draining
 
     def _store_addresses(self) -> list[Address]:
-        view = self._follower.view
+        view = self._fleet_client.view
         return [store.address for store in (*view.stores, *view.initial_stores)]
 
     def _apply_configuration(self, configuration: RouteConfiguration) -> None:
@@ -162,7 +162,7 @@
 
     def reload(self, settings: FleetSettings) -> None:
         """Apply those settings that may change while the process runs."""
-        self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
+        self._fleet_client.leader.replace_seeds(self._context.seed_addresses(settings))
         self._stop_times = StopTimes.within(settings.timing.grace_s)
 
     async def drain_and_stop(self) -> None:
--- a/src/passlane/daemon/fleet/store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -50,11 +50,11 @@
         self._host: ReplicaHost | None = None
         self._may_found = False
         self._backends: Sequence[BackendRecord] = ()
-        self._follower = FleetClient(
+        self._fleet_client = FleetClient(
             self._heartbeat, context.seed_addresses(), context.pool, context.environment.random
         )
         self._dispatcher = TurnDispatcher(TurnScheduler())
-        self._follower.backends.on_confirmation(self._apply_backends)
+        self._fleet_client.backends.on_confirmation(self._apply_backends)
         context.router.add_unary(RemoveReplica, self._remove_replica)
 
     @property
@@ -67,7 +67,7 @@
         with self._scope:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self._run_replica)
-                tasks.start_soon(self._follower.run)
+                tasks.start_soon(self._fleet_client.run)
 
     async def _run_replica(self) -> None:
         """Run the replica; unless the disk records its membership, wait for the members first."""
@@ -106,7 +106,7 @@
         )
 
     async def _wait_for_initial_members(self) -> tuple[NamedAddress, ...]:
-        view = self._follower.view
+        view = self._fleet_client.view
         while not view.initial_stores:
             await view.wait_for_change()
         return view.initial_stores
@@ -140,12 +140,14 @@
         )
 
     def _find_members(self) -> list[PeerSettings]:
-        stores = [PeerSettings(name=s.name, internal=s.address) for s in self._follower.view.stores]
+        stores = [
+            PeerSettings(name=s.name, internal=s.address) for s in self._fleet_client.view.stores
+        ]
         members = self._host.members if self._host is not None else ()
         return stores + [PeerSettings(name=m.address.host, internal=m.address) for m in members]
 
     def _may_join(self) -> bool:
-        return self._context.replica_name not in self._follower.view.retired_replicas
+        return self._context.replica_name not in self._fleet_client.view.retired_replicas
 
     def _heartbeat(self) -> Announce:
         host = self._host
@@ -168,7 +170,7 @@
 
     def reload(self, settings: FleetSettings) -> None:
         """Apply those settings that may change while the process runs."""
-        self._follower.leader.replace_seeds(self._context.seed_addresses(settings))
+        self._fleet_client.leader.replace_seeds(self._context.seed_addresses(settings))
 
     async def drain_and_stop(self) -> None:
         """Transfer leadership to another replica if this one leads, then stop."""
--- a/src/passlane/decisions/scheduling/slot_assigner.py
+++ b/src/passlane/decisions/scheduling/slot_assigner.py
@@ -35,8 +35,8 @@
         choice = choose_engine(engines, turn.asked, service.durations)
         if choice is not None:
             return choice
-        on_trial = self._engines.probe_candidates(service.name, now)
-        return choose_engine(on_trial, turn.asked, service.durations)
+        probe_candidates = self._engines.probe_candidates(service.name, now)
+        return choose_engine(probe_candidates, turn.asked, service.durations)
 
     def assign_free_slots(self, service: ServiceTurns, now: float) -> list[TurnPlaced]:
         """Assign free slots to waiting turns in order, until the first one fits no engine."""
--- a/src/passlane/node/engine_poller.py
+++ b/src/passlane/node/engine_poller.py
@@ -35,17 +35,21 @@
 
     Parameters
     ----------
-    pace
+    poll_intervals
         Computes the interval between two polls of an engine, which is then varied at random
         by up to 20%.
     """
 
     def __init__(
-        self, services: CallServices, tasks: TaskGroup, pace: PollIntervals, source: random.Random
+        self,
+        services: CallServices,
+        tasks: TaskGroup,
+        poll_intervals: PollIntervals,
+        source: random.Random,
     ) -> None:
         self._services = services
         self._tasks = tasks
-        self._pace = pace
+        self._poll_intervals = poll_intervals
         self._random = source
         self._watches: dict[EngineId, _Watch] = {}
         self._fetching: set[EngineId] = set()
@@ -59,7 +63,7 @@
         """Set the engines to poll; stop polling all others."""
         for engine_id in self.watched - engine_ids:
             self._watches.pop(engine_id).scope.cancel()
-            self._pace.forget(engine_id)
+            self._poll_intervals.forget(engine_id)
         for engine_id in sorted(engine_ids - self.watched):
             watch = _Watch(anyio.CancelScope())
             self._watches[engine_id] = watch
@@ -68,7 +72,7 @@
     def record_use(self, engine_id: EngineId) -> None:
         """Record a call that starts on an engine; an engine that was idle is polled at once."""
         watch = self._watches.get(engine_id)
-        if watch is not None and self._pace.record_use(engine_id, anyio.current_time()):
+        if watch is not None and self._poll_intervals.record_use(engine_id, anyio.current_time()):
             watch.first_use.set()
 
     async def _poll_forever(self, engine_id: EngineId, watch: _Watch) -> None:
@@ -83,7 +87,7 @@
     async def _wait(self, engine_id: EngineId, watch: _Watch) -> None:
         """Wait for the engine's poll interval, or until a call starts on the idle engine."""
         watch.first_use = anyio.Event()
-        interval_s = self._pace.interval_s(engine_id, self._watches, anyio.current_time())
+        interval_s = self._poll_intervals.interval_s(engine_id, self._watches, anyio.current_time())
         with anyio.move_on_after(interval_s * self._random.uniform(0.8, 1.2)):
             await watch.first_use.wait()
 
--- a/src/passlane/node/leader_service.py
+++ b/src/passlane/node/leader_service.py
@@ -90,22 +90,22 @@
         PasslaneError
             If the call was refused at once, or must be sent to another node.
         """
-        judge = RefusalVerdictResolver(request)
+        resolver = RefusalVerdictResolver(request)
         in_memory = self._directory.host_in_memory(request.program_id)
         if in_memory is not None:
             is_in_flight = in_memory.is_in_flight(call_id_of(request))
-            judge.apply_record(in_memory.program, is_in_flight=is_in_flight)
+            resolver.apply_record(in_memory.program, is_in_flight=is_in_flight)
         try:
-            async with self._subscribe(request, judge) as subscription:
+            async with self._subscribe(request, resolver) as subscription:
                 async for event in subscription:
                     if isinstance(event, CallRefused):
-                        event = refusal_with_verdict(event, self._verdict(judge, request))
+                        event = refusal_with_verdict(event, self._verdict(resolver, request))
                     yield event
         except PasslaneError as error:
-            raise error_with_verdict(error, self._verdict(judge, request)) from error
+            raise error_with_verdict(error, self._verdict(resolver, request)) from error
 
-    def _verdict(self, judge: RefusalVerdictResolver, request: CallRequest) -> Verdict:
-        return judge.verdict(self._directory.program_in_memory(request.program_id))
+    def _verdict(self, resolver: RefusalVerdictResolver, request: CallRequest) -> Verdict:
+        return resolver.verdict(self._directory.program_in_memory(request.program_id))
 
     def set_max_requests(self, max_requests: int) -> None:
         """Change the maximum number of calls in flight."""
@@ -113,7 +113,7 @@
 
     @asynccontextmanager
     async def _subscribe(
-        self, request: CallRequest, judge: RefusalVerdictResolver
+        self, request: CallRequest, resolver: RefusalVerdictResolver
     ) -> AsyncIterator[Subscription]:
         """Admit a call and yield the subscription to its events."""
         deadline = anyio.current_time() + request.timeout_s
@@ -129,9 +129,9 @@
             host = await self._host_before_deadline(request, deadline)
             self._require_not_moving(request.program_id)
             is_in_flight = host.is_in_flight(call_id_of(request))
-            judge.apply_record(host.program, is_in_flight=is_in_flight)
+            resolver.apply_record(host.program, is_in_flight=is_in_flight)
             subscription = self._submit(host, request, deadline)
-            judge.record_join(host.program)
+            resolver.record_join(host.program)
             try:
                 yield subscription
             finally:
--- a/src/passlane/relay/attempt_log.py
+++ b/src/passlane/relay/attempt_log.py
@@ -29,14 +29,14 @@
     list_age_s: float | None = None
 
 
-def log_outliers(judgement: ServiceHealth, *, request_id: str, service: str) -> None:
+def log_outliers(health: ServiceHealth, *, request_id: str, service: str) -> None:
     """Log which backends are outliers; decided in ``decisions.backends.health``."""
     _log.info(
         "outliers_changed",
         request_id=request_id,
         service=service,
-        outliers=sorted(judgement.outliers),
-        before=sorted(judgement.outliers_before),
+        outliers=sorted(health.outliers),
+        before=sorted(health.outliers_before),
     )
 
 
--- a/src/passlane/relay/attempts.py
+++ b/src/passlane/relay/attempts.py
@@ -75,14 +75,14 @@
         permit: RetryPermit | None = None
         while True:
             now = anyio.current_time()
-            judgement = evaluate_health(self._context, now)
-            load = self._choose(ChoiceInputs(judgement, permit, limit_at, now))
+            health = evaluate_health(self._context, now)
+            load = self._choose(ChoiceInputs(health, permit, limit_at, now))
             if load is None:
-                permit = await self._wait.wait_for_permit(judgement, limit_at)
+                permit = await self._wait.wait_for_permit(health, limit_at)
                 continue
             permit = None
             runs_before = self._history.runs
-            if await self._send(load, stall_limit_s(judgement.typical_s), limit_at, deliver):
+            if await self._send(load, stall_limit_s(health.typical_s), limit_at, deliver):
                 return
             if self._history.runs > runs_before:
                 await self._admit_rerun(limit_at)
--- a/src/passlane/relay/backend_choice.py
+++ b/src/passlane/relay/backend_choice.py
@@ -35,7 +35,7 @@
         Deadline of the request.
     """
 
-    judgement: ServiceHealth
+    health: ServiceHealth
     permit: RetryPermit | None
     limit_at: float
     now: float
@@ -95,14 +95,14 @@
         return choice.load
 
     def _choose_untried(self, inputs: ChoiceInputs) -> PlacementChoice | None:
-        loads = inputs.judgement.loads
+        loads = inputs.health.loads
         return choose_backend(
             loads,
             self._key,
             self._history.excluded,
             inputs.now,
-            inputs.judgement.outliers,
-            inputs.judgement.typical_s,
+            inputs.health.outliers,
+            inputs.health.typical_s,
             _idle_connected(self._context, loads) if self._key.is_plain else frozenset(),
         )
 
@@ -155,20 +155,20 @@
     def _view(self, inputs: ChoiceInputs) -> PlainView:
         # Plain services have no model, so their requests have no affinity.
         return PlainView(
-            loads=inputs.judgement.loads,
+            loads=inputs.health.loads,
             now=inputs.now,
-            connected=_idle_connected(self._context, inputs.judgement.loads),
-            outliers=inputs.judgement.outliers,
+            connected=_idle_connected(self._context, inputs.health.loads),
+            outliers=inputs.health.outliers,
         )
 
 
 def evaluate_health(context: RequestContext, now: float) -> ServiceHealth:
     """Judge the service's backends, and log the outliers if they have changed."""
     service = context.service.name
-    judgement = context.registry.evaluate_health(service, now)
-    if judgement.has_changed:
-        log_outliers(judgement, request_id=context.call.request_id, service=service)
-    return judgement
+    health = context.registry.evaluate_health(service, now)
+    if health.has_changed:
+        log_outliers(health, request_id=context.call.request_id, service=service)
+    return health
 
 
 def next_attempt_labels(
--- a/src/passlane/relay/request_wait.py
+++ b/src/passlane/relay/request_wait.py
@@ -38,7 +38,7 @@
         """Whether the request has started to wait, so that each further attempt needs a permit."""
         return self._waiting is not None
 
-    async def wait_for_permit(self, judgement: ServiceHealth, limit_at: float) -> RetryPermit:
+    async def wait_for_permit(self, health: ServiceHealth, limit_at: float) -> RetryPermit:
         """Wait until the request may try again.
 
         Raises
@@ -48,8 +48,8 @@
         """
         now = anyio.current_time()
         if self._waiting is None:
-            self._waiting = self._create_waiting_call(judgement, limit_at, now)
-        slots = max((load.record.slots for load in judgement.loads), default=1)
+            self._waiting = self._create_waiting_call(health, limit_at, now)
+        slots = max((load.record.slots for load in health.loads), default=1)
         permit = await self._waits.wait(self._waiting, slots)
         self.waited_s += anyio.current_time() - now
         if permit is not None:
@@ -75,18 +75,18 @@
         self._waiting = None
 
     def _create_waiting_call(
-        self, judgement: ServiceHealth, limit_at: float, now: float
+        self, health: ServiceHealth, limit_at: float, now: float
     ) -> WaitingCall:
         context = self._context
         return WaitingCall(
             request_id=context.call.request_id,
             priority=context.identity.queue_rank_on(context.route),
             arrived_at=context.call.arrived_at,
-            give_up_at=self._abandon_at(judgement, limit_at, now),
+            give_up_at=self._abandon_at(health, limit_at, now),
             joined_at=now,
         )
 
-    def _abandon_at(self, judgement: ServiceHealth, limit_at: float, now: float) -> float:
+    def _abandon_at(self, health: ServiceHealth, limit_at: float, now: float) -> float:
         route = self._context.route
         has_forwarded = self._history.has_forwarded_events
         return abandon_at(
@@ -94,5 +94,5 @@
             whole_by=self._waits.queue.gives_up_at(route.name, limit_at),
             silent_since=now if has_forwarded else self._context.call.arrived_at,
             limit_at=limit_at,
-            typical_s=judgement.typical_s,
+            typical_s=health.typical_s,
         )
--- a/src/passlane/turns/decision_log.py
+++ b/src/passlane/turns/decision_log.py
@@ -43,14 +43,14 @@
         )
 
 
-def log_slot_usage(service: str, figures: SchedulerStats) -> None:
+def log_slot_usage(service: str, stats: SchedulerStats) -> None:
     """Log the slot usage of a service while a turn waits or a refused program is to retry.
 
     ``running`` of ``slots`` turns run; ``decisions.order.turn_precedence`` explains why the others
     wait.
     """
-    if figures.has_waiting:
-        _log.info("places", service=service, **msgspec.structs.asdict(figures))
+    if stats.has_waiting:
+        _log.info("places", service=service, **msgspec.structs.asdict(stats))
 
 
 def log_slots(service: str, states: Sequence[EngineSlotState]) -> None:
--- a/src/passlane/turns/dispatch.py
+++ b/src/passlane/turns/dispatch.py
@@ -88,9 +88,9 @@
         """Log the slot usage of each service in which turns wait or are to retry."""
         now = anyio.current_time()
         for name in self._scheduler.service_names:
-            figures = self._scheduler.stats(name)
-            log_slot_usage(name, figures)
-            if figures.has_waiting:
+            stats = self._scheduler.stats(name)
+            log_slot_usage(name, stats)
+            if stats.has_waiting:
                 log_slots(name, self._scheduler.slot_states(name, now))
 
     def _apply_decisions(self, decisions: Iterable[TurnDecision]) -> None:
--- a/src/passlane/turns/slot_metrics.py
+++ b/src/passlane/turns/slot_metrics.py
@@ -11,11 +11,11 @@
 from passlane.observability.metrics import Metrics
 
 _STATES: dict[str, Callable[[SchedulerStats], int]] = {
-    "free": lambda figures: max(0, figures.slots - figures.running),
-    "running": lambda figures: figures.running,
-    "waiting_under_way": lambda figures: figures.waiting_under_way,
-    "waiting_new": lambda figures: figures.waiting_new,
-    "told_to_return": lambda figures: figures.told_to_return,
+    "free": lambda stats: max(0, stats.slots - stats.running),
+    "running": lambda stats: stats.running,
+    "waiting_under_way": lambda stats: stats.waiting_under_way,
+    "waiting_new": lambda stats: stats.waiting_new,
+    "told_to_return": lambda stats: stats.told_to_return,
 }
 
 
--- a/tests/decisions/admission/test_reader_buffers.py
+++ b/tests/decisions/admission/test_reader_buffers.py
@@ -16,7 +16,7 @@
 FOR_ALL = 250
 
 
-class HeldBytesTest(unittest.TestCase):
+class ReaderBuffersTest(unittest.TestCase):
     def setUp(self):
         self.buffers = ReaderBuffers(ReaderBufferBounds(for_one=FOR_ONE, for_all=FOR_ALL))
 
--- a/tests/decisions/order/test_capacity_queue.py
+++ b/tests/decisions/order/test_capacity_queue.py
@@ -120,7 +120,7 @@
         self.assertIsNone(queue.try_acquire_permit(call, PAUSES, 0.2))
 
 
-class ServiceRoomTest(unittest.TestCase):
+class ServiceCapacityTest(unittest.TestCase):
     def setUp(self):
         self.room = ServiceCapacity(NodeLocation("node-1", "a"), is_for_model=False)
 
--- a/tests/decisions/placement/plain_load.py
+++ b/tests/decisions/placement/plain_load.py
@@ -157,19 +157,19 @@
         simulation, node, now = self.simulation, call.node, self.simulation.now
         if call.ended_at is not None:
             return
-        judgement = node.registry.evaluate_health(SERVICE, now)
+        health = node.registry.evaluate_health(SERVICE, now)
         connected = {
             each.record.instance_id
-            for each in judgement.loads
+            for each in health.loads
             if node.connections.has_idle(each.record.instance_id, now)
         }
         choice = choose_backend(
-            judgement.loads,
+            health.loads,
             PlacementKey("", node.location),
             call.tried,
             now,
-            judgement.outliers,
-            judgement.typical_s,
+            health.outliers,
+            health.typical_s,
             connected,
         )
         if choice is not None:
@@ -206,16 +206,16 @@
         if not must_try and call.waiting is None and len(node.room):
             self._wait(call)
             return
-        judgement = node.registry.evaluate_health(SERVICE, now)
+        health = node.registry.evaluate_health(SERVICE, now)
         left_s = node.room.gives_up_at(call.kind.route, call.limit_at) - now
         plain_call = PlainCall(call.kind.route, call.kind.runs_once, left_s)
         connected = {
             each.record.instance_id
-            for each in judgement.loads
+            for each in health.loads
             if node.connections.has_idle(each.record.instance_id, now)
         }
         choice = node.room.plain.choose(
-            PlainView(judgement.loads, now, connected, judgement.outliers),
+            PlainView(health.loads, now, connected, health.outliers),
             plain_call,
             tried=call.tried,
             offered=offered,
--- a/tests/fleet/test_client.py
+++ b/tests/fleet/test_client.py
@@ -55,7 +55,7 @@
     return FleetView(number=number, addresses=included, node_count=1, configuration_version=0)
 
 
-class FollowerTest(unittest.TestCase):
+class FleetClientTest(unittest.TestCase):
     def test_a_view_without_addresses_keeps_the_previous_ones(self):
         first = view(7, stores=(member(1),), controls=(member(9),), retired_replicas=("x",))
         follower, control = follow(first, view(7))
--- a/tests/policy/test_policy.py
+++ b/tests/policy/test_policy.py
@@ -112,54 +112,58 @@
 
 
 class ActivePoliciesTest(unittest.TestCase):
-    def governor(self, source: str | None) -> ActivePolicies:
-        governor = ActivePolicies()
-        governor.update(configuration(source))
-        return governor
+    def active_policies(self, source: str | None) -> ActivePolicies:
+        active_policies = ActivePolicies()
+        active_policies.update(configuration(source))
+        return active_policies
 
     def test_budget_is_limited_by_tenant_and_policy(self):
-        governor = self.governor("def budget(program): return {'calls': 20, 'deadline_s': 9.0}")
+        active_policies = self.active_policies(
+            "def budget(program): return {'calls': 20, 'deadline_s': 9.0}"
+        )
         program = ProgramFacts(tenant=TENANT, program=ProgramId("p1"))
         requested = Amounts(tokens=5_000, calls=40, money_micros=99)
-        decision = governor.budget(program, requested)
+        decision = active_policies.budget(program, requested)
         self.assertEqual(Amounts(tokens=1_000, calls=20, money_micros=5), decision.budget)
         self.assertEqual(9.0, decision.deadline_s)
-        self.assertEqual(Amounts(tokens=100, calls=10), governor.budget(program, None).budget)
+        self.assertEqual(
+            Amounts(tokens=100, calls=10), active_policies.budget(program, None).budget
+        )
 
     def test_runtime_error_falls_back_to_default_and_is_reported(self):
-        governor = self.governor(
+        active_policies = self.active_policies(
             "def classify(call):\n"
             "  if call['prompt_tokens'] == 77:\n    return {'class': 1 // 0}\n"
             "  return {'class': 0, 'weight': 3.0}\n"
             "def share(tenant): return 2.0"
         )
-        self.assertEqual(0, governor.classify(facts()).service_class)
-        self.assertEqual(6.0, governor.classify(facts()).weight)
+        self.assertEqual(0, active_policies.classify(facts()).service_class)
+        self.assertEqual(6.0, active_policies.classify(facts()).weight)
         for _ in range(3):
-            self.assertEqual(1, governor.classify(facts(prompt_tokens=77)).service_class)
-        problems = governor.collect_problems()
+            self.assertEqual(1, active_policies.classify(facts(prompt_tokens=77)).service_class)
+        problems = active_policies.collect_problems()
         self.assertEqual([("p", 3)], [(item.policy, item.times) for item in problems])
         self.assertIn("zero", problems[0].message)
-        self.assertEqual([], governor.collect_problems())
-        self.assertIn("default", governor.explain(facts(prompt_tokens=77)))
+        self.assertEqual([], active_policies.collect_problems())
+        self.assertIn("default", active_policies.explain(facts(prompt_tokens=77)))
 
     def test_replaced_policy_applies_to_the_next_decision(self):
-        governor = self.governor("def classify(call): return {'class': 0}")
-        self.assertEqual(0, governor.classify(facts()).service_class)
-        governor.update(configuration("def classify(call): return {'class': 4}"))
-        self.assertEqual(4, governor.classify(facts()).service_class)
-        governor.update(configuration("def f(:"))
-        self.assertEqual(1, governor.classify(facts()).service_class)
-        self.assertEqual(1, len(governor.collect_problems()))
-        governor.update(configuration(None))
-        self.assertEqual(1, governor.classify(facts(tenant=TenantId("x"))).service_class)
+        active_policies = self.active_policies("def classify(call): return {'class': 0}")
+        self.assertEqual(0, active_policies.classify(facts()).service_class)
+        active_policies.update(configuration("def classify(call): return {'class': 4}"))
+        self.assertEqual(4, active_policies.classify(facts()).service_class)
+        active_policies.update(configuration("def f(:"))
+        self.assertEqual(1, active_policies.classify(facts()).service_class)
+        self.assertEqual(1, len(active_policies.collect_problems()))
+        active_policies.update(configuration(None))
+        self.assertEqual(1, active_policies.classify(facts(tenant=TenantId("x"))).service_class)
 
     def test_policy_cannot_change_module_state(self):
-        governor = self.governor(
+        active_policies = self.active_policies(
             "seen = []\ndef classify(call):\n  seen.append(1)\n  return {'class': len(seen)}"
         )
-        self.assertEqual(1, governor.classify(facts()).service_class)
-        self.assertIn("classify", governor.collect_problems()[0].message)
+        self.assertEqual(1, active_policies.classify(facts()).service_class)
+        self.assertIn("classify", active_policies.collect_problems()[0].message)
 
 
 if __name__ == "__main__":
--- a/tests/recorded_decisions/quota_ledger_load.py
+++ b/tests/recorded_decisions/quota_ledger_load.py
@@ -129,11 +129,11 @@
         if not self._pending_usages:
             return self._look()
         usages = self._pending_usages.pop(0)
-        is_told = self._random.random() < 0.8
-        self._leader.record_report(usages, is_reported=is_told)
-        if is_told:
+        is_reported = self._random.random() < 0.8
+        self._leader.record_report(usages, is_reported=is_reported)
+        if is_reported:
             self._replicate(usages)
-        return self._step(f"told {is_told}", usages, self._state())
+        return self._step(f"told {is_reported}", usages, self._state())
 
     def _replicate(self, usages: tuple[TenantUsage, ...]) -> None:
         group_s = self._leader.group_time_s(self._now)
--- a/tests/recorded_decisions/room_load.py
+++ b/tests/recorded_decisions/room_load.py
@@ -235,8 +235,8 @@
         self.room.leave(call.waiting)
         self.room.leave(call.waiting)
         self.stop_waiting(call)
-        come_back_s = self.room.retry_after_s(self.now, self.random.random())
-        return self.step("given up", call.waiting, [come_back_s, len(self.room)])
+        retry_after_s = self.room.retry_after_s(self.now, self.random.random())
+        return self.step("given up", call.waiting, [retry_after_s, len(self.room)])
 
     def stop_waiting(self, call: _Call) -> None:
         call.is_waiting = False
--- a/tests/recorded_decisions/turn_scheduler_load.py
+++ b/tests/recorded_decisions/turn_scheduler_load.py
@@ -128,8 +128,8 @@
     def figures(self) -> Step:
         self.later(FIGURES_PERIOD_S, self.figures)
         names = (*SERVICES, "unknown")
-        figures = [self.scheduler.stats(name) for name in names]
-        return Step("figures", self.now, names, [figures, self.scheduler.service_names])
+        stats = [self.scheduler.stats(name) for name in names]
+        return Step("figures", self.now, names, [stats, self.scheduler.service_names])
 
     def list_engines(self) -> Step:
         self.later(LIST_PERIOD_S, self.list_engines)
--- a/tests/relay/test_capacity_waits.py
+++ b/tests/relay/test_capacity_waits.py
@@ -22,7 +22,7 @@
     )
 
 
-class RoomWaitsTest(unittest.TestCase):
+class CapacityWaitsTest(unittest.TestCase):
     def run_with_waits(self, main):
         """Run a test on a virtual clock with the waits of one plain service."""
         self.permits = []
--- a/tests/relay/test_slow_reader_monitor.py
+++ b/tests/relay/test_slow_reader_monitor.py
@@ -38,7 +38,7 @@
         self._watch.closed(self)
 
 
-class UnreadAnswersTest(unittest.TestCase):
+class SlowReaderMonitorTest(unittest.TestCase):
     def setUp(self):
         self.watch = SlowReaderMonitor(ReaderBufferBounds(for_one=100, for_all=250))
 
--- a/tests/turns/test_decision_log.py
+++ b/tests/turns/test_decision_log.py
@@ -79,9 +79,9 @@
 class SlotUsageLineTest(unittest.TestCase):
     def events_for(self, **given: int) -> list[str]:
         none = {"waiting_under_way": 0, "waiting_new": 0, "told_to_return": 0}
-        figures = SchedulerStats(engines=1, slots=6, running=6, **(none | given))
+        stats = SchedulerStats(engines=1, slots=6, running=6, **(none | given))
         with capture_logs() as lines:
-            log_slot_usage("llm", figures)
+            log_slot_usage("llm", stats)
         return [line["event"] for line in lines]
 
     def test_slot_usage_is_logged_while_turns_wait_or_are_to_retry(self):
