--- a/src/passlane/configuration/ledger.py
+++ b/src/passlane/configuration/ledger.py
@@ -21,7 +21,7 @@
 """Kind and name of a document."""
 
 
-def key_of(document: Document) -> DocumentKey:
+def document_key(document: Document) -> DocumentKey:
     """Return the kind and name of a document."""
     return document.kind, document.name
 
@@ -60,7 +60,7 @@
             and kind in (None, document.kind)
             and name in (None, document.name)
         ]
-        return sorted(found, key=key_of)
+        return sorted(found, key=document_key)
 
     def pending_change(self, revision: Revision) -> Document | None:
         """Return the pending change with this revision; ``None`` if it is not pending."""
@@ -72,13 +72,13 @@
 
     def pending_changes_of(self, kind: str, name: str) -> list[Document]:
         """Return the pending changes of one document, oldest first."""
-        return [change for change in self._pending.values() if key_of(change) == (kind, name)]
+        return [change for change in self._pending.values() if document_key(change) == (kind, name)]
 
     def accepted_version(self, kind: str, name: str) -> Document | None:
         """Return the accepted version of a document; a deletion has no body."""
         return self._accepted.get((kind, name))
 
-    def accepted_of(self, kind: str) -> Iterator[Document]:
+    def accepted_documents(self, kind: str) -> Iterator[Document]:
         """Yield the accepted documents of a kind, including deletions."""
         return (document for document in self._accepted.values() if document.kind == kind)
 
@@ -193,10 +193,10 @@
 
     def _store_pending(self, change: Document) -> None:
         self._pending[change.revision] = change
-        self._newest_pending[key_of(change)] = change
+        self._newest_pending[document_key(change)] = change
 
     def _store_accepted(self, document: Document) -> None:
-        key = key_of(document)
+        key = document_key(document)
         self._accepted.pop(key, None)
         self._tombstones.pop(key, None)
         self._accepted[key] = document
--- a/src/passlane/configuration/references.py
+++ b/src/passlane/configuration/references.py
@@ -90,7 +90,7 @@
                 index.put(document.kind, document.name, parse_body(kind, document.body))
         return index
 
-    def problem_with(self, kind: str, name: str, body: DocumentBody | None) -> str | None:
+    def broken_reference(self, kind: str, name: str, body: DocumentBody | None) -> str | None:
         """Return why a change would break a reference; ``None`` if it breaks none.
 
         1. Every required reference must be provided by some document.
--- a/src/passlane/control/state/machine.py
+++ b/src/passlane/control/state/machine.py
@@ -217,7 +217,7 @@
 
     def _append(self, kind: str, name: str, body: str | None) -> Document:
         parsed = None if body is None else parse_body(parse_kind(kind), body)
-        problem = self._references.problem_with(kind, name, parsed)
+        problem = self._references.broken_reference(kind, name, parsed)
         if problem is not None:
             raise PasslaneError(ErrorCode.INVALID_DOCUMENT, problem)
         newest = self.ledger.newest(kind, name)
--- a/src/passlane/store/drains.py
+++ b/src/passlane/store/drains.py
@@ -24,7 +24,7 @@
         as_of = (ledger.held_revision, ledger.accepted_revision)
         if as_of != self._as_of:
             self._as_of = as_of
-            drains = ledger.accepted_of(DocumentKind.DRAIN)
+            drains = ledger.accepted_documents(DocumentKind.DRAIN)
             self._nodes = frozenset(
                 NodeId(body.target)
                 for body in map(parse_recorded, drains)
--- a/src/passlane/store/engine_reconciler.py
+++ b/src/passlane/store/engine_reconciler.py
@@ -81,7 +81,7 @@
         return self._targets
 
     def _refresh_targets(self, now: float) -> None:
-        found = map(target_of, self._configuration.accepted_of(DocumentKind.ENGINE))
+        found = map(target_of, self._configuration.accepted_documents(DocumentKind.ENGINE))
         self._targets = tuple(target for target in found if target is not None)
         self._target_since = {
             target: self._target_since.get(target, now) for target in self._targets
--- a/tests/configuration/test_references.py
+++ b/tests/configuration/test_references.py
@@ -48,8 +48,8 @@
         index = ReferenceIndex()
         documents = {}
         for kind, name, body in changes:
-            problem = index.problem_with(kind, name, body)
-            self.assertEqual(rebuilt(documents).problem_with(kind, name, body), problem)
+            problem = index.broken_reference(kind, name, body)
+            self.assertEqual(rebuilt(documents).broken_reference(kind, name, body), problem)
             if problem is not None:
                 continue
             index.put(kind, name, body)
@@ -73,9 +73,9 @@
         index.put("engine", "e", engine)
         index.put("service", "s", ServiceBody(models=("m",)))
         index.put("tenant", "t", TenantBody(service="s"))
-        self.assertIn("service 's'", index.problem_with("service", "s", None))
-        self.assertIsNone(index.problem_with("engine", "e", None))
-        self.assertIsNone(index.problem_with("tenant", "t", None))
+        self.assertIn("service 's'", index.broken_reference("service", "s", None))
+        self.assertIsNone(index.broken_reference("engine", "e", None))
+        self.assertIsNone(index.broken_reference("tenant", "t", None))
 
 
 if __name__ == "__main__":
--- a/tests/control/configuration_checker.py
+++ b/tests/control/configuration_checker.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from passlane.configuration.ledger import key_of
+from passlane.configuration.ledger import document_key
 from passlane.configuration.parsing import encode_body
 from passlane.messages.base import message_decoder
 from passlane.messages.control import (
@@ -116,12 +116,12 @@
             region.check_leases()
 
     def _changes_of(self, document):
-        return [change for change in self.history if key_of(change) == key_of(document)]
+        return [change for change in self.history if document_key(change) == document_key(document)]
 
     def _current_version(self, document):
         changes = self._changes_of(document)
         return changes[-1].version if changes and changes[-1].body is not None else 0
 
     def _documents_at(self, revision):
-        documents = {key_of(change): change.body for change in self.history[:revision]}
+        documents = {document_key(change): change.body for change in self.history[:revision]}
         return {key: body for key, body in documents.items() if body is not None}
