--- a/src/passlane/api/answers.py
+++ b/src/passlane/api/answers.py
@@ -30,7 +30,7 @@
         ...
 
 
-class WholeAnswer:
+class BufferedAnswer:
     """Keeps the last event, for a response with one body."""
 
     def __init__(self) -> None:
--- a/src/passlane/api/callers.py
+++ b/src/passlane/api/callers.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from passlane.api.answers import Emit, StreamedAnswer, WholeAnswer, run_until_disconnect
+from passlane.api.answers import BufferedAnswer, Emit, StreamedAnswer, run_until_disconnect
 from passlane.api.asgi import (
     Receive,
     Request,
@@ -196,7 +196,7 @@
             answer = StreamedAnswer(exchange.send, writer)
             await run_until_disconnect(self._service.run_call, request, answer, exchange.receive)
             return None
-        buffered = WholeAnswer()
+        buffered = BufferedAnswer()
         await run_until_disconnect(self._service.run_call, request, buffered, exchange.receive)
         return json_response(200, writer.completion(buffered.answered()))
 
@@ -207,7 +207,7 @@
             target=exchange.parameters["tool"],
             arguments=checked_json(exchange.request.body),
         )
-        buffered = WholeAnswer()
+        buffered = BufferedAnswer()
         await run_until_disconnect(self._service.run_call, request, buffered, exchange.receive)
         return json_response(200, tool_result(request.program_id, buffered.answered()))
 
--- a/tests/node/test_calls_under_failure.py
+++ b/tests/node/test_calls_under_failure.py
@@ -8,7 +8,7 @@
 
 from node.fakes import OTHER_TENANT, TENANT
 from node.nodes import PROGRAM, Answer, Fleet, charge, chat, expected_answer, run_in_fleet
-from passlane.api.answers import WholeAnswer
+from passlane.api.answers import BufferedAnswer
 from passlane.configuration.view import ConfigurationView
 from passlane.errors import ErrorCode, PasslaneError, Verdict
 from passlane.identifiers import ProgramId
@@ -77,7 +77,7 @@
             for engine_id in list(fleet.http.servers)[:2]:
                 del fleet.http.servers[engine_id]
             with self.assertRaises(PasslaneError) as caught:
-                await fleet.nodes[0].forwarder.run_call(chat(), WholeAnswer().emit)
+                await fleet.nodes[0].forwarder.run_call(chat(), BufferedAnswer().emit)
             self.assertEqual(caught.exception.code, ErrorCode.UNAVAILABLE)
             self.assertEqual(caught.exception.verdict, Verdict.NOT_RUN)
             self.assertIsNotNone(caught.exception.retry_after_s)
