--- a/tests/api/test_operators.py
+++ b/tests/api/test_operators.py
@@ -24,17 +24,17 @@
 from passlane.simulation.runner import run_simulation
 
 TOKEN = "operator-token-1"
-HERE = Address("127.0.0.1", 7900)
+ADDRESS = Address("127.0.0.1", 7900)
 SETTINGS = Settings(
     process=ProcessSettings(name="a", roles=(), region="north", zone="z", data_folder="-"),
-    addresses=AddressSettings(internal=HERE, operators=HERE),
+    addresses=AddressSettings(internal=ADDRESS, operators=ADDRESS),
     security=SecuritySettings(operators=(TokenSettings(token=TOKEN),)),
 )
 POLICY_PATH = "/v1/documents/policy/p"
 BODY = b'{"source":"1"}'
 
 
-class DownGroup:
+class UnavailableGroup:
     async def execute(self, request, reply, *, timeout_s):
         raise PasslaneError(ErrorCode.UNAVAILABLE, "no replica answers")
 
@@ -51,12 +51,12 @@
                 application = build_operator_application(
                     msgspec.structs.replace(SETTINGS, control_addresses=addresses),
                     control=cluster.client_named("http"),
-                    store=DownGroup(),
+                    store=UnavailableGroup(),
                     ring=self.ring,
                     random=random.Random(1),
                 )
                 http = InProcessHttp(application)
-                await scenario(cluster, http, OperatorClient(http, [HERE], TOKEN))
+                await scenario(cluster, http, OperatorClient(http, [ADDRESS], TOKEN))
 
         run_simulation(main, 1)
 
--- a/tests/cli/test_main.py
+++ b/tests/cli/test_main.py
@@ -12,7 +12,7 @@
 from cleo.testers.command_tester import CommandTester
 
 from api.in_process_http import InProcessHttp
-from api.test_operators import HERE, SETTINGS, TOKEN, DownGroup
+from api.test_operators import ADDRESS, SETTINGS, TOKEN, UnavailableGroup
 from passlane.api.operators import build_operator_application
 from passlane.cli.connection import ConnectionOptions, find_target
 from passlane.cli.documents import ApplyCommand, DeleteCommand, GetCommand, WithdrawCommand
@@ -30,7 +30,7 @@
 from passlane.observability.ring import RingLog
 from passlane.transport.router import MessageRouter
 
-CONNECTION = f"--server {HERE} --token {TOKEN}"
+CONNECTION = f"--server {ADDRESS} --token {TOKEN}"
 DOCUMENTS = """
 [[document]]
 kind = "service"
@@ -48,7 +48,7 @@
     """A group of one that applies commands at once; also the client for it."""
 
     is_leader = True
-    leader_address = HERE
+    leader_address = ADDRESS
     term = 1
 
     def __init__(self):
@@ -77,7 +77,7 @@
         application = build_operator_application(
             SETTINGS,
             control=self.group,
-            store=DownGroup(),
+            store=UnavailableGroup(),
             ring=RingLog(10),
             random=random.Random(1),
         )
