--- a/src/passlane/platform/configuration_format.py
+++ b/src/passlane/platform/configuration_format.py
@@ -118,7 +118,7 @@
     )
 
 
-def document_of(
+def encode_configuration(
     configuration: RouteConfiguration, keys_of_tenant: Mapping[str, tuple[str, ...]]
 ) -> bytes:
     """Return the document that an operator sends for a configuration.
--- a/src/passlane/soak/configuration.py
+++ b/src/passlane/soak/configuration.py
@@ -13,7 +13,7 @@
     ServiceShare,
     Tenant,
 )
-from passlane.platform.configuration_format import document_of
+from passlane.platform.configuration_format import encode_configuration
 from passlane.soak.ledger import LimitRule
 
 HOST = "soak.example"
@@ -72,7 +72,7 @@
             Tenant(name=FLOODING_TENANT, rate_per_s=LIMIT_PER_S, burst=LIMIT_BURST),
         ),
     )
-    return document_of(held, {name: (key,) for name, key in KEYS.items()})
+    return encode_configuration(held, {name: (key,) for name, key in KEYS.items()})
 
 
 def _route(name: str, kind: RouteKind, service: str, **changes: Any) -> Route:
--- a/tests/on_platform/test_formats.py
+++ b/tests/on_platform/test_formats.py
@@ -9,7 +9,7 @@
 from passlane.decisions.inputs.relayed_call import Header, PromptPart
 from passlane.errors import ErrorCode, PasslaneError
 from passlane.messages.routes import Route, RoutedService, RouteKind, ServiceShare, Tenant
-from passlane.platform.configuration_format import document_of, parse_configuration
+from passlane.platform.configuration_format import encode_configuration, parse_configuration
 from passlane.platform.engine_client import EngineAnswer
 from passlane.platform.request_format import parse_call
 from passlane.routes.tenants import digest_of_key
@@ -174,7 +174,7 @@
         edited = msgspec.structs.replace(
             parsed_document, routes=(route,), services=(engine,), tenants=(tenant,)
         )
-        read = parse_configuration(document_of(edited, {"t": ("key",)}))
+        read = parse_configuration(encode_configuration(edited, {"t": ("key",)}))
         self.assertEqual((read.version, read.routes, read.services), (7, (route,), (engine,)))
         with_key = msgspec.structs.replace(tenant, key_digests=(digest_of_key("key"),))
         self.assertEqual(read.tenants, (with_key,))
