--- a/src/passlane/daemon/fleet/store.py
+++ b/src/passlane/daemon/fleet/store.py
@@ -24,7 +24,7 @@
 from passlane.replication.replica_metrics import expose_replica
 from passlane.settings.fleet import FleetSettings
 from passlane.settings.model import GroupSettings, PeerSettings
-from passlane.storage.identity import IdentityFile, process_name_of
+from passlane.storage.identity import IdentityFile, process_name_from_replica_id
 from passlane.turns.dispatch import TurnDispatcher
 from passlane.turns.service import TurnService
 from passlane.turns.slot_metrics import register_slot_metrics
@@ -152,7 +152,10 @@
         members: tuple[NamedAddress, ...] = ()
         if host is not None and host.is_leader:
             members = tuple(
-                sorted(NamedAddress(process_name_of(m.replica_id), m.address) for m in host.members)
+                sorted(
+                    NamedAddress(process_name_from_replica_id(m.replica_id), m.address)
+                    for m in host.members
+                )
             )
         return msgspec.structs.replace(
             self._context.heartbeat(), may_found=self._may_found, group_members=members
--- a/src/passlane/replication/joining.py
+++ b/src/passlane/replication/joining.py
@@ -27,7 +27,7 @@
 from passlane.replication.client import GroupClient
 from passlane.settings.model import PeerSettings
 from passlane.storage.formats import Identity
-from passlane.storage.identity import IdentityFile, process_name_of
+from passlane.storage.identity import IdentityFile, process_name_from_replica_id
 from passlane.transport.interfaces import Caller
 
 STATUS_TIMEOUT_S = 1.0
@@ -133,7 +133,7 @@
             statuses = await self._request_statuses()
             founders = self._determine_founders(identity, statuses)
             if any(member.replica_id == identity.replica_id for member in founders):
-                return await self._identity_file.mark_founder(identity, founders)
+                return await self._identity_file.record_founding(identity, founders)
             if any(status.is_member for status in statuses.values()):
                 return identity
             logger.info(
@@ -235,10 +235,13 @@
     """Return the members that a replica with a new identity replaces."""
     if request.is_known:
         return ()
-    name = process_name_of(request.replica_id)
+    name = process_name_from_replica_id(request.replica_id)
     return tuple(
         member
         for member in membership.members
         if member.replica_id != request.replica_id
-        and (member.address == request.address or process_name_of(member.replica_id) == name)
+        and (
+            member.address == request.address
+            or process_name_from_replica_id(member.replica_id) == name
+        )
     )
--- a/src/passlane/replication/membership_changes.py
+++ b/src/passlane/replication/membership_changes.py
@@ -14,7 +14,7 @@
 from passlane.replication.driver import ReplicaDriver
 from passlane.replication.joining import handle_join, members_replaced_by
 from passlane.replication.pending import PendingRequests
-from passlane.storage.identity import process_name_of
+from passlane.storage.identity import process_name_from_replica_id
 
 
 class MembershipChanges:
@@ -83,7 +83,7 @@
         """
         driver = self._leading_driver()
         for member in driver.replica.membership.members:
-            if process_name_of(member.replica_id) != process_name:
+            if process_name_from_replica_id(member.replica_id) != process_name:
                 continue
             if self._has_bounded_voters:
                 driver.step(ReplicaReleased(member.replica_id))
--- a/src/passlane/replication/replica_host.py
+++ b/src/passlane/replication/replica_host.py
@@ -38,7 +38,7 @@
 from passlane.replication.snapshot_policy import SnapshotPolicy
 from passlane.runtime.interfaces import Environment
 from passlane.settings.model import GroupSettings
-from passlane.storage.formats import Identity, damage_in
+from passlane.storage.formats import Identity, corruption_error_in
 from passlane.storage.identity import IdentityFile
 from passlane.transport.interfaces import Caller, Router
 
@@ -252,7 +252,7 @@
             try:
                 await self._run_on_files()
             except* (PasslaneError, OSError) as group:
-                error = damage_in(group)
+                error = corruption_error_in(group)
                 if error is None:
                     raise
                 await self._abandon_files(error)
@@ -360,7 +360,7 @@
             await self._rejoin_without_leader(identity)
         else:
             await self._joiner.join(identity.replica_id, is_known=False)
-            identity = await self._identity_file.mark_joined(identity)
+            identity = await self._identity_file.record_joining(identity)
             self._identity = identity
         await self._identity_file.remove_older_generations(identity)
         await self._rejoin_without_leader(identity)
--- a/src/passlane/storage/formats.py
+++ b/src/passlane/storage/formats.py
@@ -112,7 +112,7 @@
     return storage_corrupt(f"disk I/O error: {error}")
 
 
-def damage_in(group: BaseExceptionGroup[PasslaneError | OSError]) -> PasslaneError | None:
+def corruption_error_in(group: BaseExceptionGroup[PasslaneError | OSError]) -> PasslaneError | None:
     """Return the ``STORAGE_CORRUPT`` error for a group of errors; ``None`` for other errors.
 
     Only the first error of the group is considered.
--- a/src/passlane/storage/identity.py
+++ b/src/passlane/storage/identity.py
@@ -21,7 +21,7 @@
 _SUFFIX_SEPARATOR = "-"
 
 
-def process_name_of(replica_id: ReplicaId) -> str:
+def process_name_from_replica_id(replica_id: ReplicaId) -> str:
     """Return the name of the process that a replica id was created for."""
     name, _, _ = replica_id.rpartition(_SUFFIX_SEPARATOR)
     return name or replica_id
@@ -82,13 +82,15 @@
         await self._save(identity)
         return identity
 
-    async def mark_founder(self, identity: Identity, founders: tuple[GroupMember, ...]) -> Identity:
+    async def record_founding(
+        self, identity: Identity, founders: tuple[GroupMember, ...]
+    ) -> Identity:
         """Store that this replica founds its group together with ``founders``."""
         founder = msgspec.structs.replace(identity, is_member=True, founders=founders)
         await self._save(founder)
         return founder
 
-    async def mark_joined(self, identity: Identity) -> Identity:
+    async def record_joining(self, identity: Identity) -> Identity:
         """Store that a leader has added this replica to its group."""
         member = msgspec.structs.replace(identity, is_member=True, may_found=False)
         await self._save(member)
