--- a/src/passlane/bench/turn_steps.py
+++ b/src/passlane/bench/turn_steps.py
@@ -4,7 +4,7 @@
 
 STEPS = (
     ("receive, decode", ("transport.frames:feed", "transport.frames:_check", "messages.registry")),
-    ("receive, decode", ("transport.channel:frames", "transport.channel:message_in")),
+    ("receive, decode", ("transport.channel:frames", "transport.channel:decode_frame_body")),
     ("receive, decode", ("transport.server_connection:_rec", "transport.server_connection:_read")),
     ("receive, decode", ("runtime.accepted_stream:receive", "runtime.accepted_stream:data_")),
     ("answer requests: tasks, scopes", ("transport.server_connection",)),
--- a/src/passlane/fleet/client.py
+++ b/src/passlane/fleet/client.py
@@ -22,14 +22,14 @@
 from passlane.messages.common import Address
 from passlane.messages.fleet import Announce, FleetView
 from passlane.transport.interfaces import Caller
-from passlane.transport.replica_search import ReplicaSearch, SearchPauses
+from passlane.transport.replica_search import ReplicaSearch, RetryIntervals
 
 HEARTBEAT_WAIT_S = 0.8
 """Time for which the leader delays the answer to a heartbeat while there is no update; below
 ``cached_view.STALE_AFTER_S`` and ``directory.EXPIRE_AFTER_S``."""
 ANSWER_MARGIN_S = 0.5
 """Time beyond ``HEARTBEAT_WAIT_S`` for the answer to arrive."""
-SEARCH_BACKOFF = SearchPauses(first_s=0.04, longest_s=0.25, growth=1.3)
+SEARCH_BACKOFF = RetryIntervals(first_s=0.04, longest_s=0.25, growth=1.3)
 """Backoff of the search for the leader; an election takes some tenths of a second, even after all
 processes were lost."""
 MIN_HEARTBEAT_INTERVAL_S = 0.05
--- a/src/passlane/replication/peer_sender.py
+++ b/src/passlane/replication/peer_sender.py
@@ -30,7 +30,7 @@
         if queue is not None:
             queue.append(message)
             return
-        if self._immediate is not None and self._immediate.send_now(address, message):
+        if self._immediate is not None and self._immediate.send_if_connected(address, message):
             return
         self._queues[address] = deque([message], maxlen=MAX_QUEUED_MESSAGES)
         self._tasks.start_soon(self._send_queued, address)
--- a/src/passlane/transport/channel.py
+++ b/src/passlane/transport/channel.py
@@ -23,7 +23,7 @@
 """Backpressure: senders of streams wait, and one-way messages are dropped, above this."""
 
 
-def message_in(frame: Frame) -> Message:
+def decode_frame_body(frame: Frame) -> Message:
     """Return the message in a frame's body.
 
     Raises
--- a/src/passlane/transport/client.py
+++ b/src/passlane/transport/client.py
@@ -112,8 +112,11 @@
         async with connection.stream(request, deadline - anyio.current_time()) as replies:
             yield replies
 
-    def send_now(self, address: Address, message: Message) -> bool:
-        """Send a one-way message over an open connection; see ``ImmediateSender.send_now``."""
+    def send_if_connected(self, address: Address, message: Message) -> bool:
+        """Send a one-way message over an open connection.
+
+        See ``ImmediateSender.send_if_connected``.
+        """
         connection = self._open_connection(address)
         if connection is None:
             return False
--- a/src/passlane/transport/client_connection.py
+++ b/src/passlane/transport/client_connection.py
@@ -15,7 +15,7 @@
 from passlane.messages.base import Message, encode_message
 from passlane.messages.common import ErrorReply
 from passlane.observability.logging import get_logger
-from passlane.transport.channel import FrameChannel, message_in
+from passlane.transport.channel import FrameChannel, decode_frame_body
 from passlane.transport.credit import CREDIT_BATCH, STREAM_WINDOW
 from passlane.transport.frames import MAX_VALUE, Frame, FrameKind
 
@@ -169,10 +169,10 @@
             return
         match frame.kind:
             case FrameKind.REPLY | FrameKind.ERROR:
-                pending.deliver(message_in(frame))
+                pending.deliver(decode_frame_body(frame))
                 pending.end()
             case FrameKind.STREAM_ITEM:
-                pending.deliver(message_in(frame))
+                pending.deliver(decode_frame_body(frame))
             case FrameKind.STREAM_END:
                 pending.end()
             case _:
--- a/src/passlane/transport/interfaces.py
+++ b/src/passlane/transport/interfaces.py
@@ -40,7 +40,7 @@
 class ImmediateSender(Protocol):
     """Sends over connections that are already open; most callers implement it."""
 
-    def send_now(self, address: Address, message: Message) -> bool:
+    def send_if_connected(self, address: Address, message: Message) -> bool:
         """Send a one-way message if a connection is open; return whether one is.
 
         The message is dropped on a congested connection, as by ``Caller.send``.
--- a/src/passlane/transport/replica_search.py
+++ b/src/passlane/transport/replica_search.py
@@ -17,7 +17,7 @@
 """Minimum wait as a share of the interval between two attempts."""
 
 
-class SearchPauses(msgspec.Struct, frozen=True):
+class RetryIntervals(msgspec.Struct, frozen=True):
     """Intervals between two attempts on one replica: first, maximum, and factor of growth."""
 
     first_s: float
@@ -43,7 +43,7 @@
         candidates: Callable[[], Iterable[Address]],
         query: Callable[[Address], Awaitable[bool]],
         is_over: Callable[[], bool],
-        intervals: SearchPauses,
+        intervals: RetryIntervals,
         random: random_module.Random,
     ) -> None:
         self._candidates = candidates
--- a/src/passlane/transport/server_connection.py
+++ b/src/passlane/transport/server_connection.py
@@ -16,7 +16,7 @@
 from passlane.messages.base import Message, encode_message
 from passlane.messages.common import ErrorReply, error_with_verdict
 from passlane.observability.logging import get_logger
-from passlane.transport.channel import FrameChannel, message_in
+from passlane.transport.channel import FrameChannel, decode_frame_body
 from passlane.transport.credit import CreditGate
 from passlane.transport.frames import Frame, FrameKind
 from passlane.transport.request_workers import RequestWorkers
@@ -87,7 +87,7 @@
             case FrameKind.REQUEST:
                 self._start_request(frame, workers)
             case FrameKind.ONE_WAY:
-                self._queue_one_way(message_in(frame))
+                self._queue_one_way(decode_frame_body(frame))
             case FrameKind.CANCEL:
                 if scope := self._scopes.get(frame.request_id):
                     scope.cancel()
@@ -102,7 +102,7 @@
                 )
 
     def _start_request(self, frame: Frame, workers: RequestWorkers[_Request]) -> None:
-        request = message_in(frame)
+        request = decode_frame_body(frame)
         if frame.request_id in self._scopes:
             raise PasslaneError(
                 ErrorCode.PROTOCOL_ERROR, f"request id {frame.request_id} is in use"
--- a/src/passlane/turns/leader_finder.py
+++ b/src/passlane/turns/leader_finder.py
@@ -18,13 +18,13 @@
 from passlane.messages.turns import FindTurnStore, TurnStoreFound
 from passlane.observability.logging import get_logger
 from passlane.transport.interfaces import Caller
-from passlane.transport.replica_search import ReplicaSearch, SearchPauses
+from passlane.transport.replica_search import ReplicaSearch, RetryIntervals
 
 UNAVAILABLE_AFTER_S = 1.0
 """Time with an unconfirmed leader after which the store group counts as unavailable."""
 PROBE_TIMEOUT_S = 0.3
 """Timeout of a probe of one replica."""
-SEARCH_BACKOFF = SearchPauses(first_s=0.04, longest_s=0.18, growth=2.0)
+SEARCH_BACKOFF = RetryIntervals(first_s=0.04, longest_s=0.18, growth=2.0)
 """The maximum together with a probe that times out stays below half a second."""
 RECENT_ANSWER_S = 0.15
 """Time after an answer during which the leader is not suspected."""
--- a/tests/replication/test_peer_sender.py
+++ b/tests/replication/test_peer_sender.py
@@ -31,7 +31,7 @@
         super().__init__()
         self.open = {CONNECTED_PEER}
 
-    def send_now(self, address, message):
+    def send_if_connected(self, address, message):
         if address not in self.open:
             return False
         self.sent.append((address, message))
--- a/tests/transport/test_replica_search.py
+++ b/tests/transport/test_replica_search.py
@@ -8,10 +8,10 @@
 import trio.testing
 
 from passlane.messages.common import Address
-from passlane.transport.replica_search import ReplicaSearch, SearchPauses
+from passlane.transport.replica_search import ReplicaSearch, RetryIntervals
 
 A, B, C = (Address(f"10.0.0.{n}", 1) for n in range(1, 4))
-INTERVALS = SearchPauses(first_s=0.1, longest_s=0.4, growth=2.0)
+INTERVALS = RetryIntervals(first_s=0.1, longest_s=0.4, growth=2.0)
 
 
 class ReplicaSearchTest(unittest.TestCase):
