--- a/src/passlane/daemon/fleet/node.py
+++ b/src/passlane/daemon/fleet/node.py
@@ -43,7 +43,7 @@
         self._registry = BackendRegistry()
         self._bounds = NodeBounds(context.settings, context.metrics)
         self._limits = HttpLimits(
-            write_buffer_bytes=self._bounds.max_caller_bytes, watch=self._bounds.unread
+            write_buffer_bytes=self._bounds.max_caller_bytes, watch=self._bounds.unread_answers
         )
         self._is_draining = False
         self._stop_times = StopTimes.within(context.settings.timing.grace_s)
--- a/src/passlane/daemon/fleet/node_bounds.py
+++ b/src/passlane/daemon/fleet/node_bounds.py
@@ -1,7 +1,7 @@
 """Samples a node's load and passes the samples to admission and to the bounds on unread answers.
 
 For: a node, which refuses requests and ends answers beyond its capacity.
-Owns: the samples, ``unread`` and ``admission``, and their metrics.
+Owns: the samples, ``unread_answers`` and ``admission``, and their metrics.
 Relies on: the operating system for resident memory and open descriptors; a bound doesn't apply
 where the reading isn't available.
 """
@@ -38,7 +38,7 @@
 
     Attributes
     ----------
-    unread
+    unread_answers
         Ends the connections of callers that stop reading.
     admission
         Decides which requests the node accepts.
@@ -51,7 +51,7 @@
         self._resident_bytes: int | None = None
         self._descriptors: int | None = None
         self._unavailable: set[str] = set()
-        self.unread = SlowReaderMonitor(self._bounds)
+        self.unread_answers = SlowReaderMonitor(self._bounds)
         self.admission = NodeAdmission(
             _capacity(settings, self._bounds.for_all), is_enabled=settings.node_bounds.enabled
         )
@@ -73,7 +73,7 @@
             for_all=self._bounds.for_all,
             longest_stall_s=max(self._settings.longest_stall_s, route_stall_s),
         )
-        self.unread.replace_bounds(self._bounds)
+        self.unread_answers.replace_bounds(self._bounds)
 
     async def run(self) -> None:
         """Sample until cancelled."""
@@ -86,13 +86,13 @@
             if samples % SAMPLES_PER_USAGE_READING == 0:
                 self._read_usage()
             samples += 1
-            self.unread.poll(now)
+            self.unread_answers.poll(now)
             self.admission.observe(self._reading(), now)
 
     def _reading(self) -> NodeReading:
         return NodeReading(
             loop_lag_s=self._lag.mean_s,
-            held_bytes=self.unread.buffered_bytes + self.admission.body_bytes,
+            held_bytes=self.unread_answers.buffered_bytes + self.admission.body_bytes,
             under_way=self.admission.in_flight,
             resident_bytes=self._resident_bytes,
             descriptors=self._descriptors,
@@ -118,7 +118,7 @@
         readings = {
             "loop_lag_seconds": self._lag.mean_s,
             "loop_lag_worst_seconds": self._lag.worst_s,
-            "unread_answer_bytes": self.unread.buffered_bytes,
+            "unread_answer_bytes": self.unread_answers.buffered_bytes,
             "requests_under_way": self.admission.in_flight,
             "request_body_bytes": self.admission.body_bytes,
             "resident_bytes": self._resident_bytes,
@@ -128,7 +128,7 @@
         for name, value in readings.items():
             if value is not None:
                 self._metrics.gauge(name, f"{name} of this node at its last sample").set(value)
-        self._expose_counts("answers_ended_unread", "reason", self.unread.ended)
+        self._expose_counts("answers_ended_unread", "reason", self.unread_answers.ended)
         self._expose_counts("node_refusals", "state", self.admission.refused)
 
     def _expose_counts(self, name: str, label: str, counts: dict[str, int]) -> None:
--- a/tests/daemon/fleet/test_node_bounds.py
+++ b/tests/daemon/fleet/test_node_bounds.py
@@ -84,9 +84,9 @@
     def test_an_ended_answer_is_counted_once_in_the_metrics(self):
         metrics = Metrics()
         sampler = NodeBounds(settings(), metrics)
-        sampler.unread.ended["reader_stopped"] = 2
+        sampler.unread_answers.ended["reader_stopped"] = 2
         metrics.expose()
-        sampler.unread.ended["reader_stopped"] = 3
+        sampler.unread_answers.ended["reader_stopped"] = 3
         text = metrics.expose().decode()
         self.assertIn('passlane_answers_ended_unread_total{reason="reader_stopped"} 3.0', text)
         self.assertIn("passlane_loop_lag_seconds 0.0", text)
--- a/tests/on_platform/test_slow_readers.py
+++ b/tests/on_platform/test_slow_readers.py
@@ -130,7 +130,9 @@
             relay.replace_configuration(applied)
             bounds.apply_configuration(applied)
             limits = HttpLimits(
-                write_buffer_bytes=bounds.max_caller_bytes, watch=bounds.unread, finish_s=0.1
+                write_buffer_bytes=bounds.max_caller_bytes,
+                watch=bounds.unread_answers,
+                finish_s=0.1,
             )
             ingress = ClientIngress(relay, lambda: False)
             tasks.start_soon(UvicornHttpServer(sockets).serve, address, ingress, limits)
@@ -151,12 +153,14 @@
                 stopped.connect((address.host, address.port))
                 stopped.sendall(request("/first/endless", "stopped"))
                 with anyio.fail_after(STALL_S + TIMING_MARGIN_S):
-                    while not bounds.unread.ended or engine.closed == 0:
+                    while not bounds.unread_answers.ended or engine.closed == 0:
                         await self.check_other_callers_are_served(address)
-                        max_unread_bytes = max(max_unread_bytes, bounds.unread.buffered_bytes)
+                        max_unread_bytes = max(
+                            max_unread_bytes, bounds.unread_answers.buffered_bytes
+                        )
                         await anyio.sleep(0.1)
-                self.assertEqual(bounds.unread.buffered_bytes, 0)
-                self.assertEqual(bounds.unread.ended, {"reader_stopped": 1})
+                self.assertEqual(bounds.unread_answers.buffered_bytes, 0)
+                self.assertEqual(bounds.unread_answers.ended, {"reader_stopped": 1})
                 self.assertEqual(bounds.admission.in_flight, 0)
                 self.assertEqual(engine.closed, 1)
                 stopped.close()
--- a/tests/outside/metric_forms.py
+++ b/tests/outside/metric_forms.py
@@ -60,7 +60,7 @@
     metrics = Metrics()
     bounds = NodeBounds(msgspec.convert(NODE_SETTINGS, FleetSettings), metrics)
     _run_for(bounds, SAMPLED_S)
-    bounds.unread.ended["reason"] = 1
+    bounds.unread_answers.ended["reason"] = 1
     bounds.admission.refused["state"] = 1
     found = set()
     for family in text_string_to_metric_families(metrics.expose().decode()):
